--- a/alloc.go
+++ b/alloc.go
@@ -13,64 +13,64 @@
 	Model   string
 	// Prompt and Output are token counts: the prompt's estimated length and the
 	// most that may be generated.
-	Prompt int
-	Output int
+	PromptTokens    int
+	MaxOutputTokens int
 	// Since is when the request was admitted; it keeps its age over retries.
-	Since    time.Time
-	Deadline time.Time
+	AdmittedAt time.Time
+	Deadline   time.Time
 	// Prefix holds hashes of growing prefixes of the prompt, shortest first.
-	Prefix []uint64
+	PrefixHashes []uint64
 	// Avoid names targets that have already failed the request.
-	Avoid []TargetID
+	FailedTargets []TargetID
 }
 
 // Tokens returns the KV memory that the request needs, in tokens.
-func (d Demand) Tokens() int { return d.Prompt + d.Output }
+func (d Demand) Tokens() int { return d.PromptTokens + d.MaxOutputTokens }
 
 // Allotment is the right to send one attempt to targets. The holder must call
 // Release once, whatever became of the attempt.
-type Allotment struct {
+type Allocation struct {
 	targets  []TargetID
 	priority int
-	hooks    AllotmentHooks
+	hooks    AllocationHooks
 }
 
 // AllotmentHooks is how an Allocator learns what becomes of an allotment. Each
 // may be nil.
-type AllotmentHooks struct {
+type AllocationHooks struct {
 	// First is called when the first token came.
-	First func()
+	FirstToken func()
 	// Release is called when the attempt has ended.
 	Release func(Usage)
 }
 
 // NewAllotment returns an allotment. It is meant for implementations of
 // Allocator.
-func NewAllotment(targets []TargetID, priority int, hooks AllotmentHooks) Allotment {
-	return Allotment{targets: targets, priority: priority, hooks: hooks}
+func NewAllocation(targets []TargetID, priority int, hooks AllocationHooks) Allocation {
+	return Allocation{targets: targets, priority: priority, hooks: hooks}
 }
 
 // Target returns the target to which the attempt goes.
-func (a Allotment) Target() TargetID { return a.targets[0] }
+func (a Allocation) Target() TargetID { return a.targets[0] }
 
 // Group returns all targets that serve the prompt together; it holds more than
 // one only for a prompt that is longer than an engine's memory.
-func (a Allotment) Group() []TargetID { return a.targets }
+func (a Allocation) Group() []TargetID { return a.targets }
 
 // Priority returns the priority to hand to the engine, lower first.
-func (a Allotment) Priority() int { return a.priority }
+func (a Allocation) Priority() int { return a.priority }
 
 // Release gives the allotment back with what was learnt of the target.
-func (a Allotment) Release(u Usage) {
+func (a Allocation) Release(u Usage) {
 	if a.hooks.Release != nil {
 		a.hooks.Release(u)
 	}
 }
 
 // First tells that the first token of the attempt came.
-func (a Allotment) First() {
-	if a.hooks.First != nil {
-		a.hooks.First()
+func (a Allocation) FirstToken() {
+	if a.hooks.FirstToken != nil {
+		a.hooks.FirstToken()
 	}
 }
 
@@ -80,18 +80,18 @@
 	// for a reason that says nothing of the target, such as a caller who left.
 	Outcome Outcome
 	// First is the time from sending to the first event, zero if there was none.
-	First time.Duration
+	TimeToFirstEvent time.Duration
 	// Prompt is the token count that the engine reported, zero if it reported
 	// none.
-	Prompt int
+	PromptTokens int
 	// Full is set when the target refused for lack of room.
-	Full bool
+	AtCapacity bool
 }
 
 // TargetFailed reports whether the attempt speaks against its target: it got no
 // token although nobody gave it up and there was room.
 func (u Usage) TargetFailed() bool {
-	return u.Outcome == OutcomeFailed && u.First == 0 && !u.Full
+	return u.Outcome == OutcomeFailed && u.TimeToFirstEvent == 0 && !u.AtCapacity
 }
 
 // Allocator decides where and when a request runs. Implementations are safe
@@ -99,5 +99,5 @@
 type Allocator interface {
 	// Acquire waits until the request may run. It returns a *Refusal when the
 	// request cannot be served, or the context's error.
-	Acquire(ctx context.Context, d Demand) (Allotment, error)
+	Acquire(ctx context.Context, d Demand) (Allocation, error)
 }
--- a/attempt.go
+++ b/attempt.go
@@ -68,17 +68,17 @@
 // Attempt is what a target is asked to do. The body is passed on as the caller
 // sent it.
 type Attempt struct {
-	ID       AttemptID
-	Path     string
-	Body     []byte
-	Type     string // Type is the content type of the body.
-	Method   string // Method is the HTTP method, POST when empty.
-	Deadline time.Time
+	ID          AttemptID
+	Path        string
+	Body        []byte
+	ContentType string // Type is the content type of the body.
+	Method      string // Method is the HTTP method, POST when empty.
+	Deadline    time.Time
 	// Priority orders work inside the target, lower first, as engines define it.
 	Priority int
 	// From is the number of the first event wanted when a stream is resumed;
 	// zero starts the attempt.
-	From uint64
+	ResumeFrom uint64
 	// Group names the engines that serve the prompt together, the target
 	// itself first; empty for a prompt that fits one engine.
 	Group []TargetID
--- a/box.go
+++ b/box.go
@@ -16,7 +16,7 @@
 
 // Spread returns the box's place from 0 to 1 among boxes that would otherwise act at one
 // moment: another one for each name, and the same on all boxes.
-func (id BoxID) Spread() float64 {
+func (id BoxID) Jitter() float64 {
 	const bits = 53 // A float64 holds so many exactly.
 	return float64(xxhash.Sum64String(string(id))>>(64-bits)) / (1 << bits)
 }
--- a/catalogue.go
+++ b/catalogue.go
@@ -83,7 +83,7 @@
 	Fetch(ctx context.Context, topic Topic) (Batch, error)
 	// Follow waits up to wait for changes after the revision and returns them; a
 	// batch without records says that there were none.
-	Follow(ctx context.Context, topic Topic, since Revision, wait time.Duration) (Batch, error)
+	Watch(ctx context.Context, topic Topic, since Revision, wait time.Duration) (Batch, error)
 	// Publish writes a record of a topic that the boxes write.
 	Publish(ctx context.Context, topic Topic, key string, value []byte) error
 	// Withdraw removes a record of such a topic.
--- a/cmd/barleystep-entry/main_test.go
+++ b/cmd/barleystep-entry/main_test.go
@@ -170,7 +170,7 @@
 	c.Check(torn.err, quicktest.IsNotNil)
 	c.Check(strings.Contains(torn.text, "[DONE]"), quicktest.IsFalse)
 	retry := r.ask(t, 1, 80, strict)
-	c.Check(retry.reason, quicktest.Equals, string(barleystep.ReasonRunning), quicktest.Commentf("%+v", retry))
+	c.Check(retry.reason, quicktest.Equals, string(barleystep.ReasonStillRunning), quicktest.Commentf("%+v", retry))
 	c.Check(r.ask(t, 1, 2, nil).outcome, quicktest.Equals, "done", quicktest.Commentf("others are served"))
 	eventually(t, func() bool { return r.ask(t, 1, 80, strict).outcome == "unknown" })
 	c.Check(len(r.engine.Runs())-before, quicktest.Equals, 2)
--- a/internal/balance/allowance.go
+++ b/internal/balance/allowance.go
@@ -102,7 +102,7 @@
 
 // withinLimit reports whether the target may get one more request from this box.
 func (b *Balancer) withinLimit(s *state) bool {
-	if !s.limit().Named() {
+	if !s.limit().IsSet() {
 		return true
 	}
 	now := b.Clock.Now()
@@ -135,7 +135,7 @@
 	for _, part := range p.parts {
 		s := b.state(part.target)
 		switch {
-		case !s.limit().Named():
+		case !s.limit().IsSet():
 		case b.leads():
 			s.allowance.tokens--
 		default:
--- a/internal/balance/limit_test.go
+++ b/internal/balance/limit_test.go
@@ -184,7 +184,7 @@
 			p.Says(p.Target.ID, barleystep.Statement{Limit: barleystep.NewRateLimit(1)}, f.clock.Now())
 			f.clock.Advance(2 * time.Second)
 			tc.change(f, p)
-			c.Check(f.Belief("i-00").Said.Limit.Value.Named(), quicktest.Equals, tc.named)
+			c.Check(f.Belief("i-00").Said.Limit.Value.IsSet(), quicktest.Equals, tc.named)
 			p.Done(balance.Report{})
 		})
 	}
@@ -213,7 +213,7 @@
 	others.Said[key] = balance.Said{Limit: balance.Word[barleystep.RateLimit]{At: f.clock.Now()}}
 	f.SetOthers(others)
 	c.Check(f.Snapshot().Said, quicktest.HasLen, 0)
-	c.Check(f.Belief("i-00").Said.Limit.Value.Named(), quicktest.IsFalse)
+	c.Check(f.Belief("i-00").Said.Limit.Value.IsSet(), quicktest.IsFalse)
 }
 
 // TestAllLimited checks what becomes of requests whose targets have all used up their limits:
--- a/internal/balance/said.go
+++ b/internal/balance/said.go
@@ -161,7 +161,7 @@
 		if t.Service != service {
 			continue
 		}
-		if s, _ := b.meet(t); s.limit().Named() {
+		if s, _ := b.meet(t); s.limit().IsSet() {
 			return true
 		}
 	}
@@ -174,7 +174,7 @@
 		return
 	}
 	e, text := b.Log.Warn(), "A target names how many requests it takes from all boxes."
-	if !s.limit().Named() {
+	if !s.limit().IsSet() {
 		e, text = b.Log.Info(), "A target names no limit any more."
 	}
 	e.Str("target", string(id)).Float64("per_second", s.limit().PerSecond()).
--- a/internal/capacity/allocator.go
+++ b/internal/capacity/allocator.go
@@ -56,11 +56,11 @@
 var _ barleystep.Allocator = (*Allocator)(nil)
 
 // Acquire waits until the request may run.
-func (a *Allocator) Acquire(ctx context.Context, d barleystep.Demand) (barleystep.Allotment, error) {
+func (a *Allocator) Acquire(ctx context.Context, d barleystep.Demand) (barleystep.Allocation, error) {
 	p := a.pool(d.Model)
 	if target, ok := p.try(a.Clock.Now(), d); ok {
 		rank := a.share(d).Rank
-		return a.allotment(p, d, []barleystep.TargetID{target}, Priority(a.weighing(), rank, d.Prompt), nil), nil
+		return a.allotment(p, d, []barleystep.TargetID{target}, Priority(a.weighing(), rank, d.PromptTokens), nil), nil
 	}
 	return a.ask(ctx, p, d)
 }
@@ -73,7 +73,7 @@
 }
 
 // ask asks one endpoint after the other until one answers or ctx ends.
-func (a *Allocator) ask(ctx context.Context, p *pool, d barleystep.Demand) (barleystep.Allotment, error) {
+func (a *Allocator) ask(ctx context.Context, p *pool, d barleystep.Demand) (barleystep.Allocation, error) {
 	s := a.share(d)
 	question := Ask{Demand: d, Box: a.Box, Weight: s.Weight, Rank: s.Rank, Limit: s.Limit}
 	for {
@@ -85,7 +85,7 @@
 			return a.allotment(p, d, g.Targets, g.Priority, endpoint), nil
 		}
 		if refused(err) || ctx.Err() != nil {
-			return barleystep.Allotment{}, err
+			return barleystep.Allocation{}, err
 		}
 		a.Meter.Retried("dispenser_lost")
 	}
@@ -147,10 +147,10 @@
 
 // allotment wires what becomes of an attempt back to the holder, and to the
 // endpoint that granted it.
-func (a *Allocator) allotment(p *pool, d barleystep.Demand, targets []barleystep.TargetID, priority int, endpoint Endpoint) barleystep.Allotment {
+func (a *Allocator) allotment(p *pool, d barleystep.Demand, targets []barleystep.TargetID, priority int, endpoint Endpoint) barleystep.Allocation {
 	id := d.Attempt
-	return barleystep.NewAllotment(targets, priority, barleystep.AllotmentHooks{
-		First: func() {
+	return barleystep.NewAllocation(targets, priority, barleystep.AllocationHooks{
+		FirstToken: func() {
 			p.first(a.Clock.Now(), id)
 			if endpoint != nil {
 				a.notify(func(ctx context.Context) error { return endpoint.First(ctx, p.name, id) })
--- a/internal/capacity/bench_test.go
+++ b/internal/capacity/bench_test.go
@@ -30,7 +30,7 @@
 			for i := range s.queued {
 				// These wait for memory that no engine has.
 				a := p.ask(fmt.Sprint("a", i%s.accounts), 15_000)
-				a.Demand.Output = engineTokens * 3 / 10
+				a.Demand.MaxOutputTokens = engineTokens * 3 / 10
 				p.Ask(p.now, a)
 			}
 			p.tick()
@@ -53,7 +53,7 @@
 	p.empty(targets)
 	for range targets * running {
 		a := p.ask("busy", 100)
-		a.Demand.Output = engineTokens * 3 / 4 / running
+		a.Demand.MaxOutputTokens = engineTokens * 3 / 4 / running
 		p.Ask(p.now, a)
 		for id := range p.tick() {
 			p.First(p.now, id, 0)
--- a/internal/capacity/dispenser.go
+++ b/internal/capacity/dispenser.go
@@ -94,9 +94,9 @@
 // Ask queues a request. The answer comes from Tick. It returns a refusal at
 // once if the request can never be served in time.
 func (d *Dispenser) Ask(now time.Time, a Ask) *barleystep.Refusal {
-	if d.allAvoided(a.Demand.Avoid) {
+	if d.allAvoided(a.Demand.FailedTargets) {
 		// It has been everywhere: it begins anew instead of waiting for nobody.
-		a.Demand.Avoid = nil
+		a.Demand.FailedTargets = nil
 	}
 	w := &waiter{ask: a, tokens: a.Demand.Tokens()}
 	lane, refusal := d.lane(w)
@@ -112,7 +112,7 @@
 	}
 	q.Push(flowName(a), flowWeight(a), queue.Entry[*waiter]{
 		Item:  w,
-		Since: a.Demand.Since,
+		Since: a.Demand.AdmittedAt,
 		Cost:  float64(w.tokens),
 	})
 	return nil
@@ -128,7 +128,7 @@
 }
 
 func flowName(a Ask) string {
-	return a.Demand.Class + "/" + a.Demand.Account + "/" + barleystep.BandOf(a.Demand.Prompt).String()
+	return a.Demand.Class + "/" + a.Demand.Account + "/" + barleystep.BandOf(a.Demand.PromptTokens).String()
 }
 
 // classStep is how much more of a contended pool a class gets than the one
@@ -263,19 +263,19 @@
 		box:     w.ask.Box,
 		account: dem.Account,
 		targets: ids,
-		prompt:  dem.Prompt,
-		output:  dem.Output,
+		prompt:  dem.PromptTokens,
+		output:  dem.MaxOutputTokens,
 		since:   now,
 		reading: true,
 		long:    l != laneShort,
 	}
 	d.keep(h)
-	d.prefixes.Note(dem.Prefix, ids[0])
+	d.prefixes.Note(dem.PrefixHashes, ids[0])
 	return Grant{
 		Attempt:  dem.Attempt,
 		Box:      w.ask.Box,
 		Targets:  ids,
-		Priority: Priority(d.settings.Weighing, w.ask.Rank, dem.Prompt),
+		Priority: Priority(d.settings.Weighing, w.ask.Rank, dem.PromptTokens),
 	}
 }
 
--- a/internal/capacity/dispenser_test.go
+++ b/internal/capacity/dispenser_test.go
@@ -57,13 +57,13 @@
 		Weight: 1,
 		Limit:  1,
 		Demand: barleystep.Demand{
-			Attempt:  barleystep.NewAttemptID("b1", 1, p.serial),
-			Account:  account,
-			Class:    "normal",
-			Prompt:   prompt,
-			Output:   100,
-			Since:    p.now,
-			Deadline: p.now.Add(time.Hour),
+			Attempt:         barleystep.NewAttemptID("b1", 1, p.serial),
+			Account:         account,
+			Class:           "normal",
+			PromptTokens:    prompt,
+			MaxOutputTokens: 100,
+			AdmittedAt:      p.now,
+			Deadline:        p.now.Add(time.Hour),
 		},
 	}
 }
@@ -86,7 +86,7 @@
 }
 
 func (p *pool) done(id barleystep.AttemptID) {
-	p.Release(p.now, id, barleystep.Usage{Outcome: barleystep.OutcomeDone, First: time.Second})
+	p.Release(p.now, id, barleystep.Usage{Outcome: barleystep.OutcomeDone, TimeToFirstEvent: time.Second})
 }
 
 // TestNewDispenser lets a dispenser die with running work: its successor hands
@@ -170,7 +170,7 @@
 	p.load(0, engineTokens-40_100)
 	a := p.ask("a", 45_000)
 	a.Box = "b2"
-	a.Demand.Output = 20_000
+	a.Demand.MaxOutputTokens = 20_000
 	c.Assert(p.Ask(p.now, a) == nil, quicktest.IsTrue)
 	c.Check(p.tick(), quicktest.HasLen, 0)
 	p.now = p.now.Add(time.Second)
@@ -293,7 +293,7 @@
 		ask    capacity.Ask
 		reason barleystep.Reason
 	}{
-		"can't be read in time":       {late, barleystep.ReasonCannotMeet},
+		"can't be read in time":       {late, barleystep.ReasonDeadlineCannotBeMet},
 		"longer than all engines":     {p.ask("a", 5_000_000), barleystep.ReasonNoTarget},
 		"no engine serves the model":  {p.ask("a", 1_000), barleystep.ReasonNoTarget},
 		"more waits than is sensible": {p.ask("a", 1_000), barleystep.ReasonQueueFull},
@@ -304,7 +304,7 @@
 			p := newPool(1)
 			switch tc.reason {
 			case barleystep.ReasonNoTarget:
-				if tc.ask.Demand.Prompt == 1_000 {
+				if tc.ask.Demand.PromptTokens == 1_000 {
 					p.SetTargets(nil)
 				}
 			case barleystep.ReasonQueueFull:
@@ -329,7 +329,7 @@
 			p := newPool(2)
 			p.empty(2)
 			a := p.ask("a", 1_000)
-			a.Demand.Avoid = avoid
+			a.Demand.FailedTargets = avoid
 			c.Assert(p.Ask(p.now, a) == nil, quicktest.IsTrue)
 			g := p.tick()[a.Demand.Attempt]
 			c.Assert(g.Targets, quicktest.HasLen, 1)
--- a/internal/capacity/endpoint.go
+++ b/internal/capacity/endpoint.go
@@ -105,7 +105,7 @@
 		delete(p.waiting, id)
 		select {
 		case <-answer:
-			d.Release(now, id, barleystep.Usage{Outcome: barleystep.OutcomeNotRun, Full: true})
+			d.Release(now, id, barleystep.Usage{Outcome: barleystep.OutcomeNotRun, AtCapacity: true})
 		default:
 		}
 	})
@@ -233,7 +233,7 @@
 	for _, g := range p.dispenser.Tick(now) {
 		answer, ok := p.waiting[g.Attempt]
 		if !ok {
-			p.dispenser.Release(now, g.Attempt, barleystep.Usage{Full: true})
+			p.dispenser.Release(now, g.Attempt, barleystep.Usage{AtCapacity: true})
 			continue
 		}
 		delete(p.waiting, g.Attempt)
--- a/internal/capacity/gang.go
+++ b/internal/capacity/gang.go
@@ -64,7 +64,7 @@
 		switch {
 		case t.gang != nil:
 			aside++
-		case t.usable(now) && !slices.Contains(w.ask.Demand.Avoid, t.spec.ID):
+		case t.usable(now) && !slices.Contains(w.ask.Demand.FailedTargets, t.spec.ID):
 			usable = append(usable, t)
 		}
 	}
@@ -153,7 +153,7 @@
 	if l == laneShort {
 		return true
 	}
-	whole := seconds(float64(w.ask.Demand.Prompt)/t.spec.Rate) + time.Duration(w.ask.Demand.Output)*d.pace
+	whole := seconds(float64(w.ask.Demand.PromptTokens)/t.spec.Rate) + time.Duration(w.ask.Demand.MaxOutputTokens)*d.pace
 	return whole <= t.gang.readyIn(now, d.pace)
 }
 
@@ -163,7 +163,7 @@
 	a := g.waiter.ask
 	// The request was queued before; a refusal now would mean that the pool has
 	// shrunk below its need, which its deadline then ends.
-	_ = d.Ask(a.Demand.Since, a)
+	_ = d.Ask(a.Demand.AdmittedAt, a)
 }
 
 // disband frees the members.
--- a/internal/capacity/holder.go
+++ b/internal/capacity/holder.go
@@ -57,10 +57,10 @@
 
 // Try runs a short prompt on the credits, if there are any that allow it.
 func (h *Holder) Try(now time.Time, d barleystep.Demand) (target barleystep.TargetID, ok bool) {
-	if barleystep.BandOf(d.Prompt).Long() {
+	if barleystep.BandOf(d.PromptTokens).Long() {
 		return "", false
 	}
-	h.wanted += d.Prompt
+	h.wanted += d.PromptTokens
 	if !now.Before(h.credits.Until) {
 		return "", false
 	}
@@ -75,16 +75,16 @@
 // best looks at the targets in an order that differs between attempts, so that
 // boxes with the same picture do not all take the same target.
 func (h *Holder) best(d barleystep.Demand) (best barleystep.TargetID, expected time.Duration) {
-	warm, part := h.prefixes.Find(d.Prefix)
+	warm, part := h.prefixes.Find(d.PrefixHashes)
 	for _, c := range h.candidates(d, warm) {
-		if slices.Contains(d.Avoid, c.Target) || !h.allows(c, d) {
+		if slices.Contains(d.FailedTargets, c.Target) || !h.allows(c, d) {
 			continue
 		}
 		cached := 0
 		if c.Target == warm {
-			cached = int(part * float64(d.Prompt))
+			cached = int(part * float64(d.PromptTokens))
 		}
-		e := place.Expect(h.snapshot(c), d.Prompt, cached)
+		e := place.Expect(h.snapshot(c), d.PromptTokens, cached)
 		if best == "" || e < expected {
 			best, expected = c.Target, e
 		}
@@ -129,7 +129,7 @@
 	if u.memory+d.Tokens() > c.Memory {
 		return false
 	}
-	return u.reading == 0 || u.reading+d.Prompt <= c.Reading
+	return u.reading == 0 || u.reading+d.PromptTokens <= c.Reading
 }
 
 func (h *Holder) snapshot(c Credit) place.Target {
@@ -163,19 +163,19 @@
 		attempt:  d.Attempt,
 		account:  d.Account,
 		targets:  targets,
-		prompt:   d.Prompt,
-		output:   d.Output,
+		prompt:   d.PromptTokens,
+		output:   d.MaxOutputTokens,
 		since:    now,
 		expected: expected,
 		reading:  true,
 		granted:  granted,
 	}
-	h.prefixes.Note(d.Prefix, targets[0])
+	h.prefixes.Note(d.PrefixHashes, targets[0])
 	if granted {
 		return
 	}
 	u := h.use(targets[0])
-	u.reading += d.Prompt
+	u.reading += d.PromptTokens
 	u.memory += d.Tokens()
 	u.running++
 }
--- a/internal/capacity/holder_test.go
+++ b/internal/capacity/holder_test.go
@@ -11,7 +11,7 @@
 )
 
 func demand(n uint64, prompt int) barleystep.Demand {
-	return barleystep.Demand{Attempt: barleystep.NewAttemptID("b1", 1, n), Prompt: prompt, Output: 10}
+	return barleystep.Demand{Attempt: barleystep.NewAttemptID("b1", 1, n), PromptTokens: prompt, MaxOutputTokens: 10}
 }
 
 func credits(until time.Time, reading int) capacity.Credits {
--- a/internal/capacity/lane.go
+++ b/internal/capacity/lane.go
@@ -31,7 +31,7 @@
 		return 0, notRun(barleystep.ReasonNoTarget, "No target serves the model here.", time.Second)
 	case float64(w.tokens) > d.settings.GiantPart*float64(largest):
 		return d.giantLane(w, largest)
-	case barleystep.BandOf(w.ask.Demand.Prompt).Long():
+	case barleystep.BandOf(w.ask.Demand.PromptTokens).Long():
 		return laneLong, nil
 	default:
 		return laneShort, nil
@@ -56,12 +56,12 @@
 	if l == laneGiant {
 		members = len(d.sorted)
 	}
-	read := seconds(float64(w.ask.Demand.Prompt) / (fastest * float64(members)))
+	read := seconds(float64(w.ask.Demand.PromptTokens) / (fastest * float64(members)))
 	left := w.ask.Demand.Deadline.Sub(now)
 	if read <= left {
 		return nil
 	}
-	return notRun(barleystep.ReasonCannotMeet, "The prompt can't be read before the time limit.", 0)
+	return notRun(barleystep.ReasonDeadlineCannotBeMet, "The prompt can't be read before the time limit.", 0)
 }
 
 // drainTime estimates how long the lane's queue takes to empty.
@@ -87,7 +87,7 @@
 	if l == laneLong && d.longReads() >= d.longEngines() {
 		return nil
 	}
-	warm, part := d.prefixes.Find(w.ask.Demand.Prefix)
+	warm, part := d.prefixes.Find(w.ask.Demand.PrefixHashes)
 	var best *target
 	var bestTime time.Duration
 	for _, t := range d.sorted {
@@ -96,9 +96,9 @@
 		}
 		cached := 0
 		if t.spec.ID == warm {
-			cached = int(part * float64(w.ask.Demand.Prompt))
+			cached = int(part * float64(w.ask.Demand.PromptTokens))
 		}
-		e := place.Expect(t.snapshot(now), w.ask.Demand.Prompt, cached)
+		e := place.Expect(t.snapshot(now), w.ask.Demand.PromptTokens, cached)
 		if best == nil || e < bestTime {
 			best, bestTime = t, e
 		}
@@ -109,7 +109,7 @@
 // eligible reports whether the target may take the request now.
 func (d *Dispenser) eligible(now time.Time, t *target, w *waiter, l lane) bool {
 	switch {
-	case !t.usable(now) || slices.Contains(w.ask.Demand.Avoid, t.spec.ID):
+	case !t.usable(now) || slices.Contains(w.ask.Demand.FailedTargets, t.spec.ID):
 		return false
 	case t.gang != nil && !d.mayBackfill(now, t, w, l):
 		return false
@@ -146,7 +146,7 @@
 	}
 	short := t.shortReading()
 	window := int(t.spec.Rate * d.settings.Window.Seconds())
-	return short == 0 || short+w.ask.Demand.Prompt <= window
+	return short == 0 || short+w.ask.Demand.PromptTokens <= window
 }
 
 func (d *Dispenser) roomForLong(now time.Time, t *target, w *waiter) bool {
--- a/internal/claim/book.go
+++ b/internal/claim/book.go
@@ -168,16 +168,16 @@
 		return b.stored(ctx, m.Row)
 	case VerdictRunning:
 		wait := max(time.Second, m.Row.Deadline.Sub(b.Clock.Now()))
-		return Decision{}, barleystep.NewRefusal(barleystep.ReasonRunning, barleystep.OutcomePending,
+		return Decision{}, barleystep.NewRefusal(barleystep.ReasonStillRunning, barleystep.OutcomePending,
 			"A request with this key is running.").WithRetryAfter(min(wait, time.Minute))
 	case VerdictFailed:
 		return Decision{}, barleystep.NewRefusal(barleystep.ReasonTargetFailed, barleystep.OutcomeFailed,
 			"The request with this key was run and failed.")
 	case VerdictReused:
-		return Decision{}, barleystep.NewRefusal(barleystep.ReasonKeyReused, barleystep.OutcomeNotRun,
+		return Decision{}, barleystep.NewRefusal(barleystep.ReasonIdempotencyKeyReused, barleystep.OutcomeNotRun,
 			"The key belongs to another request.")
 	case VerdictRefused:
-		return Decision{}, barleystep.NewRefusal(barleystep.ReasonStoreDown, barleystep.OutcomeNotRun,
+		return Decision{}, barleystep.NewRefusal(barleystep.ReasonStoreUnavailable, barleystep.OutcomeNotRun,
 			"The claim could not be written; nothing was run.").WithRetryAfter(b.patience())
 	default:
 		return Decision{}, b.unknown(m)
@@ -186,17 +186,17 @@
 
 func (b *Book) unknown(m Machine) error {
 	if m.Foreign {
-		return barleystep.NewRefusal(barleystep.ReasonStoreDown, barleystep.OutcomeUnknown,
+		return barleystep.NewRefusal(barleystep.ReasonStoreUnavailable, barleystep.OutcomeUnknown,
 			"The state of this key could not be read.").WithRetryAfter(b.patience())
 	}
-	return barleystep.NewRefusal(barleystep.ReasonEarlierUnknown, barleystep.OutcomeUnknown,
+	return barleystep.NewRefusal(barleystep.ReasonEarlierOutcomeUnknown, barleystep.OutcomeUnknown,
 		"A request with this key may have run; nobody can tell.")
 }
 
 func (b *Book) stored(ctx context.Context, r Row) (Decision, error) {
 	data, err := b.Objects.Get(ctx, r.Object)
 	if err != nil {
-		return Decision{}, barleystep.NewRefusal(barleystep.ReasonStoreDown, barleystep.OutcomeDone,
+		return Decision{}, barleystep.NewRefusal(barleystep.ReasonStoreUnavailable, barleystep.OutcomeDone,
 			"The request was run; its answer can't be read now.").WithRetryAfter(b.patience())
 	}
 	return Decision{answer: data}, nil
--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -77,7 +77,7 @@
 		}
 		resp.Body.Close()
 	}
-	return nil, eris.Wrap(barleystep.ErrForeign, "conn: no answer to this request")
+	return nil, eris.Wrap(barleystep.ErrWrongAttempt, "conn: no answer to this request")
 }
 
 const (
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -109,14 +109,14 @@
 func setHeaders(h http.Header, a barleystep.Attempt) {
 	h.Set(HeaderAttempt, a.ID.String())
 	h.Set(HeaderPriority, strconv.Itoa(a.Priority))
-	if a.Type != "" {
-		h.Set("Content-Type", a.Type)
+	if a.ContentType != "" {
+		h.Set("Content-Type", a.ContentType)
 	}
 	if !a.Deadline.IsZero() {
 		h.Set(HeaderDeadline, a.Deadline.UTC().Format(DeadlineLayout))
 	}
-	if a.From > 0 {
-		h.Set(HeaderFrom, strconv.FormatUint(a.From, 10))
+	if a.ResumeFrom > 0 {
+		h.Set(HeaderFrom, strconv.FormatUint(a.ResumeFrom, 10))
 	}
 	if len(a.Group) > 1 {
 		h.Set(HeaderGroup, joinTargets(a.Group))
@@ -139,7 +139,7 @@
 	}
 	if got := resp.Header.Get(HeaderAttempt); got != a.ID.String() {
 		_ = resp.Body.Close()
-		return nil, eris.Wrapf(barleystep.ErrForeign, "target answered for %q", got)
+		return nil, eris.Wrapf(barleystep.ErrWrongAttempt, "target answered for %q", got)
 	}
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
 		return newEventStream(resp, a, c.eventLimit()), nil
@@ -176,7 +176,7 @@
 }
 
 // List asks the target which attempts it holds memory for.
-func (c *Client) List(ctx context.Context) (work []barleystep.Work, err error) {
+func (c *Client) List(ctx context.Context) (work []barleystep.HeldAttempt, err error) {
 	defer func() {
 		if err != nil {
 			err = eris.Wrap(err, "engine: list")
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -88,13 +88,13 @@
 		}, barleystep.ErrNotStarted},
 		"does not say so": {func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusServiceUnavailable)
-		}, barleystep.ErrForeign},
+		}, barleystep.ErrWrongAttempt},
 		"answers for another": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(engine.HeaderAttempt, "b.1.9")
-		}, barleystep.ErrForeign},
+		}, barleystep.ErrWrongAttempt},
 		"redirects": {func(w http.ResponseWriter, r *http.Request) {
 			http.Redirect(w, r, "/elsewhere", http.StatusTemporaryRedirect)
-		}, barleystep.ErrForeign},
+		}, barleystep.ErrWrongAttempt},
 		"breaks off":      {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, barleystep.ErrUnknownEffect},
 		"nobody is there": {nil, barleystep.ErrNotStarted},
 	}
@@ -142,7 +142,7 @@
 			s, err := client.Start(t.Context(), attempt(1))
 			c.Assert(err, quicktest.IsNil)
 			err = read(s)
-			torn := errors.Is(err, barleystep.ErrTorn) || errors.Is(err, barleystep.ErrForeign)
+			torn := errors.Is(err, barleystep.ErrBrokenStream) || errors.Is(err, barleystep.ErrWrongAttempt)
 			c.Check(torn, quicktest.IsTrue, quicktest.Commentf("%v", err))
 		})
 	}
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -32,7 +32,7 @@
 		next:    next,
 		stop:    stop,
 		attempt: a.ID.String(),
-		want:    max(a.From, 1),
+		want:    max(a.ResumeFrom, 1),
 	}
 }
 
@@ -51,10 +51,10 @@
 	for {
 		e, err, ok := s.next()
 		if err != nil {
-			return barleystep.Event{}, eris.Wrap(barleystep.ErrTorn, err.Error())
+			return barleystep.Event{}, eris.Wrap(barleystep.ErrBrokenStream, err.Error())
 		}
 		if !ok {
-			return barleystep.Event{}, eris.Wrap(barleystep.ErrTorn, "stream ended early")
+			return barleystep.Event{}, eris.Wrap(barleystep.ErrBrokenStream, "stream ended early")
 		}
 		number, err := s.number(e.LastEventID)
 		if err != nil {
@@ -64,7 +64,7 @@
 			continue
 		}
 		if number > s.want {
-			return barleystep.Event{}, eris.Wrapf(barleystep.ErrTorn, "event %d came in place of %d", number, s.want)
+			return barleystep.Event{}, eris.Wrapf(barleystep.ErrBrokenStream, "event %d came in place of %d", number, s.want)
 		}
 		s.want++
 		s.ended = e.Data == Done
@@ -75,11 +75,11 @@
 func (s *eventStream) number(id string) (uint64, error) {
 	text, ok := strings.CutPrefix(id, s.attempt)
 	if !ok || !strings.HasPrefix(text, "/") {
-		return 0, eris.Wrapf(barleystep.ErrForeign, "event has id %q", id)
+		return 0, eris.Wrapf(barleystep.ErrWrongAttempt, "event has id %q", id)
 	}
 	n, err := strconv.ParseUint(text[1:], 10, 64)
 	if err != nil {
-		return 0, eris.Wrapf(barleystep.ErrTorn, "event has id %q", id)
+		return 0, eris.Wrapf(barleystep.ErrBrokenStream, "event has id %q", id)
 	}
 	return n, nil
 }
@@ -110,11 +110,11 @@
 		return barleystep.Event{}, io.EOF
 	}
 	if s.resp.ContentLength < 0 && len(s.resp.TransferEncoding) == 0 && s.resp.ProtoMajor == 1 {
-		return barleystep.Event{}, eris.Wrap(barleystep.ErrTorn, "body has no end mark")
+		return barleystep.Event{}, eris.Wrap(barleystep.ErrBrokenStream, "body has no end mark")
 	}
 	data, err := io.ReadAll(s.resp.Body)
 	if err != nil {
-		return barleystep.Event{}, eris.Wrap(barleystep.ErrTorn, err.Error())
+		return barleystep.Event{}, eris.Wrap(barleystep.ErrBrokenStream, err.Error())
 	}
 	s.read = true
 	return barleystep.NewEvent(1, data, true), nil
--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -240,7 +240,7 @@
 	since, known := f.position()
 	var b barleystep.Batch
 	if known {
-		b, err = f.Catalogue.Follow(ctx, f.Topic, since, wait)
+		b, err = f.Catalogue.Watch(ctx, f.Topic, since, wait)
 	} else {
 		b, err = f.Catalogue.Fetch(ctx, f.Topic)
 	}
--- a/internal/follow/relay_test.go
+++ b/internal/follow/relay_test.go
@@ -27,9 +27,9 @@
 	return s.catalogue.Fetch(ctx, topic)
 }
 
-func (s *timed) Follow(ctx context.Context, topic barleystep.Topic, since barleystep.Revision, wait time.Duration) (barleystep.Batch, error) {
+func (s *timed) Watch(ctx context.Context, topic barleystep.Topic, since barleystep.Revision, wait time.Duration) (barleystep.Batch, error) {
 	s.note()
-	return s.catalogue.Follow(ctx, topic, since, wait)
+	return s.catalogue.Watch(ctx, topic, since, wait)
 }
 
 func batchOf(revision barleystep.Revision, records ...barleystep.Record) barleystep.Batch {
--- a/internal/front/authenticate.go
+++ b/internal/front/authenticate.go
@@ -22,13 +22,13 @@
 	if x.route.Public || !x.view.NeedsKeys() {
 		return next(ctx, x)
 	}
-	account := x.view.Account(x.call.Key)
+	account := x.view.Account(x.call.APIKey)
 	if account == nil {
-		return barleystep.NewRefusal(barleystep.ReasonBadKey, barleystep.OutcomeNotRun, "The key is not valid.")
+		return barleystep.NewRefusal(barleystep.ReasonInvalidKey, barleystep.OutcomeNotRun, "The key is not valid.")
 	}
 	bound := time.Duration(s.freshness.Load())
 	if bound > 0 && (x.age < 0 || x.age > bound) {
-		return notRun(barleystep.ReasonStaleKeys, "The box cannot tell whether the key is still valid.", restartPause)
+		return notRun(barleystep.ReasonKeysNotConfirmed, "The box cannot tell whether the key is still valid.", restartPause)
 	}
 	x.account = account.Name
 	if account.HasPriority {
--- a/internal/front/deliver.go
+++ b/internal/front/deliver.go
@@ -174,10 +174,10 @@
 
 func (d *deliver) job(x *Exchange) balance.Job {
 	j := balance.Job{
-		Request:   x.call.ID,
+		Request:   x.call.RequestID,
 		Service:   x.service,
-		Prompt:    x.call.Prompt,
-		Output:    x.call.Output,
+		Prompt:    x.call.PromptTokens,
+		Output:    x.call.MaxOutputTokens,
 		Objective: x.route.Objective,
 		Rank:      x.rank,
 		First:     x.firstTry,
@@ -278,7 +278,7 @@
 	x.passed = d.balancer.PassedOver(x.service)
 	switch {
 	case eris.Is(err, balance.ErrInVain):
-		return notRun(barleystep.ReasonCannotMeet, "No target could answer in the time that is left.", 0)
+		return notRun(barleystep.ReasonDeadlineCannotBeMet, "No target could answer in the time that is left.", 0)
 	case eris.Is(err, balance.ErrFull):
 		after := max(x.comeBack(d.clock.Now()), d.balancer.RestLeft(d.job(x)))
 		return notRun(barleystep.ReasonQueueFull, "All targets are full.", after)
@@ -296,7 +296,7 @@
 
 // note writes a line about a try that did not end the request.
 func (d *deliver) note(x *Exchange, t *try, res result, err error) {
-	e := d.log.Warn().Str("request", x.call.ID).Str("target", string(t.placement.Target.ID)).
+	e := d.log.Warn().Str("request", x.call.RequestID).Str("target", string(t.placement.Target.ID)).
 		Str("result", res.String()).Str("blamed", string(t.blamed)).Int("send", x.sends).Int("status", t.head.Status()).
 		Bool("sealed", t.head.Sealed()).Int("skipped", t.skipped).Bool("begun", x.answer.Begun()).Str("last_event", x.last)
 	if err != nil {
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -18,7 +18,7 @@
 	r       *http.Request
 	answer  *reply.Writer
 	started time.Time
-	call    barleystep.Call
+	call    barleystep.CallerHeaders
 	// progress is how far the request has come, for other goroutines.
 	progress progress
 
--- a/internal/front/fixture_test.go
+++ b/internal/front/fixture_test.go
@@ -34,7 +34,7 @@
 // protocol is a plain form of barleystep.Protocol for these tests.
 type protocol struct{}
 
-func (protocol) Call(h http.Header) barleystep.Call {
+func (protocol) ReadCallerHeaders(h http.Header) barleystep.CallerHeaders {
 	limit, err := time.ParseDuration(h.Get("Limit"))
 	if err != nil {
 		limit = 0
@@ -43,24 +43,24 @@
 	if err != nil {
 		prompt = 0
 	}
-	return barleystep.Call{ID: h.Get("Id"), Key: h.Get("Key"), TimeLimit: limit, Prompt: prompt}
+	return barleystep.CallerHeaders{RequestID: h.Get("Id"), APIKey: h.Get("Key"), TimeLimit: limit, PromptTokens: prompt}
 }
 
-func (protocol) Prepare(h http.Header, d barleystep.Delivery) {
+func (protocol) SetTargetHeaders(h http.Header, d barleystep.TargetHeaders) {
 	h.Del("Key")
-	h.Set("Instance", string(d.Instance))
+	h.Set("Instance", string(d.Target))
 	h.Set("Account", d.Account)
 	h.Set("Left", d.TimeLeft.String())
-	if d.LastEvent != "" {
-		h.Set("Last", d.LastEvent)
+	if d.LastEventID != "" {
+		h.Set("Last", d.LastEventID)
 	}
 	for _, helper := range d.Helpers {
-		h.Add("Helper", helper.Reservation)
+		h.Add("Helper", helper.ReservationID)
 		h.Add("Helper-At", helper.Addr)
 	}
 }
 
-func (protocol) Verdict(_ int, h http.Header) barleystep.Verdict {
+func (protocol) ReadResponseHead(_ int, h http.Header) barleystep.ResponseHead {
 	statement := barleystep.Statement{Leaving: h.Get("Leaves") != ""}
 	if perSecond, err := strconv.ParseFloat(h.Get("Takes"), 64); err == nil {
 		statement.Limit = barleystep.NewRateLimit(perSecond)
@@ -68,27 +68,27 @@
 	if rest, err := time.ParseDuration(h.Get("Rest")); err == nil {
 		statement.Rest = rest
 	}
-	return barleystep.Verdict{
+	return barleystep.ResponseHead{
 		Statement: statement,
-		ID:        h.Get("Id"),
-		Sealed:    h.Get("Seal") != "",
+		RequestID: h.Get("Id"),
+		HasDigest: h.Get("Seal") != "",
 		NotRun:    h.Get("Not-Run") != "",
-		Encoded:   h.Get("Content-Encoding") != "",
-		Blamed:    h.Get("Blamed"),
+		Reencoded: h.Get("Content-Encoding") != "",
+		RefusedBy: h.Get("Blamed"),
 	}
 }
 
-func (protocol) Reserve(r barleystep.Reservation) (*http.Request, []byte) {
+func (protocol) ReserveRequest(r barleystep.Reservation) (*http.Request, []byte) {
 	return order("/reserve/" + r.ID + "/" + fmt.Sprint(r.Tokens))
 }
 
-func (protocol) Release(id string) (*http.Request, []byte) { return order("/release/" + id) }
+func (protocol) ReleaseRequest(id string) (*http.Request, []byte) { return order("/release/" + id) }
 
 func order(path string) (*http.Request, []byte) {
 	return &http.Request{Method: http.MethodPost, URL: &url.URL{Opaque: path}, Header: http.Header{}}, nil
 }
 
-func (protocol) Answer(h http.Header, id string, retryAfter time.Duration) {
+func (protocol) SetResponseHeaders(h http.Header, id string, retryAfter time.Duration) {
 	h.Set("Id", id)
 	h.Set("Again", retryAfter.String())
 }
--- a/internal/front/helper.go
+++ b/internal/front/helper.go
@@ -32,7 +32,7 @@
 		return nil
 	}
 	left := t.placement.LeaveOut(t.silent)
-	t.stage.log.Info().Str("request", t.exchange.call.ID).Str("target", string(t.placement.Target.ID)).
+	t.stage.log.Info().Str("request", t.exchange.call.RequestID).Str("target", string(t.placement.Target.ID)).
 		Strs("silent", names(t.silent)).Bool("goes_on", left).Dur("within", helperTimeout).
 		Msg(logPrefix + "Helpers cannot be reached. They are left out.")
 	if left {
--- a/internal/front/relay.go
+++ b/internal/front/relay.go
@@ -56,7 +56,7 @@
 func (t *try) mayBeEmpty(resp *http.Response) bool {
 	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 	x := t.exchange
-	return framed || x.answer.Begun() || x.call.LastEvent != ""
+	return framed || x.answer.Begun() || x.call.LastEventID != ""
 }
 
 // forward sends the whole events of data and returns what is left.
--- a/internal/front/reserve.go
+++ b/internal/front/reserve.go
@@ -48,14 +48,14 @@
 		if h.Memory > 0 {
 			id = t.reservationID()
 		}
-		list = append(list, barleystep.Helper{Addr: h.Addr, Reservation: id})
+		list = append(list, barleystep.Helper{Addr: h.Addr, ReservationID: id})
 	}
 	return list
 }
 
 // reservationID names the try's reservations; at each helper it has one.
 func (t *try) reservationID() string {
-	return t.exchange.call.ID + "-" + strconv.Itoa(t.number)
+	return t.exchange.call.RequestID + "-" + strconv.Itoa(t.number)
 }
 
 // reserve sets memory aside at the helpers, where the placement asks for it, and
@@ -85,7 +85,7 @@
 	defer close(t.renewals)
 	for clock.Sleep(ctx, t.stage.clock, renewEvery) {
 		if !t.orderAll(ctx, t.reserveAt) && ctx.Err() == nil {
-			t.stage.log.Warn().Str("request", t.exchange.call.ID).
+			t.stage.log.Warn().Str("request", t.exchange.call.RequestID).
 				Msg(logPrefix + "Memory at a helper could not be kept. It is tried again.")
 		}
 	}
@@ -107,7 +107,7 @@
 			}
 			clock.Sleep(ctx, t.stage.clock, orderTimeout)
 		}
-		t.stage.log.Warn().Str("request", t.exchange.call.ID).Dur("hold", holdTime).
+		t.stage.log.Warn().Str("request", t.exchange.call.RequestID).Dur("hold", holdTime).
 			Msg(logPrefix + "Memory at a helper could not be released. It ends by itself after its hold.")
 	}()
 }
@@ -136,12 +136,12 @@
 	if t.placement.Over(r.target) {
 		return true
 	}
-	req, body := t.stage.protocol.Reserve(r.Reservation)
+	req, body := t.stage.protocol.ReserveRequest(r.Reservation)
 	return t.order(ctx, r, req, body) == http.StatusOK
 }
 
 func (t *try) releaseAt(ctx context.Context, r reservation) bool {
-	req, body := t.stage.protocol.Release(r.ID)
+	req, body := t.stage.protocol.ReleaseRequest(r.ID)
 	status := t.order(ctx, r, req, body)
 	return status > 0 && status < http.StatusInternalServerError
 }
@@ -165,7 +165,7 @@
 	defer resp.Body.Close()
 	if !misdirected(resp) {
 		// Answers to orders may lack words that others carry: they take nothing back.
-		t.placement.Says(r.target, t.stage.protocol.Verdict(resp.StatusCode, resp.Header).Statement, time.Time{})
+		t.placement.Says(r.target, t.stage.protocol.ReadResponseHead(resp.StatusCode, resp.Header).Statement, time.Time{})
 	}
 	if _, err = io.Copy(io.Discard, io.LimitReader(resp.Body, answerBytes)); err != nil {
 		return 0
@@ -175,5 +175,5 @@
 
 // answersOrder reports whether an answer may be one to an order: it names no request.
 func (t *try) answersOrder(h http.Header) bool {
-	return t.stage.protocol.Verdict(0, h).ID == ""
+	return t.stage.protocol.ReadResponseHead(0, h).RequestID == ""
 }
--- a/internal/front/restart.go
+++ b/internal/front/restart.go
@@ -26,7 +26,7 @@
 			return
 		}
 	}
-	t.stage.log.Info().Str("request", t.exchange.call.ID).Str("target", string(t.placement.Target.ID)).
+	t.stage.log.Info().Str("request", t.exchange.call.RequestID).Str("target", string(t.placement.Target.ID)).
 		Msg(logPrefix + "The target, or a helper, has started anew. The request goes to others.")
 	cancel(errRestarted)
 }
--- a/internal/front/roster.go
+++ b/internal/front/roster.go
@@ -45,7 +45,7 @@
 	}
 	r.mu.Unlock()
 	slices.SortFunc(list, func(a, b *Exchange) int {
-		return cmp.Or(a.started.Compare(b.started), cmp.Compare(a.call.ID, b.call.ID))
+		return cmp.Or(a.started.Compare(b.started), cmp.Compare(a.call.RequestID, b.call.RequestID))
 	})
 	return list[:min(most, len(list))]
 }
--- a/internal/front/route.go
+++ b/internal/front/route.go
@@ -29,7 +29,7 @@
 	if x.route == nil {
 		return barleystep.NewRefusal(barleystep.ReasonUnknownService, barleystep.OutcomeNotRun, "There is no such route.")
 	}
-	x.service = x.route.Pick(xxhash.Sum64String(x.call.ID))
+	x.service = x.route.Pick(xxhash.Sum64String(x.call.RequestID))
 	x.rank = x.route.Priority
 	x.until = x.started.Add(x.route.Timeout)
 	if limit := x.call.TimeLimit; limit > 0 && limit < x.route.Timeout {
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -117,8 +117,8 @@
 	now := s.Clock.Now()
 	for _, x := range s.running.oldest(mostUnfinished) {
 		phase, since, target := x.progress.look()
-		s.Log.Warn().Str("request", x.call.ID).Str("phase", phase.String()).Str("target", string(target)).
-			Int("prompt", x.call.Prompt).Dur("in_phase", now.Sub(since)).Dur("took", now.Sub(x.started)).
+		s.Log.Warn().Str("request", x.call.RequestID).Str("phase", phase.String()).Str("target", string(target)).
+			Int("prompt", x.call.PromptTokens).Dur("in_phase", now.Sub(since)).Dur("took", now.Sub(x.started)).
 			Msg(logPrefix + "A request is not finished.")
 	}
 }
@@ -129,7 +129,7 @@
 		r:       r,
 		answer:  reply.NewWriter(w),
 		started: s.Clock.Now(),
-		call:    s.Protocol.Call(r.Header),
+		call:    s.Protocol.ReadCallerHeaders(r.Header),
 	}
 	x.progress.enter(PhaseReading, x.started)
 	s.running.add(x)
@@ -165,7 +165,7 @@
 
 func (s *Server) refuse(x *Exchange, r *barleystep.Refusal) {
 	h := make(http.Header)
-	s.Protocol.Answer(h, x.call.ID, r.RetryAfter())
+	s.Protocol.SetResponseHeaders(h, x.call.RequestID, r.RetryAfter())
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	x.answer.Whole(reply.Own(statusOf(r), h), []byte(r.Error()+"\n"))
 }
@@ -176,7 +176,7 @@
 	switch {
 	case r.Reason() == barleystep.ReasonUnknownService:
 		return http.StatusNotFound
-	case r.Reason() == barleystep.ReasonBadKey:
+	case r.Reason() == barleystep.ReasonInvalidKey:
 		return http.StatusUnauthorized
 	case r.Reason() == barleystep.ReasonBodyTooLarge:
 		return http.StatusRequestEntityTooLarge
@@ -196,10 +196,10 @@
 		e = s.Log.Warn().Str("reason", string(reason))
 	}
 	head := x.answer.Head()
-	e.Str("request", x.call.ID).Str("outcome", outcome.String()).Int("status", head.Status()).
+	e.Str("request", x.call.RequestID).Str("outcome", outcome.String()).Int("status", head.Status()).
 		Int("sends", x.sends).Str("target", string(x.target)).Int("helpers", x.helpers).
 		Str("source", string(head.Source())).Bool("sealed", head.Sealed()).
-		Int("prompt", x.call.Prompt).Int("events", x.events)
+		Int("prompt", x.call.PromptTokens).Int("events", x.events)
 	if x.view != nil {
 		e.Int64("configuration", x.view.Version()).Dur("configuration_age", x.age)
 	}
--- a/internal/front/suspect.go
+++ b/internal/front/suspect.go
@@ -86,7 +86,7 @@
 	x := t.exchange
 	marks := t.marks()
 	for _, target := range t.ended(ctx, res) {
-		t.stage.log.Warn().Str("request", x.call.ID).Str("digest", x.identity().String()).Str("account", x.account).
+		t.stage.log.Warn().Str("request", x.call.RequestID).Str("digest", x.identity().String()).Str("account", x.account).
 			Str("target", string(target.ID)).Bool("unread", marks&suspect.Unread != 0).
 			Bool("alone", marks&suspect.Lone != 0).Msg(logPrefix + "A target has ended while it had the request.")
 		end := suspect.NewEnd(uint32(balance.KeyOfTarget(target)), t.stage.clock.Now(), marks)
--- a/internal/front/try.go
+++ b/internal/front/try.go
@@ -137,8 +137,8 @@
 	for i, h := range t.placement.Helpers {
 		ids[i] = h.ID
 	}
-	t.stage.log.Info().Str("request", t.exchange.call.ID).Str("target", string(t.placement.Target.ID)).
-		Strs("helpers", names(ids)).Int("prompt", t.exchange.call.Prompt).Dur("expected", t.placement.Expected()).
+	t.stage.log.Info().Str("request", t.exchange.call.RequestID).Str("target", string(t.placement.Target.ID)).
+		Strs("helpers", names(ids)).Int("prompt", t.exchange.call.PromptTokens).Dur("expected", t.placement.Expected()).
 		Msg(logPrefix + "Several targets read the prompt.")
 }
 
@@ -161,7 +161,7 @@
 // mine reports whether an answer is to this request. One that names no request is not:
 // targets name the request in each answer.
 func (t *try) mine(h http.Header) bool {
-	return t.stage.protocol.Verdict(0, h).ID == t.exchange.call.ID
+	return t.stage.protocol.ReadResponseHead(0, h).RequestID == t.exchange.call.RequestID
 }
 
 // request returns the request as the target gets it.
@@ -176,12 +176,12 @@
 	if _, ok := h["User-Agent"]; !ok {
 		h.Set("User-Agent", "") // An empty one is not sent.
 	}
-	t.stage.protocol.Prepare(h, barleystep.Delivery{
-		Instance:  t.placement.Target.ID,
-		Account:   x.account,
-		TimeLeft:  left,
-		LastEvent: x.last,
-		Helpers:   t.helpers(),
+	t.stage.protocol.SetTargetHeaders(h, barleystep.TargetHeaders{
+		Target:      t.placement.Target.ID,
+		Account:     x.account,
+		TimeLeft:    left,
+		LastEventID: x.last,
+		Helpers:     t.helpers(),
 	})
 	r := &http.Request{
 		Method:        x.r.Method,
@@ -219,22 +219,22 @@
 
 // take judges the head of an answer and relays what may be relayed.
 func (t *try) take(resp *http.Response, w *watch) (result, error) {
-	verdict := t.stage.protocol.Verdict(resp.StatusCode, resp.Header)
-	t.moved = misdirected(resp) && t.helperNamed(verdict.Blamed) == ""
+	verdict := t.stage.protocol.ReadResponseHead(resp.StatusCode, resp.Header)
+	t.moved = misdirected(resp) && t.helperNamed(verdict.RefusedBy) == ""
 	if !t.moved {
 		t.placement.Says(t.placement.Target.ID, verdict.Statement, t.sent)
 	}
-	t.head = reply.FromTarget(t.placement.Target.ID, resp, verdict.Sealed)
+	t.head = reply.FromTarget(t.placement.Target.ID, resp, verdict.HasDigest)
 	if verdict.NotRun {
-		t.blamed = t.helperNamed(verdict.Blamed)
+		t.blamed = t.helperNamed(verdict.RefusedBy)
 		_, err := io.Copy(io.Discard, io.LimitReader(resp.Body, answerBytes))
 		return resultNotRun, err
 	}
 	t.exchange.ran = true
 	switch {
-	case verdict.Encoded:
+	case verdict.Reencoded:
 		return resultBroken, errEncoded
-	case !verdict.Sealed:
+	case !verdict.HasDigest:
 		return resultBroken, errUnsealed
 	case success(resp.StatusCode) && t.exchange.route.Kind == fleet.KindStream:
 		return t.relay(resp, w)
--- a/internal/gate/attempt.go
+++ b/internal/gate/attempt.go
@@ -48,7 +48,7 @@
 			return a.ended(ctx, x, err)
 		}
 		a.meter.Retried(string(retry.reason))
-		d.Avoid = append(d.Avoid, retry.target)
+		d.FailedTargets = append(d.FailedTargets, retry.target)
 		if !clock.Sleep(ctx, a.clock, firstPause<<try) {
 			return a.ended(ctx, x, ctx.Err())
 		}
@@ -58,18 +58,18 @@
 
 func (a *attempt) demand(x *Exchange) barleystep.Demand {
 	d := barleystep.Demand{
-		Account:  x.account.Name,
-		Class:    x.class.Name,
-		Model:    x.prompt.model,
-		Prompt:   x.prompt.tokens,
-		Output:   x.prompt.output,
-		Since:    x.started,
-		Deadline: x.deadline,
-		Prefix:   x.prompt.prefix,
+		Account:         x.account.Name,
+		Class:           x.class.Name,
+		Model:           x.prompt.model,
+		PromptTokens:    x.prompt.tokens,
+		MaxOutputTokens: x.prompt.output,
+		AdmittedAt:      x.started,
+		Deadline:        x.deadline,
+		PrefixHashes:    x.prompt.prefix,
 	}
 	if x.isService() {
 		d.Model = capacity.ServicePool(x.service)
-		d.Output = 1
+		d.MaxOutputTokens = 1
 	}
 	return d
 }
@@ -100,7 +100,7 @@
 	if err = r.run(ctx); err == nil {
 		r.usage.Outcome = barleystep.OutcomeDone
 		x.targetState = barleystep.OutcomeDone
-		a.estimator.Learn(x.prompt.model, x.prompt.textBytes, r.usage.Prompt)
+		a.estimator.Learn(x.prompt.model, x.prompt.textBytes, r.usage.PromptTokens)
 		return nil
 	}
 	if ctx.Err() == nil {
@@ -113,7 +113,7 @@
 func (a *attempt) judge(x *Exchange, r *relay, err error) error {
 	target := r.allotment.Target()
 	if eris.Is(err, barleystep.ErrNotStarted) {
-		r.usage.Full = true
+		r.usage.AtCapacity = true
 		return &retryError{barleystep.ReasonTargetRefused, target, err}
 	}
 	for _, id := range r.allotment.Group() {
@@ -132,10 +132,10 @@
 
 func reasonOf(err error) barleystep.Reason {
 	switch {
-	case eris.Is(err, barleystep.ErrTorn):
-		return barleystep.ReasonTorn
-	case eris.Is(err, barleystep.ErrForeign):
-		return barleystep.ReasonForeign
+	case eris.Is(err, barleystep.ErrBrokenStream):
+		return barleystep.ReasonBrokenStream
+	case eris.Is(err, barleystep.ErrWrongAttempt):
+		return barleystep.ReasonWrongAttempt
 	default:
 		return barleystep.ReasonTargetFailed
 	}
--- a/internal/gate/attempt_test.go
+++ b/internal/gate/attempt_test.go
@@ -83,7 +83,7 @@
 			}
 			u := <-a.released
 			c.Check(u.TargetFailed(), quicktest.Equals, tc.failed)
-			c.Check(u.Full, quicktest.Equals, tc.full)
+			c.Check(u.AtCapacity, quicktest.Equals, tc.full)
 		})
 	}
 }
--- a/internal/gate/authenticate.go
+++ b/internal/gate/authenticate.go
@@ -16,11 +16,11 @@
 func (authenticate) Run(ctx context.Context, x *Exchange, next Next) error {
 	key, ok := strings.CutPrefix(x.r.Header.Get("Authorization"), bearer)
 	if !ok || key == "" {
-		return refuse(barleystep.ReasonNoKey, "Send your key as: Authorization: Bearer KEY.")
+		return refuse(barleystep.ReasonMissingKey, "Send your key as: Authorization: Bearer KEY.")
 	}
 	account, ok := x.view.AccountOfKey(key)
 	if !ok {
-		return refuse(barleystep.ReasonBadKey, "The key is not valid or no longer valid.")
+		return refuse(barleystep.ReasonInvalidKey, "The key is not valid or no longer valid.")
 	}
 	x.account = account
 	return next(ctx, x)
--- a/internal/gate/bench_test.go
+++ b/internal/gate/bench_test.go
@@ -26,12 +26,12 @@
 type fixedAllocator struct{ released chan barleystep.Usage }
 
 // Acquire returns the target at once.
-func (a *fixedAllocator) Acquire(context.Context, barleystep.Demand) (barleystep.Allotment, error) {
-	hooks := barleystep.AllotmentHooks{}
+func (a *fixedAllocator) Acquire(context.Context, barleystep.Demand) (barleystep.Allocation, error) {
+	hooks := barleystep.AllocationHooks{}
 	if a.released != nil {
 		hooks.Release = func(u barleystep.Usage) { a.released <- u }
 	}
-	return barleystep.NewAllotment([]barleystep.TargetID{"e"}, 0, hooks), nil
+	return barleystep.NewAllocation([]barleystep.TargetID{"e"}, 0, hooks), nil
 }
 
 // chunks answers every attempt with a stream of n events, written at once.
--- a/internal/gate/classify.go
+++ b/internal/gate/classify.go
@@ -95,7 +95,7 @@
 	if text := x.r.Header.Get(HeaderTimeLimit); text != "" {
 		d, err := time.ParseDuration(text)
 		if err != nil || d < c.limits.MinTime || d > c.limits.MaxTime {
-			return refuse(barleystep.ReasonBadTimeLimit, fmt.Sprintf(
+			return refuse(barleystep.ReasonTimeLimitOutOfRange, fmt.Sprintf(
 				"%s is %q; it must be a duration from %s to %s.", HeaderTimeLimit, text, c.limits.MinTime, c.limits.MaxTime))
 		}
 		limit = d
@@ -109,7 +109,7 @@
 	x.key = x.r.Header.Get(HeaderIdempotencyKey)
 	x.repeatable = x.r.Header.Get(HeaderRepeatable) != "no"
 	if !x.repeatable && x.key == "" {
-		return refuse(barleystep.ReasonNoIdempotencyKey,
+		return refuse(barleystep.ReasonMissingIdempotencyKey,
 			"A request that must not be repeated needs an "+HeaderIdempotencyKey+".")
 	}
 	return nil
--- a/internal/gate/dispatch.go
+++ b/internal/gate/dispatch.go
@@ -29,7 +29,7 @@
 	stall time.Duration
 }
 
-var errStalled = eris.Wrap(barleystep.ErrTorn, "target sent nothing for too long")
+var errStalled = eris.Wrap(barleystep.ErrBrokenStream, "target sent nothing for too long")
 
 // start sends the attempt, or asks for its events from a number on.
 func (d *dispatch) start(ctx context.Context, r *relay, from uint64) (barleystep.Stream, error) {
@@ -40,15 +40,15 @@
 		return nil, eris.Wrapf(barleystep.ErrNotStarted, "target %s is not configured", target)
 	}
 	return e.Start(ctx, barleystep.Attempt{
-		ID:       r.id,
-		Path:     x.path,
-		Body:     x.prompt.body,
-		Type:     x.r.Header.Get("Content-Type"),
-		Method:   x.r.Method,
-		Deadline: x.deadline,
-		Priority: r.allotment.Priority(),
-		From:     from,
-		Group:    r.allotment.Group(),
+		ID:          r.id,
+		Path:        x.path,
+		Body:        x.prompt.body,
+		ContentType: x.r.Header.Get("Content-Type"),
+		Method:      x.r.Method,
+		Deadline:    x.deadline,
+		Priority:    r.allotment.Priority(),
+		ResumeFrom:  from,
+		Group:       r.allotment.Group(),
 	})
 }
 
--- a/internal/gate/relay.go
+++ b/internal/gate/relay.go
@@ -20,7 +20,7 @@
 type relay struct {
 	stage     *dispatch
 	exchange  *Exchange
-	allotment barleystep.Allotment
+	allotment barleystep.Allocation
 	id        barleystep.AttemptID
 
 	watch *watch
@@ -124,14 +124,14 @@
 // note learns from an event: progress, and the usage that closes an answer.
 func (r *relay) note(e barleystep.Event) {
 	r.watch.expect(r.stage.stall)
-	if r.usage.First == 0 {
-		r.usage.First = max(r.stage.clock.Now().Sub(r.sent), 1)
-		r.allotment.First()
+	if r.usage.TimeToFirstEvent == 0 {
+		r.usage.TimeToFirstEvent = max(r.stage.clock.Now().Sub(r.sent), 1)
+		r.allotment.FirstToken()
 		band := barleystep.BandOf(r.exchange.prompt.tokens)
 		r.stage.meter.FirstToken(band.String(), r.stage.clock.Now().Sub(r.exchange.started))
 	}
 	if bytes.Contains(e.Data(), usageMark) {
-		r.usage.Prompt = int(gjson.GetBytes(e.Data(), "usage.prompt_tokens").Int())
+		r.usage.PromptTokens = int(gjson.GetBytes(e.Data(), "usage.prompt_tokens").Int())
 	}
 }
 
--- a/internal/gate/stop_test.go
+++ b/internal/gate/stop_test.go
@@ -18,10 +18,10 @@
 type fullAllocator struct{ asked chan struct{} }
 
 // Acquire waits until the request is given up.
-func (a *fullAllocator) Acquire(ctx context.Context, _ barleystep.Demand) (barleystep.Allotment, error) {
+func (a *fullAllocator) Acquire(ctx context.Context, _ barleystep.Demand) (barleystep.Allocation, error) {
 	a.asked <- struct{}{}
 	<-ctx.Done()
-	return barleystep.Allotment{}, ctx.Err()
+	return barleystep.Allocation{}, ctx.Err()
 }
 
 // TestEnd checks that all requests are answered when the box ends, by what is known of them.
--- a/internal/gossip/registry_internal_test.go
+++ b/internal/gossip/registry_internal_test.go
@@ -25,7 +25,7 @@
 	return barleystep.NewBatch(s.records, 1), nil
 }
 
-func (*shelf) Follow(context.Context, barleystep.Topic, barleystep.Revision, time.Duration) (barleystep.Batch, error) {
+func (*shelf) Watch(context.Context, barleystep.Topic, barleystep.Revision, time.Duration) (barleystep.Batch, error) {
 	return barleystep.Batch{}, barleystep.ErrUnavailable
 }
 
--- a/internal/gossip/role.go
+++ b/internal/gossip/role.go
@@ -177,7 +177,7 @@
 func (n *Node) settled(now time.Time, source *member) bool {
 	up := now.Sub(n.origin)
 	if source == nil && n.met.IsZero() {
-		return up >= lonePatience+time.Duration(n.Box.Spread()*float64(loneSpread))
+		return up >= lonePatience+time.Duration(n.Box.Jitter()*float64(loneSpread))
 	}
 	if source == nil {
 		return now.Sub(n.met) >= startPatience
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -49,7 +49,7 @@
 func statement(key balance.Key, said balance.Said, now time.Time) *gossipv1.TargetStatement {
 	w := &gossipv1.TargetStatement{Target: uint32(key)}
 	if l := said.Limit; !l.At.IsZero() {
-		w.Limit = &gossipv1.LimitWord{Named: l.Value.Named(), PerSecond: l.Value.PerSecond(), AgeUs: now.Sub(l.At).Microseconds()}
+		w.Limit = &gossipv1.LimitWord{Named: l.Value.IsSet(), PerSecond: l.Value.PerSecond(), AgeUs: now.Sub(l.At).Microseconds()}
 	}
 	if l := said.Leaving; !l.At.IsZero() {
 		w.Leaving = &gossipv1.LeavingWord{Leaving: l.Value, AgeUs: now.Sub(l.At).Microseconds()}
--- a/internal/keeper/clean.go
+++ b/internal/keeper/clean.go
@@ -45,7 +45,7 @@
 // Judge decides whether an attempt is left over. Work of a box that may be
 // alive is never touched before its deadline: that heartbeats are missing is
 // not enough, as the keeper may be the one who is cut off.
-func Judge(w barleystep.Work, p Picture, now time.Time) Reason {
+func Judge(w barleystep.HeldAttempt, p Picture, now time.Time) Reason {
 	if !w.Deadline.IsZero() && now.Sub(w.Deadline) > deadlineGrace {
 		return ReasonDeadline
 	}
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -66,7 +66,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := barleystep.Work{Attempt: tc.attempt.String(), Deadline: tc.deadline}
+			w := barleystep.HeldAttempt{Attempt: tc.attempt.String(), Deadline: tc.deadline}
 			quicktest.Check(t, keeper.Judge(w, tc.picture, start), quicktest.Equals, tc.want)
 		})
 	}
--- a/internal/local/hall_test.go
+++ b/internal/local/hall_test.go
@@ -129,11 +129,11 @@
 		"no prompt":            {chat, header(), `{"model":"reader"}`, 400, barleystep.ReasonEmptyPrompt},
 		"unknown model":        {chat, header(), strings.Replace(question, "reader", "writer", 1), 404, barleystep.ReasonUnknownModel},
 		"unknown class":        {chat, header("Barleystep-Class", "golden"), question, 403, barleystep.ReasonUnknownClass},
-		"missing key":          {chat, http.Header{}, question, 401, barleystep.ReasonNoKey},
-		"stale key":            {chat, header("Authorization", "Bearer old"), question, 401, barleystep.ReasonBadKey},
-		"time limit too long":  {chat, header("Barleystep-Time-Limit", "100h"), question, 400, barleystep.ReasonBadTimeLimit},
-		"time limit unread":    {chat, header("Barleystep-Time-Limit", "soon"), question, 400, barleystep.ReasonBadTimeLimit},
-		"no idempotency key":   {chat, header("Barleystep-Repeatable", "no"), question, 400, barleystep.ReasonNoIdempotencyKey},
+		"missing key":          {chat, http.Header{}, question, 401, barleystep.ReasonMissingKey},
+		"stale key":            {chat, header("Authorization", "Bearer old"), question, 401, barleystep.ReasonInvalidKey},
+		"time limit too long":  {chat, header("Barleystep-Time-Limit", "100h"), question, 400, barleystep.ReasonTimeLimitOutOfRange},
+		"time limit unread":    {chat, header("Barleystep-Time-Limit", "soon"), question, 400, barleystep.ReasonTimeLimitOutOfRange},
+		"no idempotency key":   {chat, header("Barleystep-Repeatable", "no"), question, 400, barleystep.ReasonMissingIdempotencyKey},
 		"unknown service":      {"/v1/services/none/x", header(), "", 404, barleystep.ReasonUnknownService},
 		"longer than anything": {chat, header(), huge, 400, barleystep.ReasonPromptTooLong},
 		"body over the limit":  {chat, header(), strings.Repeat(" ", 16<<20+1), 413, barleystep.ReasonBodyTooLarge},
@@ -251,7 +251,7 @@
 		c.Check(again.body, quicktest.Equals, first.body)
 		c.Check(len(h.Engine(0).Runs())+len(h.Engine(1).Runs()), quicktest.Equals, 1)
 		other := send(t, h.URL(1)+chat, strict, streamed)
-		c.Check(other.reason, quicktest.Equals, string(barleystep.ReasonKeyReused))
+		c.Check(other.reason, quicktest.Equals, string(barleystep.ReasonIdempotencyKeyReused))
 	})
 	t.Run("with the store down only such requests are refused", func(t *testing.T) {
 		c := quicktest.New(t)
@@ -261,7 +261,7 @@
 		down.SetPlan(func(call table.Call) table.Failure { return table.FailureBefore })
 		r := send(t, h.URL(0)+chat, strict, question)
 		c.Check(r.outcome, quicktest.Equals, "not-run")
-		c.Check(r.reason, quicktest.Equals, string(barleystep.ReasonStoreDown))
+		c.Check(r.reason, quicktest.Equals, string(barleystep.ReasonStoreUnavailable))
 		c.Check(send(t, h.URL(0)+chat, header(), question).outcome, quicktest.Equals, "done")
 		c.Check(h.Engine(0).Runs(), quicktest.HasLen, 1)
 	})
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -44,12 +44,12 @@
 		Attempt: toAttempt(d.Attempt),
 		Account: d.Account,
 		Class:   d.Class,
-		Prompt:  uint32(d.Prompt),
-		Output:  uint32(d.Output),
-		AgeMs:   now.Sub(d.Since).Milliseconds(),
+		Prompt:  uint32(d.PromptTokens),
+		Output:  uint32(d.MaxOutputTokens),
+		AgeMs:   now.Sub(d.AdmittedAt).Milliseconds(),
 		LeftMs:  d.Deadline.Sub(now).Milliseconds(),
-		Prefix:  d.Prefix,
-		Avoid:   toTargets(d.Avoid),
+		Prefix:  d.PrefixHashes,
+		Avoid:   toTargets(d.FailedTargets),
 		Weight:  a.Weight,
 		Rank:    int32(a.Rank),
 		Limit:   a.Limit,
@@ -63,16 +63,16 @@
 		Rank:   int(r.GetRank()),
 		Limit:  r.GetLimit(),
 		Demand: barleystep.Demand{
-			Attempt:  fromAttempt(r.GetAttempt()),
-			Account:  r.GetAccount(),
-			Class:    r.GetClass(),
-			Model:    r.GetPool(),
-			Prompt:   int(r.GetPrompt()),
-			Output:   int(r.GetOutput()),
-			Since:    now.Add(-millis(r.GetAgeMs())),
-			Deadline: now.Add(millis(r.GetLeftMs())),
-			Prefix:   r.GetPrefix(),
-			Avoid:    fromTargets(r.GetAvoid()),
+			Attempt:         fromAttempt(r.GetAttempt()),
+			Account:         r.GetAccount(),
+			Class:           r.GetClass(),
+			Model:           r.GetPool(),
+			PromptTokens:    int(r.GetPrompt()),
+			MaxOutputTokens: int(r.GetOutput()),
+			AdmittedAt:      now.Add(-millis(r.GetAgeMs())),
+			Deadline:        now.Add(millis(r.GetLeftMs())),
+			PrefixHashes:    r.GetPrefix(),
+			FailedTargets:   fromTargets(r.GetAvoid()),
 		},
 	}
 }
@@ -229,14 +229,14 @@
 	return &peerv1.Release{
 		Attempt: toAttempt(id),
 		Outcome: u.Outcome.String(),
-		FirstMs: u.First.Milliseconds(),
-		Full:    u.Full,
+		FirstMs: u.TimeToFirstEvent.Milliseconds(),
+		Full:    u.AtCapacity,
 	}
 }
 
 func fromRelease(r *peerv1.Release) barleystep.Usage {
 	outcome, _ := barleystep.ParseOutcome(r.GetOutcome())
-	return barleystep.Usage{Outcome: outcome, First: millis(r.GetFirstMs()), Full: r.GetFull()}
+	return barleystep.Usage{Outcome: outcome, TimeToFirstEvent: millis(r.GetFirstMs()), AtCapacity: r.GetFull()}
 }
 
 func toBeat(b member.Beat) *peerv1.Beat {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -115,7 +115,7 @@
 	now := clock.System{}.Now()
 	return capacity.Ask{Box: "b2", Weight: 1, Limit: 1, Demand: barleystep.Demand{
 		Attempt: barleystep.NewAttemptID("b2", 7, n), Account: "conversia", Class: "normal", Model: pool,
-		Prompt: 20_000, Output: 1_000, Since: now, Deadline: now.Add(time.Hour), Prefix: make([]uint64, 5),
+		PromptTokens: 20_000, MaxOutputTokens: 1_000, AdmittedAt: now, Deadline: now.Add(time.Hour), PrefixHashes: make([]uint64, 5),
 	}}
 }
 
@@ -144,16 +144,16 @@
 			_, err = endpoint.Ask(ctx, pool, ask(3))
 			c.Check(err, quicktest.IsNotNil)
 			for n := uint64(1); n <= 3; n++ {
-				c.Assert(endpoint.Release(t.Context(), pool, ask(n).Demand.Attempt, barleystep.Usage{Outcome: barleystep.OutcomeDone, First: 1}), quicktest.IsNil)
+				c.Assert(endpoint.Release(t.Context(), pool, ask(n).Demand.Attempt, barleystep.Usage{Outcome: barleystep.OutcomeDone, TimeToFirstEvent: 1}), quicktest.IsNil)
 			}
 			credits, err := endpoint.Report(t.Context(), pool, capacity.Report{Box: "b2", Wanted: 1_000})
 			c.Assert(err, quicktest.IsNil)
 			c.Assert(credits.Credits, quicktest.HasLen, 1)
 			c.Check(credits.Credits[0].Target, quicktest.Equals, barleystep.TargetID("e1"))
 			late := ask(4)
-			late.Demand.Deadline = late.Demand.Since
+			late.Demand.Deadline = late.Demand.AdmittedAt
 			_, err = endpoint.Ask(t.Context(), pool, late)
-			c.Check(barleystep.AsRefusal(err).Reason(), quicktest.Equals, barleystep.ReasonCannotMeet)
+			c.Check(barleystep.AsRefusal(err).Reason(), quicktest.Equals, barleystep.ReasonDeadlineCannotBeMet)
 		})
 	}
 }
@@ -246,7 +246,7 @@
 		_, err := endpoint.Ask(ctx, pool, a)
 		quicktest.Assert(b, err, quicktest.IsNil)
 		_ = endpoint.First(ctx, pool, a.Demand.Attempt)
-		_ = endpoint.Release(ctx, pool, a.Demand.Attempt, barleystep.Usage{Outcome: barleystep.OutcomeDone, First: 1})
+		_ = endpoint.Release(ctx, pool, a.Demand.Attempt, barleystep.Usage{Outcome: barleystep.OutcomeDone, TimeToFirstEvent: 1})
 	}
 	report := func(uint64) {
 		_, err := endpoint.Report(ctx, pool, capacity.Report{Box: "b2", Uses: []capacity.Use{{Target: "e1", Running: 1, Reading: 5_000}}})
--- a/internal/plane/limit_test.go
+++ b/internal/plane/limit_test.go
@@ -162,10 +162,10 @@
 	defer p.mu.Unlock()
 	now := b.day.elapsed()
 	limit := p.traffic.limit(target, now)
-	if limit.Named() && p.first[target] == 0 {
+	if limit.IsSet() && p.first[target] == 0 {
 		p.first[target] = now
 	}
-	if _, told := p.told[target][b]; limit.Named() && !told {
+	if _, told := p.told[target][b]; limit.IsSet() && !told {
 		p.told[target][b] = now
 	}
 	return limit
@@ -224,7 +224,7 @@
 	sum := 0.0
 	for at := max(from, 0); at < until; at += step {
 		perSecond := float64(boundless)
-		if l := p.traffic.limit(target, at); l.Named() {
+		if l := p.traffic.limit(target, at); l.IsSet() {
 			perSecond = l.PerSecond()
 		}
 		sum += perSecond * step.Seconds()
--- a/internal/plane/plane.go
+++ b/internal/plane/plane.go
@@ -78,7 +78,7 @@
 		Within:    p.Within,
 		Duty:      p.duty,
 		Boxes:     p.node.HallBoxes,
-		Spread:    p.Box.Spread(),
+		Spread:    p.Box.Jitter(),
 		Peers:     &gossip.Client{HTTP: p.HTTP},
 	}
 	p.followers[topic] = f
--- a/internal/plane/store_test.go
+++ b/internal/plane/store_test.go
@@ -144,7 +144,7 @@
 }
 
 // Follow waits for changes of the topic.
-func (c *client) Follow(ctx context.Context, topic barleystep.Topic, since barleystep.Revision, wait time.Duration) (barleystep.Batch, error) {
+func (c *client) Watch(ctx context.Context, topic barleystep.Topic, since barleystep.Revision, wait time.Duration) (barleystep.Batch, error) {
 	if err := c.enter(ctx, "follow "+topic.String()); err != nil {
 		return barleystep.Batch{}, err
 	}
--- a/internal/router/observe.go
+++ b/internal/router/observe.go
@@ -108,7 +108,7 @@
 	if belief.Down {
 		states = append(states, "down")
 	}
-	if belief.Said.Limit.Value.Named() {
+	if belief.Said.Limit.Value.IsSet() {
 		states = append(states, "limited, "+source(belief.Said.Limit == belief.HeardHere.Limit))
 	}
 	if belief.Said.Leaving.Value {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -169,13 +169,13 @@
 	}
 }
 
-func (e *Engine) list() []barleystep.Work {
+func (e *Engine) list() []barleystep.HeldAttempt {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	work := []barleystep.Work{}
+	work := []barleystep.HeldAttempt{}
 	for id, h := range e.attempts {
 		if h.ended.IsZero() {
-			work = append(work, barleystep.Work{Attempt: id, Tokens: h.tokens, Deadline: h.deadline})
+			work = append(work, barleystep.HeldAttempt{Attempt: id, Tokens: h.tokens, Deadline: h.deadline})
 		}
 	}
 	return work
--- a/internal/suspect/archive_test.go
+++ b/internal/suspect/archive_test.go
@@ -41,7 +41,7 @@
 	return barleystep.NewBatch(list, 1), s.call()
 }
 
-func (*shelf) Follow(context.Context, barleystep.Topic, barleystep.Revision, time.Duration) (barleystep.Batch, error) {
+func (*shelf) Watch(context.Context, barleystep.Topic, barleystep.Revision, time.Duration) (barleystep.Batch, error) {
 	return barleystep.Batch{}, barleystep.ErrUnavailable
 }
 
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -199,15 +199,15 @@
 // demand returns the request as the decision packages take it.
 func (r *request) demand(id barleystep.AttemptID) barleystep.Demand {
 	return barleystep.Demand{
-		Attempt:  id,
-		Account:  r.account,
-		Class:    r.class,
-		Model:    "model",
-		Prompt:   r.prompt,
-		Output:   r.output,
-		Since:    timeline.At(r.at),
-		Deadline: timeline.At(r.at + r.limit),
-		Prefix:   r.prefixes(),
-		Avoid:    r.avoid,
+		Attempt:         id,
+		Account:         r.account,
+		Class:           r.class,
+		Model:           "model",
+		PromptTokens:    r.prompt,
+		MaxOutputTokens: r.output,
+		AdmittedAt:      timeline.At(r.at),
+		Deadline:        timeline.At(r.at + r.limit),
+		PrefixHashes:    r.prefixes(),
+		FailedTargets:   r.avoid,
 	}
 }
--- a/internal/trial/ours.go
+++ b/internal/trial/ours.go
@@ -128,7 +128,7 @@
 		u.Outcome = barleystep.OutcomeFailed
 	}
 	if a.started {
-		u.First = 1
+		u.TimeToFirstEvent = 1
 	}
 	o.holders[a.request.box].End(a.id, u)
 	if !o.granted[a.id] || o.down {
--- a/ratelimit.go
+++ b/ratelimit.go
@@ -13,7 +13,7 @@
 }
 
 // Named reports whether there is a limit.
-func (l RateLimit) Named() bool { return l.named }
+func (l RateLimit) IsSet() bool { return l.named }
 
 // PerSecond returns the limit in requests a second, zero if none is named.
 func (l RateLimit) PerSecond() float64 { return l.perSecond }
--- a/target.go
+++ b/target.go
@@ -13,10 +13,10 @@
 
 // ErrTorn is returned when a stream ends, skips or repeats in a way that the
 // protocol does not allow. It may be resumed.
-var ErrTorn = eris.New("barleystep: torn stream")
+var ErrBrokenStream = eris.New("barleystep: torn stream")
 
 // ErrForeign is returned when a target answers with another attempt's id.
-var ErrForeign = eris.New("barleystep: answer of another attempt")
+var ErrWrongAttempt = eris.New("barleystep: answer of another attempt")
 
 // Event is one numbered piece of an answer. Numbers of one attempt start at 1
 // and have no gaps.
@@ -70,7 +70,7 @@
 }
 
 // Work is one attempt that an engine holds memory for.
-type Work struct {
+type HeldAttempt struct {
 	Attempt string `json:"attempt"`
 	Tokens  int    `json:"tokens"`
 	// Deadline is that of the attempt, zero if the engine does not know it.
@@ -96,7 +96,7 @@
 	// Load returns the latest report.
 	Load(ctx context.Context) (Load, error)
 	// List returns the attempts for which the engine holds memory.
-	List(ctx context.Context) ([]Work, error)
+	List(ctx context.Context) ([]HeldAttempt, error)
 	// Order gives an order. It returns ErrConflict if the target refuses the
 	// fencing token, and ErrUnknownEffect if the answer was lost.
 	Order(ctx context.Context, o Order) error
