--- a/cmd/barleystep-soak/main.go
+++ b/cmd/barleystep-soak/main.go
@@ -113,9 +113,9 @@
 		return soak.RunTarget(cmd.Context(), t)
 	}}
 	cmd.Flags().StringVar(&t.ID, "id", "t", "its instance")
-	cmd.Flags().IntVar(&t.Memory, "memory", 0, "its memory in tokens")
+	cmd.Flags().IntVar(&t.MemoryTokens, "memory", 0, "its memory in tokens")
 	cmd.Flags().Uint64Var(&t.Seed, "seed", 1, "what spoilt answers are drawn from")
-	cmd.Flags().DurationVar(&t.Pause, "pause", 0, "the time between events")
+	cmd.Flags().DurationVar(&t.EventInterval, "pause", 0, "the time between events")
 	return cmd
 }
 
--- a/internal/router/foreign_test.go
+++ b/internal/router/foreign_test.go
@@ -24,13 +24,13 @@
 			r := newRig(t, 2)
 			server := httptest.NewServer(r.target)
 			t.Cleanup(server.Close)
-			r.store.TurnAway("b1")
+			r.store.RefuseBox("b1")
 			for i := range r.callers {
 				status, _ := r.ask(t, i, "/a/x", "k1")
 				quicktest.Assert(t, status, quicktest.Equals, http.StatusOK)
 			}
 			addr := server.Listener.Addr().String()
-			entry := platformtest.Entry("app", addr, "h", 1, "ready")
+			entry := platformtest.ServerRecord("app", addr, "h", 1, "ready")
 			spoil(entry)
 			r.store.Put("servers", "i-1", entry)
 			for i := range r.callers {
--- a/internal/router/restart_test.go
+++ b/internal/router/restart_test.go
@@ -31,7 +31,7 @@
 	server.Start()
 	t.Cleanup(server.Close)
 	addr := server.Listener.Addr().String()
-	r.store.StartServer("i-2", "app", addr, firstBorn)
+	r.store.PutRestartedServer("i-2", "app", addr, firstBorn)
 	r.store.Remove("servers", "i-1")
 	ask := func() bool {
 		status, _ := r.ask(t, 0, "/a/x", "k1")
@@ -42,6 +42,6 @@
 		c.Check(ask(), quicktest.IsTrue)
 	}
 	c.Check(opened.Load(), quicktest.Equals, int32(1))
-	r.store.StartServer("i-2", "app", addr, secondBorn)
+	r.store.PutRestartedServer("i-2", "app", addr, secondBorn)
 	eventually(t, func() bool { return ask() && opened.Load() == 2 })
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -129,7 +129,7 @@
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, r.callers[i]+path, strings.NewReader("body"))
 	quicktest.Assert(t, err, quicktest.IsNil)
 	req.Host = "h"
-	platformtest.SetCaller(req.Header, id, key)
+	platformtest.SetCallerHeaders(req.Header, id, key)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return nil
@@ -173,7 +173,7 @@
 		status, _ := r.ask(t, i, "/a/x", "k1")
 		quicktest.Assert(t, status, quicktest.Equals, http.StatusOK)
 	}
-	r.store.TurnAway("b1")
+	r.store.RefuseBox("b1")
 	r.configure(2, "k2")
 	eventually(t, func() bool {
 		status, _ := r.ask(t, 1, "/a/x", "k1")
--- a/internal/router/statement_test.go
+++ b/internal/router/statement_test.go
@@ -20,17 +20,17 @@
 	r.store.PutServer("i-2", "app", server.Listener.Addr().String())
 	eventually(t, func() bool {
 		status, _ := r.ask(t, 0, "/a/x", "k1")
-		return status == http.StatusOK && target.Arrivals() > 0
+		return status == http.StatusOK && target.ArrivalCount() > 0
 	})
 	return target
 }
 
 // hear asks until the target has got one more request, whose answer is passed on.
 func (r *rig) hear(t *testing.T, target *platformtest.Server) {
-	before := target.Arrivals()
+	before := target.ArrivalCount()
 	eventually(t, func() bool {
 		r.ask(t, 0, "/a/x", "k1")
-		return target.Arrivals() > before
+		return target.ArrivalCount() > before
 	})
 }
 
@@ -53,9 +53,9 @@
 				r.second(t)
 				want = http.StatusOK
 			}
-			r.target.Leave()
+			r.target.SetLeaving()
 			r.hear(t, r.target)
-			after := r.target.Arrivals()
+			after := r.target.ArrivalCount()
 			for i := range times {
 				status, _ := r.ask(t, 0, "/a/x", "k1")
 				c.Check(status, quicktest.Equals, want)
@@ -63,7 +63,7 @@
 					r.store.PutServer("i-1", "app", r.addr)
 				}
 			}
-			c.Check(r.target.Arrivals(), quicktest.Equals, after)
+			c.Check(r.target.ArrivalCount(), quicktest.Equals, after)
 		})
 	}
 }
@@ -89,21 +89,21 @@
 		c := quicktest.New(t)
 		r := newRig(t, 1)
 		r.second(t)
-		r.target.Rest(strconv.Itoa(long))
+		r.target.SetRest(strconv.Itoa(long))
 		r.hear(t, r.target)
-		after := r.target.Arrivals()
+		after := r.target.ArrivalCount()
 		for range times {
 			status, _ := r.ask(t, 0, "/a/x", "k1")
 			c.Check(status, quicktest.Equals, http.StatusOK)
 		}
-		c.Check(r.target.Arrivals(), quicktest.Equals, after)
+		c.Check(r.target.ArrivalCount(), quicktest.Equals, after)
 	})
 	t.Run("alone, refused", func(t *testing.T) {
 		c := quicktest.New(t)
 		r := newRig(t, 1)
-		r.target.Rest(strconv.Itoa(long))
+		r.target.SetRest(strconv.Itoa(long))
 		r.hear(t, r.target)
-		after := r.target.Arrivals()
+		after := r.target.ArrivalCount()
 		for range times {
 			resp := r.answer(t, 0, "/a/x", "k1", "r1")
 			c.Check(resp.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
@@ -111,17 +111,17 @@
 			c.Check(err, quicktest.IsNil)
 			c.Check(seconds > leastEnd.Seconds() && seconds <= long+spread.Seconds(), quicktest.IsTrue, quicktest.Commentf("%v", seconds))
 		}
-		c.Check(r.target.Arrivals(), quicktest.Equals, after)
+		c.Check(r.target.ArrivalCount(), quicktest.Equals, after)
 	})
 	t.Run("alone, waits", func(t *testing.T) {
 		c := quicktest.New(t)
 		r := newRig(t, 1)
-		r.target.Rest("0.6")
+		r.target.SetRest("0.6")
 		r.hear(t, r.target)
-		r.target.Rest("")
-		after := r.target.Arrivals()
+		r.target.SetRest("")
+		after := r.target.ArrivalCount()
 		status, _ := r.ask(t, 0, "/a/x", "k1")
 		c.Check(status, quicktest.Equals, http.StatusOK)
-		c.Check(r.target.Arrivals(), quicktest.Equals, after+1)
+		c.Check(r.target.ArrivalCount(), quicktest.Equals, after+1)
 	})
 }
--- a/internal/router/stop_test.go
+++ b/internal/router/stop_test.go
@@ -26,11 +26,11 @@
 	}))
 	t.Cleanup(engine.Close)
 	t.Cleanup(func() { close(over) }) // Before the engine is closed, which waits for its requests.
-	r.store.PutSettings(platformtest.Settings{
+	r.store.PutServices(platformtest.ServicesConfiguration{
 		Version: 1, Host: "h", TimeLimit: time.Hour, Objective: time.Hour,
-		Routes:  []platformtest.Route{{Name: "r", Prefix: "/stream/", Kind: "streaming", Service: "lm"}},
-		Tenants: []platformtest.Tenant{{Name: "tenant", Key: "k1"}},
-		Engine:  "lm", Plain: "app", EngineSlots: 1, EngineMemory: 100_000,
+		Routes:        []platformtest.Route{{Name: "r", Prefix: "/stream/", Kind: "streaming", Service: "lm"}},
+		Tenants:       []platformtest.Tenant{{Name: "tenant", Key: "k1"}},
+		EngineService: "lm", PlainService: "app", EngineSlots: 1, EngineTokens: 100_000,
 	})
 	r.store.PutEngine("i-1", "lm", engine.Listener.Addr().String(), 1)
 	r.start(t, 0, storeServer.URL, grace)
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -93,7 +93,7 @@
 		x.Body = strings.Repeat("long body ", longBody/10)
 	}
 	if c.deadly() && c.deadlyRand.IntN(deadlyEvery) == 0 {
-		x.Kind, x.Path, x.Key, x.Body = KindAgain, "/again/", deadlyKey, platformtest.DeadlyBody
+		x.Kind, x.Path, x.Key, x.Body = KindAgain, "/again/", deadlyKey, platformtest.CrashBody
 	}
 	return x
 }
@@ -124,12 +124,12 @@
 	}
 	req.Host = host
 	req.GetBody = nil // The transport must not send it again.
-	platformtest.SetCaller(req.Header, x.ID, x.Key)
+	platformtest.SetCallerHeaders(req.Header, x.ID, x.Key)
 	prompt := shortPrompt
 	if x.Kind == KindStream && c.rand.IntN(c.load.giantEvery) == 0 {
 		prompt = giantPrompt
 	}
-	platformtest.SetPrompt(req.Header, prompt, x.Limit)
+	platformtest.SetPromptHeaders(req.Header, prompt, x.Limit)
 	resp, err := c.client.Do(req)
 	if err == nil {
 		defer resp.Body.Close()
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -102,10 +102,10 @@
 
 // answer checks that an answer is the request's own, of one source, and whole.
 func (c *check) answer(x *Call) {
-	if got := platformtest.RequestOf(x.Header); got != x.ID {
+	if got := platformtest.RequestID(x.Header); got != x.ID {
 		c.find("own answer", x.ID, "the answer names %q", got)
 	}
-	seal, sealed := platformtest.ReadSeal(x.Header)
+	seal, sealed := platformtest.ReadDigest(x.Header)
 	switch {
 	case x.Broken && c.killed(x): // It was cut in the midst, and looks it.
 	case !sealed && x.Status < http.StatusBadRequest:
@@ -128,8 +128,8 @@
 	}
 }
 
-func (c *check) whole(x *Call, seal platformtest.Seal) {
-	want := strings.Join(platformtest.Parts(x.ID, seal, x.Path, ""), "")
+func (c *check) whole(x *Call, seal platformtest.Digest) {
+	want := strings.Join(platformtest.AnswerParts(x.ID, seal, x.Path, ""), "")
 	if x.Broken || x.Answer != want {
 		c.find("whole answer", x.ID, "broken: %t, %d of %d bytes", x.Broken, len(x.Answer), len(want))
 	}
@@ -157,10 +157,10 @@
 		c.find("unchanged", a.Request, "no caller sent what reached %s", a.Target)
 		return
 	}
-	if want := http.MethodPost + " " + x.Path; a.Line != want || a.Body != x.Body {
-		c.find("unchanged", a.Request, "%s got %q", a.Target, a.Line)
+	if want := http.MethodPost + " " + x.Path; a.RequestLine != want || a.Body != x.Body {
+		c.find("unchanged", a.Request, "%s got %q", a.Target, a.RequestLine)
 	}
-	if a.Key {
+	if a.HasKey {
 		c.find("keys stay", a.Request, "%s got the caller's key", a.Target)
 	}
 	if want := c.history.tenants[x.Key]; a.Tenant != want {
--- a/internal/soak/check_deadly.go
+++ b/internal/soak/check_deadly.go
@@ -24,7 +24,7 @@
 func (c *check) deadly(calls map[string]*Call) {
 	var ends []platformtest.Arrival
 	for _, a := range c.history.arrivals {
-		if a.Body == platformtest.DeadlyBody && a.Run > 0 {
+		if a.Body == platformtest.CrashBody && a.Run > 0 {
 			ends = append(ends, a)
 		}
 	}
--- a/internal/soak/check_statement.go
+++ b/internal/soak/check_statement.go
@@ -45,7 +45,7 @@
 		if told && x.Started.After(at.Add(leaveBound)) && !c.stoodStill(x, at) {
 			c.find("leaving targets", a.Request, "%s got it, sent %s after its word was passed on", a.Target, x.Started.Sub(at))
 		}
-		seal, sealed := platformtest.ReadSeal(x.Header)
+		seal, sealed := platformtest.ReadDigest(x.Header)
 		if a.Leaving && !told && x.Status == http.StatusOK && sealed && seal.Target == a.Target {
 			passed[life] = x.Ended
 		}
--- a/internal/soak/check_targets_test.go
+++ b/internal/soak/check_targets_test.go
@@ -56,7 +56,7 @@
 			}
 			for i, s := range append(slices.Clone(first), tc.later...) {
 				x := change(refused(soak.KindAgain, http.StatusBadGateway), func(x *soak.Call) {
-					x.ID, x.Box, x.Life, x.Body = string(rune('a'+i)), s.box, s.life, platformtest.DeadlyBody
+					x.ID, x.Box, x.Life, x.Body = string(rune('a'+i)), s.box, s.life, platformtest.CrashBody
 					x.Started, x.Ended = at(s.at), at(s.at+time.Second)
 					x.Header = answered(x.ID, "")
 				})
@@ -137,7 +137,7 @@
 			}
 			for i, when := range tc.ends {
 				x := change(refused(soak.KindAgain, http.StatusBadGateway), func(x *soak.Call) {
-					x.ID, x.Box, x.Life, x.Body = string(rune('a'+i)), []string{"b0", "b1"}[i%2], 1, platformtest.DeadlyBody
+					x.ID, x.Box, x.Life, x.Body = string(rune('a'+i)), []string{"b0", "b1"}[i%2], 1, platformtest.CrashBody
 					if when > 20*second {
 						x.Life = 2
 					}
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -18,13 +18,13 @@
 func at(d time.Duration) time.Time { return start.Add(d) }
 
 // seal is that of the first run of a target.
-func seal(status int) platformtest.Seal {
-	return platformtest.Seal{Target: "t0", Run: 1, Status: status}
+func seal(status int) platformtest.Digest {
+	return platformtest.Digest{Target: "t0", Run: 1, Status: status}
 }
 
 func answered(request, seal string) http.Header {
 	h := http.Header{}
-	platformtest.SetAnswer(h, request, seal)
+	platformtest.SetAnswerHeaders(h, request, seal)
 	return h
 }
 
@@ -35,7 +35,7 @@
 		Limit: 4 * time.Second, Started: at(sent), Ended: at(sent + time.Second), Status: http.StatusOK,
 		Header: answered("r1", seal(http.StatusOK).String()),
 	}
-	x.Answer = strings.Join(platformtest.Parts(x.ID, seal(http.StatusOK), x.Path, ""), "")
+	x.Answer = strings.Join(platformtest.AnswerParts(x.ID, seal(http.StatusOK), x.Path, ""), "")
 	return x
 }
 
@@ -49,7 +49,7 @@
 
 // arrival is what reached a target of such a call.
 func arrival(x soak.Call, run int) platformtest.Arrival {
-	return platformtest.Arrival{Request: x.ID, Target: "t0", Run: run, Tenant: "tenant", Line: "POST " + x.Path, Body: x.Body, At: x.Started}
+	return platformtest.Arrival{Request: x.ID, Target: "t0", Run: run, Tenant: "tenant", RequestLine: "POST " + x.Path, Body: x.Body, At: x.Started}
 }
 
 func change(x soak.Call, f func(*soak.Call)) soak.Call {
@@ -223,7 +223,7 @@
 		},
 		"never sent": {call: once, arrivals: []platformtest.Arrival{arrival(change(once, func(x *soak.Call) { x.ID = "r9" }), 1)}, found: "unchanged"},
 		"key passed on": {
-			call: once, arrivals: []platformtest.Arrival{func() platformtest.Arrival { a := arrival(once, 1); a.Key = true; return a }()}, found: "keys stay",
+			call: once, arrivals: []platformtest.Arrival{func() platformtest.Arrival { a := arrival(once, 1); a.HasKey = true; return a }()}, found: "keys stay",
 		},
 		"another account": {
 			call: once, arrivals: []platformtest.Arrival{func() platformtest.Arrival { a := arrival(once, 1); a.Tenant = "x"; return a }()}, found: "client accounts",
--- a/internal/soak/child.go
+++ b/internal/soak/child.go
@@ -18,12 +18,12 @@
 
 // order is a line to a stand-in's process. It carries one order.
 type order struct {
-	Number int                            `json:"number"`
-	Spoils map[platformtest.Spoil]float64 `json:"spoils,omitempty"`
-	Put    *record                        `json:"put,omitempty"`
-	Remove *record                        `json:"remove,omitempty"`
-	Fault  string                         `json:"fault,omitempty"`
-	Forget bool                           `json:"forget,omitempty"`
+	Number int                                  `json:"number"`
+	Spoils map[platformtest.TargetFault]float64 `json:"spoils,omitempty"`
+	Put    *record                              `json:"put,omitempty"`
+	Remove *record                              `json:"remove,omitempty"`
+	Fault  string                               `json:"fault,omitempty"`
+	Forget bool                                 `json:"forget,omitempty"`
 	// Says is what a target is to say of itself from now on.
 	Says *statement `json:"says,omitempty"`
 }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -186,7 +186,7 @@
 	case ActionTerm, ActionKill, ActionFreeze, ActionReload:
 		e.Index = r.IntN(boxes)
 	case ActionSpoil:
-		e.Detail = string(platformtest.Spoils[r.IntN(len(platformtest.Spoils))])
+		e.Detail = string(platformtest.TargetFaults[r.IntN(len(platformtest.TargetFaults))])
 		e.Share = leastShare + (mostShare-leastShare)*r.Float64()
 	case ActionForeign:
 		e.Detail = foreignNames[r.IntN(len(foreignNames))]
--- a/internal/soak/slot.go
+++ b/internal/soak/slot.go
@@ -22,7 +22,7 @@
 	born   time.Time // born is when the process started.
 	child  *child
 	link   *link
-	spoils map[platformtest.Spoil]float64
+	spoils map[platformtest.TargetFault]float64
 }
 
 // start starts a process in the slot and has it announced.
@@ -69,7 +69,7 @@
 
 // entry is what the target says of itself in the store.
 func (t *slot) entry(state string) map[string]any {
-	e := platformtest.Entry(t.service, t.link.addr(), fmt.Sprintf("h%d", t.number%2), t.soak.load().slots, state)
+	e := platformtest.ServerRecord(t.service, t.link.addr(), fmt.Sprintf("h%d", t.number%2), t.soak.load().slots, state)
 	e["born"] = t.born.UnixMilli()
 	return e
 }
@@ -112,9 +112,9 @@
 	case ActionForeign:
 		t.foreign(ctx, e.Detail, max(e.For, foreignTime))
 	case ActionSpoil:
-		t.spoil(platformtest.Spoil(e.Detail), e.Share)
+		t.spoil(platformtest.TargetFault(e.Detail), e.Share)
 		t.soak.sleep(ctx, e.For)
-		t.spoil(platformtest.Spoil(e.Detail), -e.Share)
+		t.spoil(platformtest.TargetFault(e.Detail), -e.Share)
 	case ActionReset:
 		l.resetAll()
 	case ActionSilence:
@@ -203,7 +203,7 @@
 }
 
 // spoil adds to the share of answers that are spoilt in one way.
-func (t *slot) spoil(way platformtest.Spoil, share float64) {
+func (t *slot) spoil(way platformtest.TargetFault, share float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.spoils[way] = max(t.spoils[way]+share, 0)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -88,7 +88,7 @@
 
 func (s *Soak) startTargets(ctx context.Context) error {
 	for i := range s.allTargets() {
-		t := &slot{soak: s, number: i, service: engineService, spoils: make(map[platformtest.Spoil]float64)}
+		t := &slot{soak: s, number: i, service: engineService, spoils: make(map[platformtest.TargetFault]float64)}
 		if i >= s.Targets {
 			t.service = plainService
 		}
@@ -150,9 +150,9 @@
 		tenants = append(tenants, platformtest.Tenant{Name: s.history.tenants[key], Key: key})
 	}
 	l := s.load()
-	value := platformtest.Settings{
+	value := platformtest.ServicesConfiguration{
 		Version: s.version, Host: host, Routes: routes, Tenants: tenants, TimeLimit: l.timeLimit, Objective: l.objective,
-		Engine: engineService, Plain: plainService, EngineSlots: l.slots, EngineMemory: engineMemory,
+		EngineService: engineService, PlainService: plainService, EngineSlots: l.slots, EngineTokens: engineMemory,
 	}.Value()
 	s.store.give(order{Put: &record{Table: "op", Key: "config", Value: value}})
 }
--- a/internal/soak/standin.go
+++ b/internal/soak/standin.go
@@ -54,19 +54,19 @@
 	}
 	context.AfterFunc(ctx, func() { _ = l.Close() })
 	out := newOutput()
-	t.Note = func(a platformtest.Arrival) { out.tell(report{Arrival: &a}) }
-	t.End = func() { os.Exit(1) }
+	t.OnArrival = func(a platformtest.Arrival) { out.tell(report{Arrival: &a}) }
+	t.Crash = func() { os.Exit(1) }
 	t.Born = t.Clock.Now().UnixNano()
 	out.tell(report{Addr: l.Addr().String()})
 	go func() { _ = t.Serve(l) }() // It ends with the process.
 	return serveOrders(out, func(o order) int {
 		if o.Spoils != nil {
-			t.SetSpoils(o.Spoils)
+			t.SetFaults(o.Spoils)
 		}
 		if o.Says != nil {
 			t.SetStatement(o.Says.Leaving, o.Says.Rest)
 		}
-		return t.Held()
+		return t.HeldTokens()
 	})
 }
 
@@ -100,7 +100,7 @@
 	case o.Remove != nil:
 		s.Remove(o.Remove.Table, o.Remove.Key)
 	case o.Forget:
-		s.Forget()
+		s.DropHistory()
 	case o.Fault != "":
 		s.SetFault(faultsByName[o.Fault])
 	}
@@ -110,6 +110,6 @@
 	"none":  platformtest.FaultNone,
 	"busy":  platformtest.FaultBusy,
 	"reset": platformtest.FaultReset,
-	"lost":  platformtest.FaultLost,
+	"lost":  platformtest.FaultNoAnswer,
 	"hang":  platformtest.FaultHang,
 }
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -35,7 +35,7 @@
 var storeFaults = map[table.Failure]platformtest.Fault{
 	table.FailureNone:   platformtest.FaultNone,
 	table.FailureBefore: platformtest.FaultBusy,
-	table.FailureAfter:  platformtest.FaultLost,
+	table.FailureAfter:  platformtest.FaultNoAnswer,
 	table.FailureLost:   platformtest.FaultReset,
 	table.FailureHang:   platformtest.FaultHang,
 }
@@ -57,10 +57,10 @@
 			}
 			return client, func(plan func(write bool) table.Failure) {
 				if plan == nil {
-					p.SetPlan(nil)
+					p.SetFaultFunc(nil)
 					return
 				}
-				p.SetPlan(func(kind string) platformtest.Fault { return storeFaults[plan(kind == "rows-tx")] })
+				p.SetFaultFunc(func(kind string) platformtest.Fault { return storeFaults[plan(kind == "rows-tx")] })
 			}
 		},
 		"group": func() (barleystep.Table, planner) {
