--- a/internal/box/entry.go
+++ b/internal/box/entry.go
@@ -186,8 +186,8 @@
 	c := e.Settings.Capacity
 	return capacity.Settings{
 		Window:      time.Duration(c.Window),
-		LongPart:    c.LongPart,
-		ShortMemory: c.ShortMemory,
+		LongPart:    c.LongShare,
+		ShortMemory: c.ShortMemoryShare,
 		Interval:    time.Duration(c.Interval),
 	}
 }
@@ -239,8 +239,8 @@
 		Claims:        b,
 		Meter:         e.meter,
 		Log:           e.Log,
-		Limits:        gate.Limits{Body: l.Body, MinTime: time.Duration(l.MinTime), MaxTime: time.Duration(l.MaxTime)},
-		Stall:         time.Duration(l.Stall),
+		Limits:        gate.Limits{Body: l.MaxBody, MinTime: time.Duration(l.MinTime), MaxTime: time.Duration(l.MaxTime)},
+		Stall:         time.Duration(l.StallTimeout),
 	}
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -109,7 +109,7 @@
 		Log:      r.Log,
 		Suspects: &suspect.Book{Clock: r.Clock, Log: r.Log},
 	}
-	r.balancer.LongestRest = time.Duration(s.Limits.Rest)
+	r.balancer.LongestRest = time.Duration(s.Limits.MaxRest)
 	r.plane = &plane.Plane{
 		Clock:         r.Clock,
 		Box:           barleystep.BoxID(s.Box.ID),
@@ -117,7 +117,7 @@
 		Addr:          s.Listen.Peers,
 		Seeds:         s.Peers.Seeds,
 		Catalogue:     r.Catalogue,
-		Within:        time.Duration(s.Platform.Within),
+		Within:        time.Duration(s.Platform.MaxDelay),
 		Strength:      s.Box.Strength(),
 		HTTP:          &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: peerConnections}},
 		Configuration: r.configuration,
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -35,13 +35,13 @@
 	}
 	c.url("platform.url", s.Platform.URL)
 	c.positive("platform.timeout", s.Platform.Timeout)
-	c.positive("platform.within", s.Platform.Within)
+	c.positive("platform.within", s.Platform.MaxDelay)
 	c.amount("box.cores", s.Box.Cores)
 	c.amount("box.link_mbit", s.Box.LinkMbit)
 	c.limits(s.Limits)
 	c.peers(s)
-	c.part("capacity.long_part", s.Capacity.LongPart)
-	c.part("capacity.short_memory", s.Capacity.ShortMemory)
+	c.part("capacity.long_part", s.Capacity.LongShare)
+	c.part("capacity.short_memory", s.Capacity.ShortMemoryShare)
 	c.positive("capacity.interval", s.Capacity.Interval)
 	c.positive("capacity.window", s.Capacity.Window)
 	c.operators(s.Admin.Operators)
@@ -96,13 +96,13 @@
 }
 
 func (c *checker) limits(l Limits) {
-	if l.Body < 0 {
-		c.add("limits.body", l.Body, "a number of bytes above 0")
+	if l.MaxBody < 0 {
+		c.add("limits.body", l.MaxBody, "a number of bytes above 0")
 	}
 	c.positive("limits.min_time", l.MinTime)
 	c.positive("limits.max_time", l.MaxTime)
-	c.positive("limits.stall", l.Stall)
-	c.positive("limits.rest", l.Rest)
+	c.positive("limits.stall", l.StallTimeout)
+	c.positive("limits.rest", l.MaxRest)
 	c.positive("limits.grace", l.Grace)
 	c.positive("limits.notice", l.Notice)
 	if l.MaxTime != 0 && l.MinTime > l.MaxTime {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -67,7 +67,7 @@
 	Timeout Duration `toml:"timeout"`
 	// Within is how soon a change that the store has taken must be in force on all
 	// boxes; the default is 2 seconds.
-	Within Duration `toml:"within"`
+	MaxDelay Duration `toml:"within"`
 }
 
 // Peers says how boxes prove themselves to each other.
@@ -105,17 +105,17 @@
 // Limits bounds requests.
 type Limits struct {
 	// Body bounds a request's body in bytes; the default is 16 MiB.
-	Body int64 `toml:"body"`
+	MaxBody int64 `toml:"body"`
 	// MinTime and MaxTime bound the time limit of a request.
 	MinTime Duration `toml:"min_time"`
 	MaxTime Duration `toml:"max_time"`
 	// Stall is how long a target may send nothing; the default is 20 seconds.
-	Stall Duration `toml:"stall"`
+	StallTimeout Duration `toml:"stall"`
 	// Grace is how long a planned stop waits for running requests; the default
 	// is one hour, the longest a request may take.
 	Grace Duration `toml:"grace"`
 	// Rest bounds for how long a target may ask to get nothing; the default is a minute.
-	Rest Duration `toml:"rest"`
+	MaxRest Duration `toml:"rest"`
 	// Notice is how long the balancer is given after readiness goes off; the
 	// default is 5 seconds.
 	Notice Duration `toml:"notice"`
@@ -126,9 +126,9 @@
 	// Interval is the time between a box's reports; the default is 1 second.
 	Interval Duration `toml:"interval"`
 	// LongPart is the part of the engines that may read long prompts at once.
-	LongPart float64 `toml:"long_part"`
+	LongShare float64 `toml:"long_part"`
 	// ShortMemory is the part of an engine's memory that long prompts leave free.
-	ShortMemory float64 `toml:"short_memory"`
+	ShortMemoryShare float64 `toml:"short_memory"`
 	// Window bounds how far ahead short prompts are sent to an engine.
 	Window Duration `toml:"window"`
 }
