--- a/internal/capacity/allocator.go
+++ b/internal/capacity/allocator.go
@@ -87,7 +87,7 @@
 		if refused(err) || ctx.Err() != nil {
 			return barleystep.Allocation{}, err
 		}
-		a.Meter.Retried("dispenser_lost")
+		a.Meter.AttemptRetried("dispenser_lost")
 	}
 }
 
@@ -183,7 +183,7 @@
 		ctx, cancel := clock.WithDeadline(context.Background(), a.Clock, a.Clock.Now().Add(notice))
 		defer cancel()
 		if send(ctx) != nil {
-			a.Meter.Retried("notice_lost")
+			a.Meter.AttemptRetried("notice_lost")
 		}
 	}()
 }
@@ -214,7 +214,7 @@
 	c, err := a.endpoint(id).Report(ctx, p.name, r)
 	if err != nil {
 		a.avoid(id)
-		a.Meter.Retried("report_lost")
+		a.Meter.AttemptRetried("report_lost")
 		return
 	}
 	// The dispenser's clock may differ from this box's.
--- a/internal/capacity/poller.go
+++ b/internal/capacity/poller.go
@@ -72,7 +72,7 @@
 	}
 	l, err := e.Load(ctx)
 	if err != nil {
-		p.Meter.Retried("load_report_lost")
+		p.Meter.AttemptRetried("load_report_lost")
 		return
 	}
 	// Targets' clocks differ from ours; a report counts from its arrival.
--- a/internal/front/deliver.go
+++ b/internal/front/deliver.go
@@ -107,7 +107,7 @@
 		if !d.again(ctx, t, res, dials) {
 			return d.ended(ctx, x, failed, err)
 		}
-		d.meter.Retried(res.String())
+		d.meter.AttemptRetried(res.String())
 	}
 }
 
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -151,7 +151,7 @@
 		return
 	}
 	r := barleystep.AsRefusal(err)
-	s.Meter.Refused(string(r.Reason()), r.Outcome().String())
+	s.Meter.RequestRefused(string(r.Reason()), r.Outcome().String())
 	begun := x.answer.Begun()
 	if !begun && r.Reason() != barleystep.ReasonCallerGone {
 		s.refuse(x, r)
@@ -190,7 +190,7 @@
 }
 
 func (s *Server) line(x *Exchange, reason barleystep.Reason, outcome barleystep.Outcome) {
-	s.Meter.Ended(outcome.String())
+	s.Meter.RequestEnded(outcome.String())
 	e := s.Log.Info()
 	if reason != "" {
 		e = s.Log.Warn().Str("reason", string(reason))
--- a/internal/gate/attempt.go
+++ b/internal/gate/attempt.go
@@ -47,7 +47,7 @@
 		if !eris.As(err, &retry) {
 			return a.ended(ctx, x, err)
 		}
-		a.meter.Retried(string(retry.reason))
+		a.meter.AttemptRetried(string(retry.reason))
 		d.FailedTargets = append(d.FailedTargets, retry.target)
 		if !clock.Sleep(ctx, a.clock, firstPause<<try) {
 			return a.ended(ctx, x, ctx.Err())
--- a/internal/gate/cancel.go
+++ b/internal/gate/cancel.go
@@ -45,7 +45,7 @@
 	select {
 	case c.queue <- cancellation{target, id}:
 	default:
-		c.Meter.Cleaned("queue_full")
+		c.Meter.AttemptCancelled("queue_full")
 	}
 }
 
@@ -77,14 +77,14 @@
 	}
 	for try := range cancelTries {
 		if c.cancel(ctx, e, n.id) == nil {
-			c.Meter.Cleaned("abandoned")
+			c.Meter.AttemptCancelled("abandoned")
 			return
 		}
 		if !clock.Sleep(ctx, c.Clock, cancelPause<<try) {
 			return
 		}
 	}
-	c.Meter.Cleaned("undelivered")
+	c.Meter.AttemptCancelled("undelivered")
 	c.Log.Warn().Str("target", string(n.target)).Stringer("attempt", n.id).
 		Msg(logPrefix + "Target did not take a cancellation.")
 }
--- a/internal/gate/forward.go
+++ b/internal/gate/forward.go
@@ -50,7 +50,7 @@
 	if len(halls) == 0 {
 		return err
 	}
-	f.meter.Retried("other_hall")
+	f.meter.AttemptRetried("other_hall")
 	resp, sent := f.forwarder.Forward(ctx, halls, f.request(x), x.prompt.body)
 	if eris.Is(sent, barleystep.ErrNotStarted) {
 		return err
--- a/internal/gate/relay.go
+++ b/internal/gate/relay.go
@@ -39,7 +39,7 @@
 		if err == nil || eris.Is(err, barleystep.ErrNotStarted) || !r.mayResume(ctx, err) {
 			return err
 		}
-		r.stage.meter.Retried("resume")
+		r.stage.meter.AttemptRetried("resume")
 		if again := r.stream(ctx, r.next); !eris.Is(again, barleystep.ErrNotStarted) {
 			err = again
 		}
--- a/internal/gate/server.go
+++ b/internal/gate/server.go
@@ -152,7 +152,7 @@
 	view, confirmed := s.Configuration.View()
 	if view == nil {
 		refusal := refuse(barleystep.ReasonNoConfiguration, "This box has no configuration yet.")
-		s.Meter.Refused(string(refusal.Reason()), refusal.Outcome().String())
+		s.Meter.RequestRefused(string(refusal.Reason()), refusal.Outcome().String())
 		x.answer.refuse(refusal.WithRetryAfter(time.Second))
 		return false
 	}
--- a/internal/gate/settle.go
+++ b/internal/gate/settle.go
@@ -25,12 +25,12 @@
 			outcome = x.outcome
 		}
 		x.answer.outcome(outcome)
-		s.meter.Ended(outcome.String())
+		s.meter.RequestEnded(outcome.String())
 		return nil
 	}
 	r := barleystep.AsRefusal(err)
-	s.meter.Ended(r.Outcome().String())
-	s.meter.Refused(string(r.Reason()), r.Outcome().String())
+	s.meter.RequestEnded(r.Outcome().String())
+	s.meter.RequestRefused(string(r.Reason()), r.Outcome().String())
 	s.log.Info().Str("request", x.id).Str("account", x.account.Name).
 		Str("reason", string(r.Reason())).Stringer("outcome", r.Outcome()).
 		Dur("took", s.clock.Now().Sub(x.started)).Msg(logPrefix + "Request ended without an answer.")
--- a/internal/keeper/cleaner.go
+++ b/internal/keeper/cleaner.go
@@ -63,7 +63,7 @@
 	defer cancel()
 	work, err := e.List(ctx)
 	if err != nil {
-		c.Meter.Retried("list_lost")
+		c.Meter.AttemptRetried("list_lost")
 		return
 	}
 	for _, w := range work {
@@ -71,7 +71,7 @@
 		if reason == ReasonNone || e.Cancel(ctx, w.Attempt) != nil {
 			continue
 		}
-		c.Meter.Cleaned(string(reason))
+		c.Meter.AttemptCancelled(string(reason))
 		c.Log.Info().Str("target", string(id)).Str("attempt", w.Attempt).Str("reason", string(reason)).
 			Msg(logPrefix + "Left-over attempt cancelled.")
 	}
--- a/internal/keeper/issuer.go
+++ b/internal/keeper/issuer.go
@@ -258,7 +258,7 @@
 }
 
 func (g *Issuer) lost(id barleystep.TargetID, now time.Time) {
-	g.Meter.Retried("order_answer_lost")
+	g.Meter.AttemptRetried("order_answer_lost")
 	if g.unsure == nil {
 		g.unsure = make(map[barleystep.TargetID]time.Time)
 	}
--- a/internal/member/tracker.go
+++ b/internal/member/tracker.go
@@ -119,7 +119,7 @@
 	}
 	t.mu.Unlock()
 	for _, e := range events {
-		t.Meter.Membership(e.Status.String())
+		t.Meter.MembershipChanged(e.Status.String())
 		t.Log.Info().Str("box", string(e.Box)).Stringer("status", e.Status).Msg(logPrefix + "A box has changed.")
 		if e.Status == StatusDead && t.OnGone != nil {
 			t.OnGone(e.Box)
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -104,24 +104,24 @@
 }
 
 // Ended counts a request that ended with the outcome.
-func (m *Meter) Ended(outcome string) { add(m.ended, attribute.String("outcome", outcome)) }
+func (m *Meter) RequestEnded(outcome string) { add(m.ended, attribute.String("outcome", outcome)) }
 
 // Refused counts a request that ended without a whole answer.
-func (m *Meter) Refused(reason, outcome string) {
+func (m *Meter) RequestRefused(reason, outcome string) {
 	add(m.refused, attribute.String("reason", reason), attribute.String("outcome", outcome))
 }
 
 // Retried counts an attempt that is tried again.
-func (m *Meter) Retried(reason string) { add(m.retried, attribute.String("reason", reason)) }
+func (m *Meter) AttemptRetried(reason string) { add(m.retried, attribute.String("reason", reason)) }
 
 // Membership counts a change in the set of live boxes.
-func (m *Meter) Membership(kind string) { add(m.events, attribute.String("kind", kind)) }
+func (m *Meter) MembershipChanged(kind string) { add(m.events, attribute.String("kind", kind)) }
 
 // TookOver counts a duty that moved to this box.
 func (m *Meter) TookOver(duty string) { add(m.takeover, attribute.String("duty", duty)) }
 
 // Cleaned counts an attempt that was cancelled at a target.
-func (m *Meter) Cleaned(reason string) { add(m.cleaned, attribute.String("reason", reason)) }
+func (m *Meter) AttemptCancelled(reason string) { add(m.cleaned, attribute.String("reason", reason)) }
 
 // StoreFault counts a failed call to the platform's stores.
 func (m *Meter) StoreFault(op, fault string) {
@@ -129,7 +129,7 @@
 }
 
 // Configuration counts a change of the configuration in force.
-func (m *Meter) Configuration(kind string) { add(m.config, attribute.String("kind", kind)) }
+func (m *Meter) ConfigurationChanged(kind string) { add(m.config, attribute.String("kind", kind)) }
 
 // FirstToken records the time to first token of a prompt in a length band.
 func (m *Meter) FirstToken(band string, d time.Duration) {
--- a/internal/version/follow.go
+++ b/internal/version/follow.go
@@ -30,7 +30,7 @@
 	for ctx.Err() == nil {
 		if u, ok := f.Upstream(); ok {
 			_ = u.Follow(ctx, f.Follower.Version(), f.take) // The stream is opened anew.
-			f.Meter.Configuration("stream_ended")
+			f.Meter.ConfigurationChanged("stream_ended")
 		}
 		clock.Sleep(ctx, f.Clock, f.Every)
 	}
--- a/internal/version/follower.go
+++ b/internal/version/follower.go
@@ -114,12 +114,12 @@
 // advance puts a document into force. The caller holds the lock.
 func (f *Follower) advance(inc Increment, d config.Document) error {
 	if got := d.Digest(); got != inc.Digest {
-		f.Meter.Configuration("digest_mismatch")
+		f.Meter.ConfigurationChanged("digest_mismatch")
 		return eris.Errorf("version %d: digest is %s, expected %s", inc.Version, got, inc.Digest)
 	}
 	v, err := config.NewView(inc.Version, d)
 	if err != nil {
-		f.Meter.Configuration("refused")
+		f.Meter.ConfigurationChanged("refused")
 		return eris.Wrapf(err, "version %d", inc.Version)
 	}
 	if f.view != nil {
@@ -129,7 +129,7 @@
 		f.history = append([]Increment(nil), f.history[len(f.history)-historyLength:]...)
 	}
 	f.view = v
-	f.Meter.Configuration("in_force")
+	f.Meter.ConfigurationChanged("in_force")
 	f.signal()
 	return nil
 }
--- a/internal/version/reader.go
+++ b/internal/version/reader.go
@@ -115,7 +115,7 @@
 		return
 	}
 	if version < r.Follower.Version() {
-		r.Meter.Configuration("older_head_ignored")
+		r.Meter.ConfigurationChanged("older_head_ignored")
 		return
 	}
 	if err := r.catchUp(ctx, version); err != nil {
