--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -24,7 +24,7 @@
 				return err
 			}
 			defer closeAll()
-			story, err := explain.Story(in, args[0])
+			story, err := explain.RequestLines(in, args[0])
 			if err != nil {
 				return err
 			}
@@ -51,7 +51,7 @@
 				return err
 			}
 			defer closeAll()
-			list, err := explain.FindLosses(in)
+			list, err := explain.LossesByRoute(in)
 			if err != nil {
 				return err
 			}
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -87,7 +87,7 @@
 // Story reads log lines and returns those about the request, and those that tell
 // what its boxes believed of its targets, in order of time. Lines that are no JSON
 // are passed over. The error is that of the reader.
-func Story(r io.Reader, request string) (story []Line, err error) {
+func RequestLines(r io.Reader, request string) (story []Line, err error) {
 	lines, err := read(r)
 	if err != nil {
 		return nil, err
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -42,7 +42,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			story, err := explain.Story(strings.NewReader(lines), tc.request)
+			story, err := explain.RequestLines(strings.NewReader(lines), tc.request)
 			quicktest.Assert(t, err, quicktest.IsNil)
 			var got []string
 			for _, l := range story {
--- a/internal/explain/losses.go
+++ b/internal/explain/losses.go
@@ -18,35 +18,35 @@
 // refusal as cause.
 const (
 	// CauseWait is a first event that came late after a wait for engines.
-	CauseWait Cause = "waited for engines"
+	CauseQueueing Cause = "waited for engines"
 	// CauseSlow is one that came late although the stream was sent at once: its engine
 	// took longer than was expected of it, or that was too long already.
-	CauseSlow Cause = "slow first event"
+	CauseSlowFirstEvent Cause = "slow first event"
 	// CauseMove is a pause while another target took the stream up.
-	CauseMove Cause = "moved to another target"
+	CauseResumed Cause = "moved to another target"
 	// CausePart is a pause at a target that was given a part of a long prompt while it
 	// wrote the stream, and CauseLong at one that was given a whole one.
-	CausePart Cause = "paused by a part of a long prompt"
-	CauseLong Cause = "paused by a long prompt"
+	CausePromptPart Cause = "paused by a part of a long prompt"
+	CauseLongPrompt Cause = "paused by a long prompt"
 	// CauseOther is a pause with neither: short prompts, or the target itself.
 	CauseOther Cause = "paused by something else"
 )
 
 // Losses is how the streams of a route ended.
-type Losses struct {
+type RouteLosses struct {
 	route   string
 	streams int
 	causes  map[Cause]int
 }
 
 // Route returns the route's name.
-func (l Losses) Route() string { return l.route }
+func (l RouteLosses) Route() string { return l.route }
 
 // Streams returns how many streams there were.
-func (l Losses) Streams() int { return l.streams }
+func (l RouteLosses) Streams() int { return l.streams }
 
 // Causes returns how many of them were late or not served, by cause.
-func (l Losses) Causes() map[Cause]int { return l.causes }
+func (l RouteLosses) Causes() map[Cause]int { return l.causes }
 
 const (
 	endedMessage  = "front: A request ended."
@@ -67,20 +67,20 @@
 
 // FindLosses reads log lines and returns, by route, why streams were late. It goes by
 // the lines alone. The error is that of the reader.
-func FindLosses(r io.Reader) (list []Losses, err error) {
+func LossesByRoute(r io.Reader) (list []RouteLosses, err error) {
 	lines, err := read(r)
 	if err != nil {
 		return nil, eris.Wrap(err, "explain: losses")
 	}
 	readings := readingsOf(lines)
-	routes := make(map[string]*Losses)
+	routes := make(map[string]*RouteLosses)
 	for _, l := range lines {
 		name, _ := l.fields["route"].(string)
 		if l.message != endedMessage || l.number("max_pause") == 0 {
 			continue
 		}
 		if routes[name] == nil {
-			routes[name] = &Losses{route: name, causes: make(map[Cause]int)}
+			routes[name] = &RouteLosses{route: name, causes: make(map[Cause]int)}
 		}
 		routes[name].streams++
 		if cause := l.cause(readings); cause != "" {
@@ -122,13 +122,13 @@
 	first := l.number("first")
 	switch {
 	case first > l.number("objective") && l.number("queued") > longWait*first:
-		return CauseWait
+		return CauseQueueing
 	case first > l.number("objective"):
-		return CauseSlow
+		return CauseSlowFirstEvent
 	case l.number("pause") <= l.number("max_pause"):
 		return ""
 	case l.number("sends") > 1:
-		return CauseMove
+		return CauseResumed
 	}
 	target, _ := l.fields[fieldTarget].(string)
 	during := func(part bool) bool {
@@ -138,9 +138,9 @@
 	}
 	switch {
 	case during(true):
-		return CausePart
+		return CausePromptPart
 	case during(false):
-		return CauseLong
+		return CauseLongPrompt
 	default:
 		return CauseOther
 	}
@@ -159,7 +159,7 @@
 }
 
 // String returns the losses for a person, the largest first.
-func (l Losses) String() string {
+func (l RouteLosses) String() string {
 	causes := make([]Cause, 0, len(l.causes))
 	late := 0
 	for c, n := range l.causes {
--- a/internal/explain/losses_test.go
+++ b/internal/explain/losses_test.go
@@ -29,19 +29,19 @@
 	}{
 		"in time":                 {[]string{ended(`"first":100,"pause":60`)}, ""},
 		"refused":                 {[]string{ended(`"reason":"queue_full"`)}, "queue_full"},
-		"waited":                  {[]string{ended(`"first":400,"queued":300`)}, explain.CauseWait},
-		"slow":                    {[]string{ended(`"first":400,"queued":3`)}, explain.CauseSlow},
-		"moved":                   {[]string{ended(`"first":100,"pause":900,"sends":2`)}, explain.CauseMove},
-		"a part":                  {[]string{ended(`"first":100,"pause":900`), helped(3000, `"i-2","i-1"`)}, explain.CausePart},
+		"waited":                  {[]string{ended(`"first":400,"queued":300`)}, explain.CauseQueueing},
+		"slow":                    {[]string{ended(`"first":400,"queued":3`)}, explain.CauseSlowFirstEvent},
+		"moved":                   {[]string{ended(`"first":100,"pause":900,"sends":2`)}, explain.CauseResumed},
+		"a part":                  {[]string{ended(`"first":100,"pause":900`), helped(3000, `"i-2","i-1"`)}, explain.CausePromptPart},
 		"a part elsewhere":        {[]string{ended(`"first":100,"pause":900`), helped(3000, `"i-2","i-3"`)}, explain.CauseOther},
 		"a part long before":      {[]string{ended(`"first":100,"pause":900`), helped(-1000, `"i-2","i-1"`)}, explain.CauseOther},
 		"a part afterwards":       {[]string{ended(`"first":100,"pause":900`), helped(4001, `"i-2","i-1"`)}, explain.CauseOther},
-		"a long prompt by itself": {[]string{ended(`"first":100,"pause":900`), alone}, explain.CauseLong},
+		"a long prompt by itself": {[]string{ended(`"first":100,"pause":900`), alone}, explain.CauseLongPrompt},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			list, err := explain.FindLosses(strings.NewReader(strings.Join(tc.lines, "\n")))
+			list, err := explain.LossesByRoute(strings.NewReader(strings.Join(tc.lines, "\n")))
 			c.Assert(err, quicktest.IsNil)
 			short := list[len(list)-1]
 			c.Check(short.Route(), quicktest.Equals, "short")
