--- a/internal/box/entry.go
+++ b/internal/box/entry.go
@@ -123,7 +123,7 @@
 		boxes:    e.Boxes,
 		meter:    e.meter,
 		log:      e.Log,
-		source:   identity.NewSource(id, identity.NewIncarnation(e.Clock)),
+		source:   identity.NewGenerator(id, identity.NewIncarnation(e.Clock)),
 		tls:      encryption,
 		advert:   e.Settings.Listen.Peers,
 	}
--- a/internal/box/keeper.go
+++ b/internal/box/keeper.go
@@ -34,7 +34,7 @@
 // Run looks after the targets until ctx ends.
 func (k *Keeper) Run(ctx context.Context) error {
 	id, hall := barleystep.BoxID(k.Settings.Box.ID), barleystep.HallID(k.Settings.Box.Hall)
-	source := identity.NewSource(id, identity.NewIncarnation(k.Clock))
+	source := identity.NewGenerator(id, identity.NewIncarnation(k.Clock))
 	entry := k.Settings.Listen.Peers
 	encryption, err := peer.LoadTLS(k.Settings.Peers.Certificate, k.Settings.Peers.Key, k.Settings.Peers.Authority)
 	if err != nil {
--- a/internal/box/node.go
+++ b/internal/box/node.go
@@ -30,7 +30,7 @@
 	boxes    barleystep.BoxList
 	meter    *metric.Meter
 	log      *log.Logger
-	source   *identity.Source
+	source   *identity.Generator
 	tls      *tls.Config // tls encrypts what boxes say; nil leaves it in the clear.
 	advert   string      // advert is the address at which the other boxes find the peer listener.
 
--- a/internal/claim/book.go
+++ b/internal/claim/book.go
@@ -19,7 +19,7 @@
 	Table   barleystep.Table
 	Objects barleystep.ObjectStore
 	Clock   barleystep.Clock
-	Source  *identity.Source
+	Source  *identity.Generator
 	Meter   *metric.Meter
 	Log     *log.Logger
 	// Patience is how long a claim waits for the store; the default is 2 seconds.
@@ -96,7 +96,7 @@
 func (b *Book) decide(ctx context.Context, r Request) Machine {
 	ctx, cancel := clock.WithDeadline(ctx, b.Clock, b.Clock.Now().Add(b.patience()))
 	defer cancel()
-	nonce := b.Source.Attempt().String()
+	nonce := b.Source.NextAttempt().String()
 	m, action := Start(nonce, r.Digest, b.grace())
 	pause := firstPause
 	for action != ActionNone {
--- a/internal/gate/attempt.go
+++ b/internal/gate/attempt.go
@@ -17,7 +17,7 @@
 // is safe.
 type attempt struct {
 	clock     barleystep.Clock
-	source    *identity.Source
+	source    *identity.Generator
 	allocator barleystep.Allocator
 	dispatch  *dispatch
 	canceller *Canceller
@@ -37,7 +37,7 @@
 	d := a.demand(x)
 	var last error
 	for try := range maxTries {
-		d.Attempt = a.source.Attempt()
+		d.Attempt = a.source.NextAttempt()
 		err := a.once(ctx, x, d)
 		if err == nil {
 			return next(ctx, x)
--- a/internal/gate/server.go
+++ b/internal/gate/server.go
@@ -23,7 +23,7 @@
 // with a default may be left out.
 type Server struct {
 	Clock         barleystep.Clock
-	Source        *identity.Source
+	Source        *identity.Generator
 	Configuration config.Source
 	Allocator     barleystep.Allocator
 	Targets       Targets
@@ -141,7 +141,7 @@
 func (s *Server) begin(w http.ResponseWriter, r *http.Request, x *Exchange) (ok bool) {
 	x.w = w
 	x.r = r
-	x.id = s.Source.Request()
+	x.id = s.Source.NextRequest()
 	x.started = s.Clock.Now()
 	x.answer = newAnswer(w)
 	x.answer.limit(s.Clock, x.started.Add(s.Limits.withDefaults().MaxTime))
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -26,7 +26,7 @@
 
 // Source numbers the requests and attempts of one start of a box. It is safe
 // for concurrent use.
-type Source struct {
+type Generator struct {
 	box         barleystep.BoxID
 	incarnation barleystep.Incarnation
 	attempts    atomic.Uint64
@@ -34,22 +34,22 @@
 }
 
 // NewSource returns a source for the given start of a box.
-func NewSource(box barleystep.BoxID, inc barleystep.Incarnation) *Source {
-	return &Source{box: box, incarnation: inc}
+func NewGenerator(box barleystep.BoxID, inc barleystep.Incarnation) *Generator {
+	return &Generator{box: box, incarnation: inc}
 }
 
 // Box returns the name of the box.
-func (s *Source) Box() barleystep.BoxID { return s.box }
+func (s *Generator) Box() barleystep.BoxID { return s.box }
 
 // Incarnation returns the incarnation of the start.
-func (s *Source) Incarnation() barleystep.Incarnation { return s.incarnation }
+func (s *Generator) Incarnation() barleystep.Incarnation { return s.incarnation }
 
 // Attempt returns an attempt id that was never returned before.
-func (s *Source) Attempt() barleystep.AttemptID {
+func (s *Generator) NextAttempt() barleystep.AttemptID {
 	return barleystep.NewAttemptID(s.box, s.incarnation, s.attempts.Add(1))
 }
 
 // Request returns a request id that was never returned before.
-func (s *Source) Request() string {
+func (s *Generator) NextRequest() string {
 	return "r." + string(s.box) + "." + s.incarnation.String() + "." + strconv.FormatUint(s.requests.Add(1), 10)
 }
--- a/internal/keeper/issuer.go
+++ b/internal/keeper/issuer.go
@@ -18,7 +18,7 @@
 type Issuer struct {
 	Clock         barleystep.Clock
 	Hall          barleystep.HallID
-	Source        *identity.Source
+	Source        *identity.Generator
 	Table         barleystep.Table
 	Configuration config.Source
 	Targets       Targets
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -152,7 +152,7 @@
 	return &keeper.Issuer{
 		Clock:         b.clock,
 		Hall:          "h",
-		Source:        identity.NewSource(box, 1),
+		Source:        identity.NewGenerator(box, 1),
 		Table:         b.table,
 		Configuration: b.config,
 		Targets:       b.pool,
