--- a/cmd/barleystep-admin/main.go
+++ b/cmd/barleystep-admin/main.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	p := command.Platform(s, clock.System{})
+	p := command.NewStore(s, clock.System{})
 	a := &box.Admin{Settings: s, Clock: clock.System{}, Table: p, Objects: p, Boxes: p, Exporter: exporter, Log: l}
 	a.Build()
 	return a.Run(ctx)
--- a/cmd/barleystep-dev/main.go
+++ b/cmd/barleystep-dev/main.go
@@ -34,7 +34,7 @@
 		Args:         cobra.NoArgs,
 		SilenceUsage: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			h.Log = command.Logger(settings.Log{Level: level})
+			h.Log = command.NewLogger(settings.Log{Level: level})
 			h.Init()
 			go greet(cmd, h)
 			err := h.Run(cmd.Context())
--- a/cmd/barleystep-entry/main.go
+++ b/cmd/barleystep-entry/main.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	p := command.Platform(s, clock.System{})
+	p := command.NewStore(s, clock.System{})
 	e := &box.Entry{
 		Settings: s,
 		Clock:    clock.System{},
--- a/cmd/barleystep-entry/main_test.go
+++ b/cmd/barleystep-entry/main_test.go
@@ -103,7 +103,7 @@
 		Targets:  []config.Target{{ID: "e", Hall: "h", Model: "m", URL: engineURL}},
 	}.Document()
 	c.Assert(err, quicktest.IsNil)
-	client := command.Platform(settings.Settings{Platform: settings.Platform{URL: storeURL}}, clock.System{})
+	client := command.NewStore(settings.Settings{Platform: settings.Platform{URL: storeURL}}, clock.System{})
 	store := &version.Store{Table: client, Objects: client, Clock: clock.System{}, Meter: metric.Discard()}
 	_, err = store.Submit(t.Context(), config.Document{}, version.Submission{ID: "first", Document: d})
 	c.Assert(err, quicktest.IsNil)
--- a/cmd/barleystep-keeper/main.go
+++ b/cmd/barleystep-keeper/main.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	p := command.Platform(s, clock.System{})
+	p := command.NewStore(s, clock.System{})
 	k := &box.Keeper{Settings: s, Clock: clock.System{}, Table: p, Objects: p, Boxes: p, Meter: exporter.Meter(), Log: l}
 	return k.Run(ctx)
 }
--- a/cmd/barleystep-router/main.go
+++ b/cmd/barleystep-router/main.go
@@ -49,13 +49,13 @@
 	r := &router.Router{
 		Settings:            s,
 		Clock:               clock.System{},
-		Catalogue:           command.Platform(s, clock.System{}),
+		Catalogue:           command.NewStore(s, clock.System{}),
 		Protocol:            platform.Protocol{},
 		DecodeConfiguration: platform.DecodeConfiguration,
 		DecodeTarget:        platform.DecodeTarget,
 		ReadyHandler:        platform.ReadyHandler,
 		Exporter:            exporter,
-		DroppedLines:        func() int64 { return command.Dropped(l) },
+		DroppedLines:        func() int64 { return command.DroppedLines(l) },
 		Log:                 l,
 	}
 	return r.Run(ctx)
--- a/cmd/barleystep-standin/main.go
+++ b/cmd/barleystep-standin/main.go
@@ -40,7 +40,7 @@
 }
 
 func serve(cmd *cobra.Command, addr string, h http.Handler) error {
-	s := &web.Server{Name: cmd.Name(), Addr: addr, Handler: h, Clock: clock.System{}, Log: command.Logger(settings.Log{})}
+	s := &web.Server{Name: cmd.Name(), Addr: addr, Handler: h, Clock: clock.System{}, Log: command.NewLogger(settings.Log{})}
 	return s.Serve(cmd.Context())
 }
 
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -75,7 +75,7 @@
 			if err != nil {
 				return err
 			}
-			l := Logger(s.Log)
+			l := NewLogger(s.Log)
 			defer closeLog(l)
 			err = p.Run(cmd.Context(), s, l)
 			if eris.Is(err, context.Canceled) {
@@ -134,7 +134,7 @@
 // Logger returns the logger that the settings ask for. It writes one JSON
 // object a line to standard output and never waits for it: when the reader falls
 // behind by logBuffer lines, further lines are dropped.
-func Logger(s settings.Log) *log.Logger {
+func NewLogger(s settings.Log) *log.Logger {
 	level := s.Level
 	if level == "" {
 		level = "info"
@@ -166,7 +166,7 @@
 }
 
 // Dropped returns how many lines the logger has dropped.
-func Dropped(l *log.Logger) int64 {
+func DroppedLines(l *log.Logger) int64 {
 	if w, ok := l.Writer.(*lineWriter); ok {
 		return w.dropped.Load()
 	}
@@ -189,7 +189,7 @@
 const storeTimeout = time.Second
 
 // Platform returns the client of the platform's store. The settings were checked.
-func Platform(s settings.Settings, clk barleystep.Clock) *platform.Store {
+func NewStore(s settings.Settings, clk barleystep.Clock) *platform.Store {
 	return &platform.Store{
 		Addr:    strings.TrimPrefix(s.Platform.URL, "http://"),
 		Clock:   clk,
--- a/internal/command/log_test.go
+++ b/internal/command/log_test.go
@@ -18,14 +18,14 @@
 	c.Assert(err, quicktest.IsNil)
 	stdout := os.Stdout
 	os.Stdout = writer
-	l := command.Logger(settings.Log{})
+	l := command.NewLogger(settings.Log{})
 	os.Stdout = stdout
 	t.Cleanup(func() {
 		reader.Close() // The writer's last write fails, so that it ends.
 		writer.Close()
 	})
-	c.Check(command.Dropped(l), quicktest.Equals, int64(0))
-	for command.Dropped(l) == 0 { // The pipe and the queue are full at some time.
+	c.Check(command.DroppedLines(l), quicktest.Equals, int64(0))
+	for command.DroppedLines(l) == 0 { // The pipe and the queue are full at some time.
 		l.Info().Msg("Nobody reads this.")
 	}
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -79,7 +79,7 @@
 	node := &router.Router{
 		Settings:            s,
 		Clock:               clock.System{},
-		Catalogue:           command.Platform(s, clock.System{}),
+		Catalogue:           command.NewStore(s, clock.System{}),
 		Protocol:            platform.Protocol{},
 		DecodeConfiguration: platform.DecodeConfiguration,
 		DecodeTarget:        platform.DecodeTarget,
