--- a/internal/balance/allowance.go
+++ b/internal/balance/allowance.go
@@ -47,11 +47,11 @@
 // Role is a box's part among the boxes that it knows.
 type Role struct {
 	// Leads is set if the box decides for all that it reaches.
-	Leads bool
+	IsLead bool
 	// Boxes is how many boxes there are, with those that were silent for some time, and
 	// Reached how many of them the box hears of; both count the box itself.
-	Boxes   int
-	Reached int
+	Boxes     int
+	Reachable int
 }
 
 // SetRole takes in the box's part among all boxes.
@@ -63,7 +63,7 @@
 
 // leads reports whether the box places what others ask for; one without a lead does so for
 // itself.
-func (b *Balancer) leads() bool { return b.Lead == nil || b.role.Leads }
+func (b *Balancer) leads() bool { return b.Lead == nil || b.role.IsLead }
 
 // allowance is what this box may send to a target that has named a limit.
 type allowance struct {
@@ -84,7 +84,7 @@
 	if b.role.Boxes == 0 {
 		return rate(l)
 	}
-	return rate(l) * min(float64(b.role.Reached)/float64(b.role.Boxes), 1)
+	return rate(l) * min(float64(b.role.Reachable)/float64(b.role.Boxes), 1)
 }
 
 // strayRequests returns how many requests this box may place without a lead in each
@@ -97,7 +97,7 @@
 // admits reports whether the target may get the job, by what it says that it takes. It has
 // asked this box for rest, not the one that the job is placed for.
 func (b *Balancer) admits(j Job, s *state) bool {
-	return (j.Granted || !s.rests(b.Clock.Now())) && b.withinLimit(s)
+	return (j.ForPeer || !s.rests(b.Clock.Now())) && b.withinLimit(s)
 }
 
 // withinLimit reports whether the target may get one more request from this box.
@@ -157,7 +157,7 @@
 func (b *Balancer) limitDelay(j Job) (delay time.Duration, ever bool) {
 	perSecond := 0.0
 	candidates := b.candidates(j)
-	if rest := b.restLeft(candidates); rest > 0 && !j.Granted {
+	if rest := b.restLeft(candidates); rest > 0 && !j.ForPeer {
 		return rest, true
 	}
 	for _, t := range candidates {
--- a/internal/balance/assignment.go
+++ b/internal/balance/assignment.go
@@ -51,10 +51,10 @@
 
 // first returns when the job's caller first tried.
 func (j Job) first() time.Time {
-	if j.First.IsZero() {
-		return j.Since
+	if j.FirstArrival.IsZero() {
+		return j.Arrival
 	}
-	return j.First
+	return j.FirstArrival
 }
 
 func (b *Balancer) logAssignment(j Job, g assignment) {
@@ -62,16 +62,16 @@
 		return
 	}
 	d := b.demand(j.Service)
-	b.Log.Info().Str("request", j.Request).Str("target", string(g.first.ID)).Int("helpers", len(g.helpers)).
-		Int("prompt", j.Prompt).Dur("waited", b.waited(j)).Dur("expected", g.expected).
+	b.Log.Info().Str("request", j.RequestID).Str("target", string(g.first.ID)).Int("helpers", len(g.helpers)).
+		Int("prompt", j.PromptTokens).Dur("waited", b.waited(j)).Dur("expected", g.expected).
 		Float64("harm", g.harm).Int("engines_short", g.short).Int("engines_long", g.long).
-		Float64("demand_short", d.Light).Float64("demand_long", d.Heavy).Int("waiting", len(b.heavyQueue)).
+		Float64("demand_short", d.Short).Float64("demand_long", d.Long).Int("waiting", len(b.heavyQueue)).
 		Msg(logPrefix + "The engines of a long prompt were chosen.")
 }
 
 // bestAssignment returns the choice that costs callers the least.
 func (b *Balancer) bestAssignment(j Job, engines []fleet.Target) assignment {
-	read := j.Cost.Read(j.Prompt)
+	read := j.Cost.Read(j.PromptTokens)
 	r := b.divide(j, engines)
 	writers := r.writers
 	if len(writers) == 0 || giant(j) {
@@ -80,7 +80,7 @@
 	first := b.roomiest(j, writers)
 	others, risks := b.helpers(j, first, r, read)
 	most := min(len(others), maxHelpers, int(read/leastPart))
-	if j.Alone {
+	if j.NoHelpers {
 		most = 0
 	}
 	best, least := assignment{}, math.Inf(1)
@@ -103,7 +103,7 @@
 			return g, false
 		}
 	}
-	share := j.Cost.Read(j.Prompt) / time.Duration(len(helpers)+1)
+	share := j.Cost.Read(j.PromptTokens) / time.Duration(len(helpers)+1)
 	g.passing = b.harm(j, first, share)
 	g.harm = g.passing
 	for i, t := range helpers {
@@ -123,17 +123,17 @@
 // an equal part. Each helper sets so much memory aside; without any, the first
 // engine holds all of it.
 func (b *Balancer) placement(j Job, first fleet.Target, helpers []fleet.Target, memory int, expected time.Duration) *Placement {
-	read := j.Cost.Read(j.Prompt)
+	read := j.Cost.Read(j.PromptTokens)
 	share := read / time.Duration(len(helpers)+1)
 	p := &Placement{Target: first, expected: expected}
-	own := Work{Heavy: 1, Unread: 1}
+	own := Work{Long: 1, PendingPrefills: 1}
 	if memory == 0 {
-		own.Memory = j.Prompt + j.Output
+		own.KVTokens = j.PromptTokens + j.OutputTokens
 	}
 	p.parts = append(p.parts, &part{target: first.ID, work: own, share: share, pass: j.Cost.Pass()})
 	for _, t := range helpers {
-		p.Helpers = append(p.Helpers, Helper{ID: t.ID, Addr: t.Addr, Hall: t.Hall, Memory: memory})
-		p.parts = append(p.parts, &part{target: t.ID, work: Work{Memory: memory}, share: share, pass: j.Cost.Pass()})
+		p.Helpers = append(p.Helpers, Helper{ID: t.ID, Addr: t.Addr, Hall: t.Hall, KVTokens: memory})
+		p.parts = append(p.parts, &part{target: t.ID, work: Work{KVTokens: memory}, share: share, pass: j.Cost.Pass()})
 	}
 	return p
 }
@@ -150,7 +150,7 @@
 	var list []candidate
 	add := func(pool []fleet.Target, risk float64) {
 		for _, t := range pool {
-			far := j.Near && t.Hall != first.Hall
+			far := j.LocalHelpers && t.Hall != first.Hall
 			if t.ID != first.ID && !far && b.helps(t) {
 				list = append(list, candidate{t, b.partCost(j, t, usual) + risk, risk})
 			}
@@ -177,17 +177,17 @@
 // helps reports whether an engine may be given a part of a prompt: not while it
 // has a long prompt of its own to read. It reads parts first, so that its own prompt
 // would wait for as long as new parts come.
-func (b *Balancer) helps(t fleet.Target) bool { return b.work(t.ID).Unread == 0 }
+func (b *Balancer) helps(t fleet.Target) bool { return b.work(t.ID).PendingPrefills == 0 }
 
 // roomiest returns the engine of the pool with memory for the prompt that has
 // the least to do, or, if it fits none, the one with the most memory free.
 func (b *Balancer) roomiest(j Job, pool []fleet.Target) fleet.Target {
-	need := j.Prompt + j.Output
+	need := j.PromptTokens + j.OutputTokens
 	best, least := -1, math.Inf(1)
 	for i, t := range pool {
 		w := b.work(t.ID)
-		score := w.Backlog.Seconds() + b.errorWait(t).Seconds() + float64(w.Heavy)*writerCost.Seconds() + float64(w.Light)*lightHarm.Seconds() + b.chance()/perMilli
-		if lack := need - (j.Cost.Memory - w.Memory); lack > 0 {
+		score := w.Backlog.Seconds() + b.errorWait(t).Seconds() + float64(w.Long)*writerCost.Seconds() + float64(w.Short)*lightHarm.Seconds() + b.chance()/perMilli
+		if lack := need - (j.Cost.Memory - w.KVTokens); lack > 0 {
 			score += noRoom + float64(lack)
 		}
 		if score < least {
--- a/internal/balance/assignment_test.go
+++ b/internal/balance/assignment_test.go
@@ -32,7 +32,7 @@
 			c.Check(short[h.Addr], quicktest.IsFalse, quicktest.Commentf("%s has a short stream", h.Addr))
 		}
 		unread[p.Target.Addr] = true
-		f.clock.Advance(p.Expected())
+		f.clock.Advance(p.ExpectedTTFT())
 	}
 }
 
@@ -45,7 +45,7 @@
 		f.targets[i].Hall = barleystep.HallID(fmt.Sprint(i % 3))
 	}
 	j := job(longPrompt)
-	j.Near = true
+	j.LocalHelpers = true
 	p := f.place(t, j)
 	c.Assert(len(p.Helpers) > 0, quicktest.IsTrue)
 	for _, h := range p.Helpers {
@@ -57,7 +57,7 @@
 func TestAlone(t *testing.T) {
 	f := newFixture(18)
 	j := job(longPrompt)
-	j.Alone = true
+	j.NoHelpers = true
 	quicktest.Assert(t, f.place(t, j).Helpers, quicktest.HasLen, 0)
 }
 
@@ -76,7 +76,7 @@
 				continue
 			}
 			quicktest.Assert(t, err, quicktest.IsNil, quicktest.Commentf("%d tokens, %d engines", prompt, engines))
-			p.First()
+			p.NoteFirstEvent()
 			p.Done(balance.Report{})
 		}
 	}
@@ -108,20 +108,20 @@
 			f := newFixture(tc.engines)
 			busy := balance.NewSnapshot()
 			// The demand says that other reading needs most engines.
-			busy.Demands[balance.KeyOf("s")] = balance.Demand{Heavy: float64(tc.engines)}
+			busy.Demands[balance.KeyOf("s")] = balance.Demand{Long: float64(tc.engines)}
 			isBusy := make(map[barleystep.TargetID]bool)
 			for _, target := range f.targets[:tc.busy] {
-				busy.Work[balance.KeyOf(string(target.ID))] = balance.Work{Light: 12}
+				busy.Work[balance.KeyOf(string(target.ID))] = balance.Work{Short: 12}
 				isBusy[target.ID] = true
 			}
 			f.SetOthers(busy)
 			j := job(giantPrompt)
 			j.Objective = tc.objective
-			p, w, err := f.Ask(context.Background(), j)
+			p, w, err := f.TryPlace(context.Background(), j)
 			c.Assert(w != nil, quicktest.Equals, tc.waits)
 			if tc.waits {
 				f.clock.Advance(tc.objective / 4)
-				c.Assert(w.Until().After(f.clock.Now()), quicktest.IsFalse)
+				c.Assert(w.Deadline().After(f.clock.Now()), quicktest.IsFalse)
 				p, err = f.Abandon(w)
 			}
 			if !tc.placed {
@@ -133,7 +133,7 @@
 			tokens := 0
 			for _, h := range p.Helpers {
 				c.Check(isBusy[h.ID], quicktest.IsFalse, quicktest.Commentf("%s is busy", h.ID))
-				tokens += h.Memory
+				tokens += h.KVTokens
 			}
 			c.Check(tokens >= giantPrompt, quicktest.IsTrue)
 		})
@@ -147,12 +147,12 @@
 	for from := range engines {
 		c := quicktest.New(t)
 		f := newFixture(engines)
-		demand := balance.Demand{Heavy: engines / 4, Light: 2}
+		demand := balance.Demand{Long: engines / 4, Short: 2}
 		known := balance.NewSnapshot()
 		known.Demands[balance.KeyOf("s")] = demand
 		f.SetOthers(known)
 		alone := job(prompt)
-		alone.Alone = true
+		alone.NoHelpers = true
 		first := f.place(t, alone)
 		first.Done(balance.Report{})
 
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -50,8 +50,8 @@
 
 func job(prompt int) balance.Job {
 	return balance.Job{
-		Service: "s", Prompt: prompt, Output: 100, Objective: 300 * time.Millisecond,
-		Cost: cost, Tightest: 200 * time.Millisecond,
+		Service: "s", PromptTokens: prompt, OutputTokens: 100, Objective: 300 * time.Millisecond,
+		Cost: cost, MaxPause: 200 * time.Millisecond,
 	}
 }
 
@@ -150,7 +150,7 @@
 func TestOthers(t *testing.T) {
 	f := newFixture(2)
 	s := balance.NewSnapshot()
-	s.Work[balance.KeyOf("i-00")] = balance.Work{Light: 5}
+	s.Work[balance.KeyOf("i-00")] = balance.Work{Short: 5}
 	f.SetOthers(s)
 	for range 3 {
 		quicktest.Check(t, f.place(t, plain()).Target.ID, quicktest.Equals, barleystep.TargetID("i-01"))
@@ -175,7 +175,7 @@
 			case len(open) > 0:
 				i := rapid.IntRange(0, len(open)-1).Draw(rt, "which")
 				if rapid.Bool().Draw(rt, "first") {
-					open[i].First()
+					open[i].NoteFirstEvent()
 				}
 				open[i].Done(balance.Report{Failed: rapid.Bool().Draw(rt, "failed")})
 				open = append(open[:i], open[i+1:]...)
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -26,57 +26,57 @@
 var ErrFull = eris.New("balance: all targets are full")
 
 // ErrInVain is returned when the caller would be gone before the first event could come.
-var ErrInVain = eris.New("balance: the caller would be gone before an answer")
+var ErrCannotMeetDeadline = eris.New("balance: the caller would be gone before an answer")
 
 // ErrRefused is returned for a request under which so many targets have ended that it is sent
 // to no other.
-var ErrRefused = eris.New("balance: the request ends targets")
+var ErrSuspectRefused = eris.New("balance: the request ends targets")
 
 // ErrWaiting is returned when a prompt has waited for its engines for as long as the
 // question was to be held. It is to be asked again.
-var ErrWaiting = eris.New("balance: no place yet")
+var ErrStillWaiting = eris.New("balance: no place yet")
 
 // Job is what the choice needs to know of a request.
 type Job struct {
 	// Request is the request's id, for the logs.
-	Request   string
-	Service   string
-	Prompt    int
-	Output    int
-	Objective time.Duration
+	RequestID    string
+	Service      string
+	PromptTokens int
+	OutputTokens int
+	Objective    time.Duration
 	// Rank is the priority, 0 first.
-	Rank int
+	Priority int
 	// Cost is how the service's engines spend their time; nil for plain
 	// services.
 	Cost *fleet.CostModel
 	// Tightest is the shortest pause that any stream of the service may have.
-	Tightest time.Duration
+	MaxPause time.Duration
 	// Since is when the caller asked; zero is now.
-	Since time.Time
+	Arrival time.Time
 	// First is when the caller first tried, by which its answer is late; zero is Since.
-	First time.Time
+	FirstArrival time.Time
 	// Returned is set if the caller has come back after a refusal, so that it has no further try.
-	Returned bool
+	CallerRetry bool
 	// Until is when the caller stops waiting for the first event; zero is not known.
-	Until time.Time
+	FirstEventDeadline time.Time
 	// Avoid lists targets that have already failed the request.
 	Avoid []barleystep.TargetID
 	// Alone asks for no helpers: a target has refused the request with some, and has
 	// not said which of them it cannot reach.
-	Alone bool
+	NoHelpers bool
 	// Near asks for helpers of the target's own hall only: a target could not reach one
 	// in another hall, from which its own may be cut off.
-	Near bool
+	LocalHelpers bool
 
 	// Hall is that of the box which serves the caller; empty is the balancer's own.
 	Hall barleystep.HallID
 	// Granted is set while the job is placed for another box.
-	Granted bool
+	ForPeer bool
 
 	// Suspect is the digest of a request that is to run alone, since targets have ended under
 	// it; zero for any other. Ended is how many.
-	Suspect suspect.Digest
-	Ended   int
+	Suspect      suspect.Digest
+	EndedTargets int
 
 	// spare is how many slots the job must leave free.
 	spare int
@@ -95,7 +95,7 @@
 	// Moved is set when another target has the address.
 	Moved bool
 	// Helper is a helper that the target could not reach, if it named one.
-	Helper barleystep.TargetID
+	UnreachableHelper barleystep.TargetID
 }
 
 // Balancer chooses targets. Its exported fields are set before use; it is safe
@@ -106,7 +106,7 @@
 	// Targets lists the targets that may get work.
 	Targets func() []fleet.Target
 	// LongestRest bounds the rest that a target may ask for; zero is a default.
-	LongestRest time.Duration
+	MaxRest time.Duration
 	// Lead is asked for the engines of long prompts; nil places them here.
 	Lead Lead
 	// Rand is drawn from where a choice is left to chance; nil draws from the
@@ -126,14 +126,14 @@
 	turns map[string]*turns
 	// lightQueue and heavyQueue hold the jobs that wait for a place, limitQueue those whose
 	// targets have all named a limit that is used up.
-	lightQueue []*Wait
-	heavyQueue []*Wait
-	limitQueue []*Wait
+	lightQueue []*QueuedJob
+	heavyQueue []*QueuedJob
+	limitQueue []*QueuedJob
 	// role is this box's part among all boxes.
 	role Role
 	// trialQueue holds the suspects that wait for their trial, and trials has the last one of
 	// each.
-	trialQueue []*Wait
+	trialQueue []*QueuedJob
 	trials     map[suspect.Digest]trial
 	// grants are the placements that were made for other boxes, by their numbers, of
 	// which granted is the last. This box is the lead until leadUntil, as far as it
@@ -168,8 +168,8 @@
 	errors float64
 	// believed is what the target says of itself, as far as is known, and heardHere what it has
 	// said to this box.
-	believed  Said
-	heardHere Said
+	believed  TimedStatement
+	heardHere TimedStatement
 	// allowance is what this box may send of the target's limit.
 	allowance allowance
 	// returning is set from a rest on until the target has run something, and probe is what it
@@ -204,7 +204,7 @@
 // for a place. It returns ErrNoTarget, ErrFull when there was none, ErrInVain when the
 // caller would not wait for the answer, or the context's error.
 func (b *Balancer) Place(ctx context.Context, j Job) (p *Placement, err error) {
-	p, w, err := b.Ask(ctx, j)
+	p, w, err := b.TryPlace(ctx, j)
 	if p != nil || err != nil {
 		return p, err
 	}
@@ -213,19 +213,19 @@
 
 // Ask is Place for callers that do not want to be held up: where the job has to
 // wait for a place it returns the wait.
-func (b *Balancer) Ask(ctx context.Context, j Job) (p *Placement, w *Wait, err error) {
-	first := j.Since.IsZero()
+func (b *Balancer) TryPlace(ctx context.Context, j Job) (p *Placement, w *QueuedJob, err error) {
+	first := j.Arrival.IsZero()
 	if first {
-		j.Since = b.Clock.Now()
+		j.Arrival = b.Clock.Now()
 	}
 	if j.Hall == "" {
 		j.Hall = b.Hall
 	}
 	if b.inVain(j) {
-		return nil, nil, ErrInVain
+		return nil, nil, ErrCannotMeetDeadline
 	}
 	if b.endsTargets(j) {
-		return nil, nil, ErrRefused
+		return nil, nil, ErrSuspectRefused
 	}
 	if p, err = b.askLead(ctx, j); p != nil || err != nil {
 		return p, nil, err
@@ -249,7 +249,7 @@
 	switch {
 	case h != holdNone || err != nil:
 		return nil, h, err
-	case Heavy(j) && !j.suspect() && b.waitsBefore(j):
+	case IsLongPrompt(j) && !j.suspect() && b.waitsBefore(j):
 		return nil, holdBehind, nil
 	}
 	return b.choose(j, candidates)
@@ -290,7 +290,7 @@
 		p = b.placePlain(j, candidates)
 	case giant(j):
 		p, h = b.placeGiant(j, candidates)
-	case Heavy(j):
+	case IsLongPrompt(j):
 		p, h = b.placeHeavy(j, candidates)
 	default:
 		p, h = b.placeLight(j, candidates), holdSlots
@@ -301,7 +301,7 @@
 	b.spend(p)
 	b.noteGiven(j)
 	b.book(p)
-	if !j.Granted {
+	if !j.ForPeer {
 		p.probe()
 	}
 	return p, holdNone, nil
@@ -353,7 +353,7 @@
 	best, least := 0, 0.0
 	for i, t := range candidates {
 		w := b.work(t.ID)
-		score := float64(w.Light) + errorPenalty*b.state(t.ID).errors + b.chance()
+		score := float64(w.Short) + errorPenalty*b.state(t.ID).errors + b.chance()
 		if t.Hall != j.Hall {
 			score++
 		}
@@ -366,7 +366,7 @@
 
 // plainPlacement returns the placement of a request to a plain service at a target.
 func plainPlacement(t fleet.Target) *Placement {
-	return &Placement{Target: t, parts: []*part{{target: t.ID, work: Work{Light: 1}}}}
+	return &Placement{Target: t, parts: []*part{{target: t.ID, work: Work{Short: 1}}}}
 }
 
 func (b *Balancer) learn(id barleystep.TargetID, r Report) {
@@ -396,7 +396,7 @@
 
 // Forget drops what is known of targets that are gone. It is called now and
 // then.
-func (b *Balancer) Forget() {
+func (b *Balancer) Prune() {
 	present := make(map[barleystep.TargetID]bool)
 	for _, t := range b.Targets() {
 		present[t.ID] = true
--- a/internal/balance/bench_test.go
+++ b/internal/balance/bench_test.go
@@ -23,13 +23,13 @@
 			f := newFixture(engines)
 			others := balance.NewSnapshot()
 			for _, t := range f.targets {
-				others.Work[balance.KeyOf(string(t.ID))] = balance.Work{Light: 2}
+				others.Work[balance.KeyOf(string(t.ID))] = balance.Work{Short: 2}
 			}
 			f.SetOthers(others)
 			j := job(prompt)
 			j.Objective = 3 * time.Second
 			for b.Loop() {
-				p, w, err := f.Ask(context.Background(), j)
+				p, w, err := f.TryPlace(context.Background(), j)
 				switch {
 				case err != nil:
 					b.Fatal(err)
@@ -51,13 +51,13 @@
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
 			f := newFixture(targets)
 			f.Lead = fullLead{}
-			f.Renew()
+			f.DetectRestarts()
 			for i := range targets {
 				id := f.targets[i].ID
 				said := balance.NewSnapshot()
-				said.Said[balance.KeyOf(string(id))] = balance.Said{Leaving: balance.Word[bool]{Value: i < 3, At: f.clock.Now()}}
+				said.Statements[balance.KeyOf(string(id))] = balance.TimedStatement{Leaving: balance.Timed[bool]{Value: i < 3, At: f.clock.Now()}}
 				f.SetOthers(said)
-				f.Belief(id)
+				f.TargetStatus(id)
 			}
 			for b.Loop() {
 				_, _ = f.Place(context.Background(), job(shortPrompt))
@@ -75,4 +75,4 @@
 }
 
 // Read does nothing.
-func (fullLead) Read(uint64) {}
+func (fullLead) PrefillDone(uint64) {}
--- a/internal/balance/blame.go
+++ b/internal/balance/blame.go
@@ -13,13 +13,13 @@
 
 // blamed reports whether a target has refused a prompt of late because of this one.
 func (b *Balancer) blamed(t fleet.Target) bool {
-	return b.Clock.Now().Before(b.state(t.ID).believed.Blamed.Value)
+	return b.Clock.Now().Before(b.state(t.ID).believed.HelperBackoff.Value)
 }
 
 // blame notes that a target has refused a prompt because of a helper.
 func (b *Balancer) blame(helper barleystep.TargetID) {
 	now, s := b.Clock.Now(), b.state(helper)
-	word := Said{Blamed: Word[time.Time]{Value: now.Add(blameTime), At: now}}
+	word := TimedStatement{HelperBackoff: Timed[time.Time]{Value: now.Add(blameTime), At: now}}
 	s.heardHere = s.heardHere.join(word)
 	b.believe(helper, s, word)
 }
--- a/internal/balance/blame_test.go
+++ b/internal/balance/blame_test.go
@@ -13,7 +13,7 @@
 
 // placeNow places a job that need not wait.
 func (f *fixture) placeNow(t *testing.T, j balance.Job) *balance.Placement {
-	p, _, err := f.Ask(context.Background(), j)
+	p, _, err := f.TryPlace(context.Background(), j)
 	quicktest.Assert(t, err, quicktest.IsNil)
 	quicktest.Assert(t, p, quicktest.IsNotNil)
 	return p
@@ -27,7 +27,7 @@
 		for _, h := range p.Helpers {
 			seen[h.ID] = true
 		}
-		p.Return()
+		p.Cancel()
 	}
 	return seen
 }
@@ -41,7 +41,7 @@
 	p := first.placeNow(t, job(300_000))
 	c.Assert(len(p.Helpers) > 0, quicktest.IsTrue)
 	blamed := p.Helpers[0].ID
-	p.Done(balance.Report{Full: true, Helper: blamed})
+	p.Done(balance.Report{Full: true, UnreachableHelper: blamed})
 	second.SetOthers(first.Snapshot())
 	for _, f := range []*fixture{first, second} {
 		f.clock.Advance(time.Second)
@@ -66,7 +66,7 @@
 	all.Cost = &small
 	p := f.placeNow(t, all)
 	blamed := p.Helpers[0].ID
-	p.Done(balance.Report{Full: true, Helper: blamed})
+	p.Done(balance.Report{Full: true, UnreachableHelper: blamed})
 	f.clock.Advance(time.Second)
 	quicktest.Check(t, f.helpersOf(t, all)[blamed], quicktest.IsTrue)
 }
--- a/internal/balance/candidates.go
+++ b/internal/balance/candidates.go
@@ -53,7 +53,7 @@
 func (b *Balancer) gradeOf(id barleystep.TargetID, s *state, j Job, now time.Time) grade {
 	down := b.leaves(id, s, now) // It logs a change of belief.
 	switch {
-	case s.rests(now) && !j.Granted:
+	case s.rests(now) && !j.ForPeer:
 		return gradeResting
 	case down || s.restsElsewhere(now):
 		return gradeShunned
@@ -63,7 +63,7 @@
 }
 
 // Staying returns those of the targets that are listed and not about to leave.
-func (b *Balancer) Staying(ids []barleystep.TargetID) []fleet.Target {
+func (b *Balancer) NotLeaving(ids []barleystep.TargetID) []fleet.Target {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []fleet.Target
--- a/internal/balance/cost.go
+++ b/internal/balance/cost.go
@@ -53,11 +53,11 @@
 	w := b.work(t.ID)
 	pass := w.Backlog + share + j.Cost.Pass()
 	harm := 0.0
-	if float64(pass) > pauseRoom*float64(j.Tightest) {
-		harm += float64(w.Light)
+	if float64(pass) > pauseRoom*float64(j.MaxPause) {
+		harm += float64(w.Short)
 	}
 	if pass > promptPause {
-		harm += heavyHarm * float64(w.Heavy)
+		harm += heavyHarm * float64(w.Long)
 	}
 	return harm
 }
@@ -78,7 +78,7 @@
 
 // worthOf is what a prompt in time counts for.
 func worthOf(j Job) float64 {
-	return usualWeight * math.Pow(float64(j.Prompt)/max(float64(j.Cost.UsualPrompt), 1), weightPower)
+	return usualWeight * math.Pow(float64(j.PromptTokens)/max(float64(j.Cost.UsualPrompt), 1), weightPower)
 }
 
 // ramp returns how far x is on its way between two values, 0 to 1.
--- a/internal/balance/declined_test.go
+++ b/internal/balance/declined_test.go
@@ -29,7 +29,7 @@
 	const length = 3 * time.Second
 	says := func(f *fixture, said barleystep.Statement) {
 		p := f.place(t, f.only("i-00"))
-		p.Says(p.Target.ID, said, f.clock.Now())
+		p.NoteStatement(p.Target.ID, said, f.clock.Now())
 		p.Done(balance.Report{Full: true})
 	}
 	cases := map[string]struct {
@@ -52,14 +52,14 @@
 			says(f, barleystep.Statement{Rest: length})
 			f.clock.Advance(2 * length)
 			p := f.place(t, f.only("i-00"))
-			p.First()
+			p.NoteFirstEvent()
 			p.Done(balance.Report{})
 			f.ask()
 			says(f, barleystep.Statement{Leaving: true})
 		}, true},
 		"another box is told": {func(f *fixture) {
 			news := balance.NewSnapshot()
-			news.Said[balance.KeyOf("i-00")] = balance.Said{Leaving: balance.Word[bool]{Value: true, At: f.clock.Now()}}
+			news.Statements[balance.KeyOf("i-00")] = balance.TimedStatement{Leaving: balance.Timed[bool]{Value: true, At: f.clock.Now()}}
 			f.SetOthers(news)
 		}, true},
 	}
--- a/internal/balance/demand.go
+++ b/internal/balance/demand.go
@@ -9,8 +9,8 @@
 // engine busy.
 type Demand struct {
 	// Light is the reading of short prompts and Heavy that of long ones.
-	Light float64
-	Heavy float64
+	Short float64
+	Long  float64
 }
 
 // demand is a decaying sum of the reading that one box was asked for.
@@ -47,8 +47,8 @@
 
 func (d *demand) rate(now time.Time) Demand {
 	d.decay(now)
-	r := Demand{Light: d.light / demandLife.Seconds(), Heavy: d.heavy / demandLife.Seconds()}
-	if r.Light < negligible && r.Heavy < negligible {
+	r := Demand{Short: d.light / demandLife.Seconds(), Long: d.heavy / demandLife.Seconds()}
+	if r.Short < negligible && r.Long < negligible {
 		return Demand{}
 	}
 	return r
@@ -70,10 +70,10 @@
 // noteHeavy counts a long prompt as demand when it is asked for the first time. One
 // that is longer than an engine's memory only counts once it is placed.
 func (b *Balancer) noteHeavy(j Job) {
-	if !Heavy(j) || giant(j) {
+	if !IsLongPrompt(j) || giant(j) {
 		return
 	}
-	b.note(j, j.Cost.Read(j.Prompt), true)
+	b.note(j, j.Cost.Read(j.PromptTokens), true)
 }
 
 // demand returns the demand of all boxes for the service.
@@ -84,7 +84,7 @@
 		total = d.rate(now)
 	}
 	others := b.others.Demands[KeyOf(service)]
-	total.Light += others.Light
-	total.Heavy += others.Heavy
+	total.Short += others.Short
+	total.Long += others.Long
 	return total
 }
--- a/internal/balance/giant_test.go
+++ b/internal/balance/giant_test.go
@@ -29,20 +29,20 @@
 		return s
 	}
 	f.SetOthers(all(balance.Work{Backlog: time.Second}))
-	ask := func(prompt int) *balance.Wait {
+	ask := func(prompt int) *balance.QueuedJob {
 		j := job(prompt)
 		j.Objective = 4 * time.Second
-		_, w, err := f.Ask(context.Background(), j)
+		_, w, err := f.TryPlace(context.Background(), j)
 		c.Assert(err, quicktest.IsNil)
 		c.Assert(w, quicktest.IsNotNil)
 		return w
 	}
 	over, long := ask(overMemory), ask(longPrompt)
-	f.SetOthers(all(balance.Work{Memory: 420_000})) // They have read, and write.
+	f.SetOthers(all(balance.Work{KVTokens: 420_000})) // They have read, and write.
 	c.Assert(long.Ready(), quicktest.HasLen, 1)
 	c.Check(over.Ready(), quicktest.HasLen, 0)
 	p := <-long.Ready()
-	p.First()
+	p.NoteFirstEvent()
 	p.Done(balance.Report{})
 	f.SetOthers(balance.NewSnapshot())
 	c.Check(over.Ready(), quicktest.HasLen, 1)
@@ -80,14 +80,14 @@
 			j := job(overMemory)
 			j.Objective = objective
 			now := f.clock.Now()
-			j.First = now.Add(-tc.earlier - tc.taken)
-			j.Returned = tc.earlier > 0
+			j.FirstArrival = now.Add(-tc.earlier - tc.taken)
+			j.CallerRetry = tc.earlier > 0
 			if tc.left > 0 {
-				j.Until = now.Add(tc.left)
+				j.FirstEventDeadline = now.Add(tc.left)
 			}
-			_, w, err := f.Ask(context.Background(), j)
+			_, w, err := f.TryPlace(context.Background(), j)
 			c.Assert(err, quicktest.IsNil)
-			c.Check(w.Until().Sub(now).Round(time.Millisecond), quicktest.Equals, tc.want.Round(time.Millisecond))
+			c.Check(w.Deadline().Sub(now).Round(time.Millisecond), quicktest.Equals, tc.want.Round(time.Millisecond))
 		})
 	}
 }
@@ -102,10 +102,10 @@
 		want   string
 	}{
 		"its engines read":       {work: balance.Work{Backlog: time.Minute}, prompt: overMemory, want: "engines read"},
-		"its helpers are full":   {work: balance.Work{Memory: 420_000}, prompt: overMemory, want: "memory is lacking"},
+		"its helpers are full":   {work: balance.Work{KVTokens: 420_000}, prompt: overMemory, want: "memory is lacking"},
 		"another one is before":  {work: balance.Work{Backlog: time.Minute}, before: longPrompt, prompt: overMemory, want: "behind another"},
 		"not over memory":        {work: balance.Work{Backlog: time.Minute}, prompt: longPrompt, want: "engines read"},
-		"its streams are better": {work: balance.Work{Light: 500}, prompt: overMemory, want: "streams are worth more"},
+		"its streams are better": {work: balance.Work{Short: 500}, prompt: overMemory, want: "streams are worth more"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -118,10 +118,10 @@
 				busy.Work[balance.KeyOf(string(target.ID))] = tc.work
 			}
 			f.SetOthers(busy)
-			ask := func(prompt int) *balance.Wait {
+			ask := func(prompt int) *balance.QueuedJob {
 				j := job(prompt)
 				j.Objective = 8 * time.Second
-				_, w, err := f.Ask(context.Background(), j)
+				_, w, err := f.TryPlace(context.Background(), j)
 				c.Assert(err, quicktest.IsNil)
 				return w
 			}
@@ -130,7 +130,7 @@
 			}
 			w := ask(tc.prompt)
 			f.SetOthers(busy)
-			f.clock.Advance(w.Until().Sub(f.clock.Now()))
+			f.clock.Advance(w.Deadline().Sub(f.clock.Now()))
 			_, err := f.Abandon(w)
 			c.Assert(eris.Is(err, balance.ErrFull), quicktest.IsTrue)
 			c.Check(lines.String(), quicktest.Contains, `"held":"`+tc.want+`"`)
--- a/internal/balance/hall_test.go
+++ b/internal/balance/hall_test.go
@@ -67,7 +67,7 @@
 		return cmp.Compare(xxhash.Sum64String(string(x.ID)), xxhash.Sum64String(string(y.ID)))
 	})
 	known := balance.NewSnapshot()
-	known.Demands[balance.KeyOf("s")] = balance.Demand{Light: 3, Heavy: 6} // Half of the engines for each.
+	known.Demands[balance.KeyOf("s")] = balance.Demand{Short: 3, Long: 6} // Half of the engines for each.
 	short := make(map[barleystep.TargetID]bool)
 	for i := range f.targets {
 		read := near
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -19,7 +19,7 @@
 
 // Down reports whether the target seems to be down: this box could not reach it a
 // moment ago, or another one could not, and nothing has come from it here since.
-func (b *Balancer) Down(id barleystep.TargetID) bool {
+func (b *Balancer) IsDown(id barleystep.TargetID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.isDown(b.state(id), b.Clock.Now())
@@ -29,7 +29,7 @@
 	if s.down(now) {
 		return true
 	}
-	return b.others.Work[s.key].Down > 0 && now.Sub(s.heard) > heardLife
+	return b.others.Work[s.key].DownReports > 0 && now.Sub(s.heard) > heardLife
 }
 
 // leaves reports whether the target is left alone while others can take the work,
@@ -52,6 +52,6 @@
 		e, text = b.Log.Warn(), "A target seems to be down. It is left alone."
 	}
 	e.Str("target", string(id)).Int("own_failures", s.failures).
-		Int("other_boxes", b.others.Work[s.key].Down).
+		Int("other_boxes", b.others.Work[s.key].DownReports).
 		Dur("heard_ago", now.Sub(s.heard)).Msg(logPrefix + text)
 }
--- a/internal/balance/health_test.go
+++ b/internal/balance/health_test.go
@@ -14,7 +14,7 @@
 // what others found while nothing came from the target here.
 func TestDown(t *testing.T) {
 	told := balance.NewSnapshot()
-	told.Work[balance.KeyOf("i-00")] = balance.Work{Down: 1}
+	told.Work[balance.KeyOf("i-00")] = balance.Work{DownReports: 1}
 	unreachable := func(f *fixture, t *testing.T) {
 		j := plain()
 		j.Avoid = append(j.Avoid, "i-01")
@@ -23,7 +23,7 @@
 	heard := func(f *fixture, t *testing.T) {
 		j := plain()
 		j.Avoid = append(j.Avoid, "i-01")
-		f.place(t, j).Heard()
+		f.place(t, j).NoteEvent()
 	}
 	tell := func(f *fixture, _ *testing.T) { f.SetOthers(told) }
 	wait := func(d time.Duration) func(*fixture, *testing.T) {
@@ -48,7 +48,7 @@
 			for _, step := range tc.steps {
 				step(f, t)
 			}
-			quicktest.Check(t, f.Down("i-00"), quicktest.Equals, tc.want)
+			quicktest.Check(t, f.IsDown("i-00"), quicktest.Equals, tc.want)
 			for range 20 {
 				p, err := f.Place(context.Background(), plain())
 				quicktest.Assert(t, err, quicktest.IsNil)
@@ -78,7 +78,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(1)
 			f.place(t, plain()).Done(tc.report)
-			told := f.Snapshot().Work[balance.KeyOf("i-00")].Down > 0
+			told := f.Snapshot().Work[balance.KeyOf("i-00")].DownReports > 0
 			quicktest.Check(t, told, quicktest.Equals, tc.told)
 			f.clock.Advance(tc.length)
 			quicktest.Check(t, f.Snapshot().Work, quicktest.HasLen, 0)
--- a/internal/balance/heard_test.go
+++ b/internal/balance/heard_test.go
@@ -20,8 +20,8 @@
 	second.place(t, plain()).Done(balance.Report{})
 	second.SetOthers(first.Snapshot())
 	third.SetOthers(first.Snapshot())
-	c.Check(second.Belief("i-00").Said.Leaving.Value, quicktest.IsTrue)
-	c.Check(second.Staying([]barleystep.TargetID{"i-00"}), quicktest.HasLen, 0)
+	c.Check(second.TargetStatus("i-00").Statement.Leaving.Value, quicktest.IsTrue)
+	c.Check(second.NotLeaving([]barleystep.TargetID{"i-00"}), quicktest.HasLen, 0)
 	for range 10 {
 		for _, f := range []*fixture{second, third} {
 			p := f.place(t, plain())
@@ -30,7 +30,7 @@
 	}
 	fourth := newFixture(2)
 	fourth.SetOthers(second.Snapshot())
-	c.Check(fourth.Belief("i-00").Said.Leaving.Value, quicktest.IsFalse)
+	c.Check(fourth.TargetStatus("i-00").Statement.Leaving.Value, quicktest.IsFalse)
 }
 
 // TestLeavingTakenBack checks that boxes which were told that a target leaves hear that it
@@ -39,13 +39,13 @@
 	c := quicktest.New(t)
 	first, second := newFixture(1), newFixture(1)
 	p := first.place(t, plain())
-	p.Says(p.Target.ID, barleystep.Statement{Leaving: true}, first.clock.Now())
+	p.NoteStatement(p.Target.ID, barleystep.Statement{Leaving: true}, first.clock.Now())
 	second.SetOthers(first.Snapshot())
-	c.Check(second.Belief("i-00").Said.Leaving.Value, quicktest.IsTrue)
+	c.Check(second.TargetStatus("i-00").Statement.Leaving.Value, quicktest.IsTrue)
 	for _, f := range []*fixture{first, second} {
 		f.clock.Advance(time.Second)
 	}
-	p.Says(p.Target.ID, barleystep.Statement{}, first.clock.Now())
+	p.NoteStatement(p.Target.ID, barleystep.Statement{}, first.clock.Now())
 	second.SetOthers(first.Snapshot())
-	c.Check(second.Belief("i-00").Said.Leaving.Value, quicktest.IsFalse)
+	c.Check(second.TargetStatus("i-00").Statement.Leaving.Value, quicktest.IsFalse)
 }
--- a/internal/balance/lead.go
+++ b/internal/balance/lead.go
@@ -23,26 +23,26 @@
 	Place(ctx context.Context, j Job) (Plan, error)
 	// Read tells the lead that its plan's long prompt was read, or never will be, so
 	// that the engines are ready for the next one. It does not wait.
-	Read(plan uint64)
+	PrefillDone(plan uint64)
 }
 
 // ErrHere is returned by a lead that is this box.
-var ErrHere = eris.New("balance: this box decides itself")
+var ErrIsLead = eris.New("balance: this box decides itself")
 
 // Plan names the engines of a long prompt.
 type Plan struct {
 	// Number is the lead's number of the plan.
-	Number   uint64
-	Target   barleystep.TargetID
-	Helpers  []PlannedHelper
-	Expected time.Duration
+	ID           uint64
+	Target       barleystep.TargetID
+	Helpers      []PlannedHelper
+	ExpectedTTFT time.Duration
 }
 
 // PlannedHelper is an engine that is to read a part of the prompt, with the
 // memory, in tokens, to be set aside there.
 type PlannedHelper struct {
-	Target barleystep.TargetID
-	Memory int
+	Target   barleystep.TargetID
+	KVTokens int
 }
 
 // grant is a placement that was made for another box.
@@ -79,18 +79,18 @@
 	asked := j
 	asked.Avoid = slices.Concat(j.Avoid, b.withheld()) // The lead may not have heard of them.
 	plan, err := b.Lead.Place(ctx, asked)
-	if eris.Is(err, ErrHere) {
+	if eris.Is(err, ErrIsLead) {
 		b.mu.Lock()
 		b.leadUntil = b.Clock.Now().Add(leadMemory)
 		b.mu.Unlock()
 	}
 	switch {
 	case err == nil:
-		if p = b.Adopt(j, plan); p == nil && Heavy(j) {
-			b.Lead.Read(plan.Number) // Nobody will read it there.
+		if p = b.Adopt(j, plan); p == nil && IsLongPrompt(j) {
+			b.Lead.PrefillDone(plan.ID) // Nobody will read it there.
 		}
 		return p, nil
-	case eris.Is(err, ErrFull), eris.Is(err, ErrInVain), eris.Is(err, ErrRefused):
+	case eris.Is(err, ErrFull), eris.Is(err, ErrCannotMeetDeadline), eris.Is(err, ErrSuspectRefused):
 		return nil, err
 	case ctx.Err() != nil: // Nobody would carry out what is placed here.
 		return nil, context.Cause(ctx)
@@ -112,10 +112,10 @@
 	if !ok {
 		return nil
 	}
-	if !Heavy(j) {
+	if !IsLongPrompt(j) {
 		p := plainPlacement(first)
 		if j.Cost != nil {
-			p = lightPlacement(j, first, plan.Expected)
+			p = lightPlacement(j, first, plan.ExpectedTTFT)
 		}
 		b.book(p)
 		p.probe()
@@ -125,17 +125,17 @@
 	memory := 0
 	for _, h := range plan.Helpers {
 		t, ok := byID[h.Target]
-		if !ok && h.Memory > 0 {
+		if !ok && h.KVTokens > 0 {
 			return nil
 		}
 		if !ok {
 			continue // The others read more.
 		}
 		helpers = append(helpers, t)
-		memory = h.Memory
+		memory = h.KVTokens
 	}
-	p := b.placement(j, first, helpers, memory, plan.Expected)
-	p.plan = plan.Number
+	p := b.placement(j, first, helpers, memory, plan.ExpectedTTFT)
+	p.plan = plan.ID
 	for _, part := range p.parts {
 		part.led = true
 	}
@@ -147,20 +147,20 @@
 // Grant places a request for another box. It waits until the given time and
 // then returns ErrWaiting. Where ctx has ended, it places nothing: the box asks no longer,
 // and nobody would carry it out.
-func (b *Balancer) Grant(ctx context.Context, j Job, until time.Time) (plan Plan, err error) {
-	j.Granted = true
-	p, w, err := b.Ask(ctx, j)
+func (b *Balancer) PlaceForPeer(ctx context.Context, j Job, until time.Time) (plan Plan, err error) {
+	j.ForPeer = true
+	p, w, err := b.TryPlace(ctx, j)
 	if w != nil {
 		p, err = b.awaitUntil(ctx, w, until)
-		if err != nil && b.Clock.Now().Before(w.Until()) {
-			err = ErrWaiting
+		if err != nil && b.Clock.Now().Before(w.Deadline()) {
+			err = ErrStillWaiting
 		}
 	}
 	switch {
 	case err != nil:
 		return Plan{}, err
 	case ctx.Err() != nil:
-		p.Return()
+		p.Cancel()
 		return Plan{}, context.Cause(ctx)
 	}
 	return b.HandOver(p), nil
@@ -183,15 +183,15 @@
 		g.counted = now.Add(lightGrantLife)
 	}
 	b.grants[b.granted] = g
-	plan := Plan{Number: b.granted, Target: p.Target.ID, Expected: p.expected}
+	plan := Plan{ID: b.granted, Target: p.Target.ID, ExpectedTTFT: p.expected}
 	for _, h := range p.Helpers {
-		plan.Helpers = append(plan.Helpers, PlannedHelper{Target: h.ID, Memory: h.Memory})
+		plan.Helpers = append(plan.Helpers, PlannedHelper{Target: h.ID, KVTokens: h.KVTokens})
 	}
 	return plan
 }
 
 // EndRead notes that the prompt of a grant was read.
-func (b *Balancer) EndRead(number uint64) {
+func (b *Balancer) PrefillDone(number uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	g, ok := b.grants[number]
@@ -231,6 +231,6 @@
 	if p.plan == 0 {
 		return
 	}
-	p.balancer.Lead.Read(p.plan)
+	p.balancer.Lead.PrefillDone(p.plan)
 	p.plan = 0
 }
--- a/internal/balance/leaving.go
+++ b/internal/balance/leaving.go
@@ -60,7 +60,7 @@
 
 // Stands reports whether neither the placement's target nor a helper has said since that it
 // takes nothing more.
-func (p *Placement) Stands() bool {
+func (p *Placement) IsValid() bool {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/balance/leaving_test.go
+++ b/internal/balance/leaving_test.go
@@ -15,7 +15,7 @@
 // leave has the first target say in an answer that it leaves.
 func (f *fixture) leave(t *testing.T) {
 	p := f.place(t, f.only("i-00"))
-	p.Says(p.Target.ID, barleystep.Statement{Leaving: true}, f.clock.Now())
+	p.NoteStatement(p.Target.ID, barleystep.Statement{Leaving: true}, f.clock.Now())
 	p.Done(balance.Report{})
 }
 
@@ -27,7 +27,7 @@
 			all := f.targets
 			f.targets = f.targets[1:]
 			for range d / time.Second {
-				f.Forget()
+				f.Prune()
 				f.clock.Advance(time.Second)
 			}
 			f.targets = all
@@ -71,11 +71,11 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(1)
 			p := f.place(t, plain())
-			p.Says(p.Target.ID, barleystep.Statement{Leaving: true}, f.clock.Now())
+			p.NoteStatement(p.Target.ID, barleystep.Statement{Leaving: true}, f.clock.Now())
 			said := f.clock.Now()
 			f.clock.Advance(2 * time.Second)
-			p.Says(p.Target.ID, barleystep.Statement{}, said.Add(tc.sent))
-			quicktest.Check(t, f.Belief("i-00").Said.Leaving.Value, quicktest.Equals, tc.want)
+			p.NoteStatement(p.Target.ID, barleystep.Statement{}, said.Add(tc.sent))
+			quicktest.Check(t, f.TargetStatus("i-00").Statement.Leaving.Value, quicktest.Equals, tc.want)
 		})
 	}
 }
@@ -85,10 +85,10 @@
 
 func (a *avoider) Place(_ context.Context, j balance.Job) (balance.Plan, error) {
 	a.avoided = j.Avoid
-	return balance.Plan{}, balance.ErrHere
+	return balance.Plan{}, balance.ErrIsLead
 }
 
-func (*avoider) Read(uint64) {}
+func (*avoider) PrefillDone(uint64) {}
 
 // TestLeavingTold checks that the lead is told which targets leave, that a plan of one that
 // does is not taken over, and that helpers which leave are left out.
@@ -112,10 +112,10 @@
 	c := quicktest.New(t)
 	f := newFixture(1)
 	first, second := f.place(t, plain()), f.place(t, plain())
-	c.Check(second.Stands(), quicktest.IsTrue)
-	first.Says(first.Target.ID, barleystep.Statement{Leaving: true}, f.clock.Now())
-	c.Check(second.Stands(), quicktest.IsFalse)
+	c.Check(second.IsValid(), quicktest.IsTrue)
+	first.NoteStatement(first.Target.ID, barleystep.Statement{Leaving: true}, f.clock.Now())
+	c.Check(second.IsValid(), quicktest.IsFalse)
 	_, err := f.Place(context.Background(), plain())
 	c.Check(eris.Is(err, balance.ErrNoTarget), quicktest.IsTrue)
-	c.Check(f.Staying([]barleystep.TargetID{"i-00"}), quicktest.HasLen, 0)
+	c.Check(f.NotLeaving([]barleystep.TargetID{"i-00"}), quicktest.HasLen, 0)
 }
--- a/internal/balance/lifetime.go
+++ b/internal/balance/lifetime.go
@@ -15,7 +15,7 @@
 
 // Renew drops what is known of earlier lifetimes of the targets. It is called whenever the
 // targets have changed.
-func (b *Balancer) Renew() {
+func (b *Balancer) DetectRestarts() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	renewed := false
@@ -95,7 +95,7 @@
 func (p *part) end() {
 	p.over = true
 	own := p.placement
-	if p != own.parts[0] && own.first && p.work.Memory == 0 {
+	if p != own.parts[0] && own.first && p.work.KVTokens == 0 {
 		return
 	}
 	select {
@@ -109,7 +109,7 @@
 func (p *Placement) Lost() <-chan struct{} { return p.lost }
 
 // Over reports whether the target has started anew since the placement was made there.
-func (p *Placement) Over(id barleystep.TargetID) bool {
+func (p *Placement) HasRestarted(id barleystep.TargetID) bool {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/balance/lifetime_test.go
+++ b/internal/balance/lifetime_test.go
@@ -18,7 +18,7 @@
 // say has a target say when it started.
 func (f *fixture) say(i int, born int64) {
 	f.targets[i].Born = born
-	f.Renew()
+	f.DetectRestarts()
 }
 
 // other returns what a box that takes a target to be of a lifetime tells of it.
@@ -74,13 +74,13 @@
 			f.clock.Advance(tc.wait)
 			f.say(0, tc.second)
 			c.Check(lost(p), quicktest.Equals, tc.dropped)
-			c.Check(p.Over("i-00"), quicktest.Equals, tc.dropped)
-			want := balance.Work{Light: 1}
+			c.Check(p.HasRestarted("i-00"), quicktest.Equals, tc.dropped)
+			want := balance.Work{Short: 1}
 			if tc.dropped {
 				want = balance.Work{}
 			}
 			got := f.Snapshot().Work[balance.KeyOfTarget(f.targets[0])]
-			c.Check(got.Light, quicktest.Equals, want.Light)
+			c.Check(got.Short, quicktest.Equals, want.Short)
 			p.Done(balance.Report{})
 			c.Check(f.Snapshot().Work, quicktest.HasLen, 0)
 		})
@@ -107,7 +107,7 @@
 		f.place(t, only(0, f)).Done(balance.Report{Unreachable: true})
 	}
 	toldOf := func(born int64) func(*fixture, *testing.T) {
-		return func(f *fixture, _ *testing.T) { f.SetOthers(other(f.targets[0], born, balance.Work{Down: 1})) }
+		return func(f *fixture, _ *testing.T) { f.SetOthers(other(f.targets[0], born, balance.Work{DownReports: 1})) }
 	}
 	restart := func(f *fixture, _ *testing.T) { f.say(0, 200) }
 	type steps []func(*fixture, *testing.T)
@@ -132,7 +132,7 @@
 			for _, step := range tc.steps {
 				step(f, t)
 			}
-			quicktest.Check(t, f.Down("i-00"), quicktest.Equals, tc.down)
+			quicktest.Check(t, f.IsDown("i-00"), quicktest.Equals, tc.down)
 		})
 	}
 }
@@ -164,7 +164,7 @@
 	f.clock.Advance(settled)
 	f.say(0, 200)
 	p.Done(balance.Report{Unreachable: true})
-	quicktest.Check(t, f.Down("i-00"), quicktest.IsFalse)
+	quicktest.Check(t, f.IsDown("i-00"), quicktest.IsFalse)
 	quicktest.Check(t, f.Snapshot().Work, quicktest.HasLen, 0)
 }
 
@@ -195,7 +195,7 @@
 			c.Assert(len(p.Helpers) > 0, quicktest.IsTrue)
 			helper := p.Helpers[0].ID
 			if tc.read {
-				p.First()
+				p.NoteFirstEvent()
 			}
 			f.clock.Advance(settled)
 			for i := range f.targets {
@@ -204,8 +204,8 @@
 				}
 			}
 			c.Check(lost(p), quicktest.Equals, tc.lost)
-			c.Check(p.Over(helper), quicktest.IsTrue)
-			c.Check(p.Over(p.Target.ID), quicktest.IsFalse)
+			c.Check(p.HasRestarted(helper), quicktest.IsTrue)
+			c.Check(p.HasRestarted(p.Target.ID), quicktest.IsFalse)
 		})
 	}
 }
@@ -220,7 +220,7 @@
 	}
 	j := job(longPrompt)
 	j.Objective = 8 * time.Second
-	plan, err := f.Grant(context.Background(), j, f.clock.Now().Add(time.Second))
+	plan, err := f.PlaceForPeer(context.Background(), j, f.clock.Now().Add(time.Second))
 	c.Assert(err, quicktest.IsNil)
 	backlog := func(id barleystep.TargetID) time.Duration {
 		for _, t := range f.targets {
@@ -239,7 +239,7 @@
 		}
 	}
 	c.Check(backlog(plan.Target), quicktest.Equals, time.Duration(0))
-	f.EndRead(plan.Number)
+	f.PrefillDone(plan.ID)
 	f.clock.Advance(5 * time.Second)
 	f.SetOthers(balance.NewSnapshot())
 	c.Check(f.Snapshot().Work, quicktest.HasLen, 0)
@@ -254,7 +254,7 @@
 		f.place(t, job(shortPrompt))
 	}
 	f.clock.Advance(settled)
-	p, w, err := f.Ask(context.Background(), job(shortPrompt))
+	p, w, err := f.TryPlace(context.Background(), job(shortPrompt))
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(p, quicktest.IsNil)
 	f.say(0, 200)
--- a/internal/balance/light.go
+++ b/internal/balance/light.go
@@ -39,7 +39,7 @@
 // demand by which the engines are divided is that of the last seconds. It returns
 // nothing if all that it looked at are full.
 func (b *Balancer) placeLight(j Job, engines []fleet.Target) *Placement {
-	read := j.Cost.Read(j.Prompt)
+	read := j.Cost.Read(j.PromptTokens)
 	r := b.divide(j, engines)
 	best, score, least := b.bestOfHalls(j, r.light)
 	if others := r.heavy(); len(others) > 0 {
@@ -47,7 +47,7 @@
 			best, score = t, s
 		}
 	}
-	if w := b.work(best.ID); best.Slots > 0 && w.Light+w.Heavy >= best.Slots-j.spare {
+	if w := b.work(best.ID); best.Slots > 0 && w.Short+w.Long >= best.Slots-j.spare {
 		return nil
 	}
 	b.note(j, read, false)
@@ -56,7 +56,7 @@
 
 // lightPlacement returns the placement of a short prompt at an engine.
 func lightPlacement(j Job, t fleet.Target, expected time.Duration) *Placement {
-	work := Work{Light: 1, Backlog: j.Cost.Read(j.Prompt), Memory: j.Prompt + j.Output}
+	work := Work{Short: 1, Backlog: j.Cost.Read(j.PromptTokens), KVTokens: j.PromptTokens + j.OutputTokens}
 	return &Placement{Target: t, expected: expected, parts: []*part{{target: t.ID, work: work}}}
 }
 
@@ -108,12 +108,12 @@
 }
 
 // HasRoom reports whether some target with a free slot may take the job.
-func (b *Balancer) HasRoom(j Job) bool {
+func (b *Balancer) HasFreeSlot(j Job) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	clear(b.seen)
 	for _, t := range b.admitting(j, b.candidates(j)) {
-		if w := b.work(t.ID); t.Slots == 0 || w.Light+w.Heavy < t.Slots {
+		if w := b.work(t.ID); t.Slots == 0 || w.Short+w.Long < t.Slots {
 			return true
 		}
 	}
@@ -123,8 +123,8 @@
 // lightScore is about how long a short prompt waits at the engine.
 func (b *Balancer) lightScore(t fleet.Target) time.Duration {
 	w := b.work(t.ID)
-	score := w.Backlog + time.Duration(w.Light)*streamCost + b.errorWait(t)
-	running := w.Light + w.Heavy
+	score := w.Backlog + time.Duration(w.Short)*streamCost + b.errorWait(t)
+	running := w.Short + w.Long
 	if over := running - t.Slots + 1; over > 0 {
 		score += time.Duration(over) * slotWait
 	}
--- a/internal/balance/limit_test.go
+++ b/internal/balance/limit_test.go
@@ -27,7 +27,7 @@
 // name has the first target name a limit in an answer.
 func (f *fixture) name(t *testing.T, perSecond float64) {
 	p := f.place(t, f.only("i-00"))
-	p.Says(p.Target.ID, barleystep.Statement{Limit: barleystep.NewRateLimit(perSecond)}, f.clock.Now())
+	p.NoteStatement(p.Target.ID, barleystep.Statement{Limit: barleystep.NewRateLimit(perSecond)}, f.clock.Now())
 	p.Done(balance.Report{})
 }
 
@@ -44,7 +44,7 @@
 
 // takes reports whether the first target takes a request now.
 func (f *fixture) takes() bool {
-	p, w, err := f.Ask(context.Background(), f.only("i-00"))
+	p, w, err := f.TryPlace(context.Background(), f.only("i-00"))
 	switch {
 	case p != nil:
 		p.Done(balance.Report{})
@@ -72,7 +72,7 @@
 func (a asking) Place(context.Context, balance.Job) (balance.Plan, error) {
 	return balance.Plan{}, a.err
 }
-func (asking) Read(uint64) {}
+func (asking) PrefillDone(uint64) {}
 
 // TestAllowance checks what a box gives a target with a limit in 40 seconds, by its part
 // among the boxes.
@@ -86,16 +86,16 @@
 		most      int
 	}{
 		"alone":                            {nil, balance.Role{}, 1, 39, 41},
-		"lead of all":                      {asking{balance.ErrHere}, balance.Role{Leads: true, Boxes: 9, Reached: 9}, 1, 39, 41},
-		"lead of all, one in four seconds": {asking{balance.ErrHere}, balance.Role{Leads: true, Boxes: 9, Reached: 9}, 0.25, 9, 11},
-		"lead of all, ten a second":        {asking{balance.ErrHere}, balance.Role{Leads: true, Boxes: 9, Reached: 9}, 10, 395, 405},
-		"lead of a side of three":          {asking{balance.ErrHere}, balance.Role{Leads: true, Boxes: 9, Reached: 3}, 1, 12, 14},
-		"lead of a side of six":            {asking{balance.ErrHere}, balance.Role{Leads: true, Boxes: 9, Reached: 6}, 1, 25, 27},
-		"lead, takes nothing":              {asking{balance.ErrHere}, balance.Role{Leads: true, Boxes: 9, Reached: 9}, 0, 3, 4},
-		"no lead, share below one":         {stray, balance.Role{Boxes: 9, Reached: 9}, 1, 0, 0},
-		"no lead, share of one":            {stray, balance.Role{Boxes: 9, Reached: 9}, 9, 10, 11},
-		"no lead, share of two":            {stray, balance.Role{Boxes: 9, Reached: 9}, 20, 20, 22},
-		"no lead is known":                 {asking{balance.ErrHere}, balance.Role{Boxes: 9, Reached: 9}, 1, 0, 0},
+		"lead of all":                      {asking{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 9}, 1, 39, 41},
+		"lead of all, one in four seconds": {asking{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 9}, 0.25, 9, 11},
+		"lead of all, ten a second":        {asking{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 9}, 10, 395, 405},
+		"lead of a side of three":          {asking{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 3}, 1, 12, 14},
+		"lead of a side of six":            {asking{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 6}, 1, 25, 27},
+		"lead, takes nothing":              {asking{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 9}, 0, 3, 4},
+		"no lead, share below one":         {stray, balance.Role{Boxes: 9, Reachable: 9}, 1, 0, 0},
+		"no lead, share of one":            {stray, balance.Role{Boxes: 9, Reachable: 9}, 9, 10, 11},
+		"no lead, share of two":            {stray, balance.Role{Boxes: 9, Reachable: 9}, 20, 20, 22},
+		"no lead is known":                 {asking{balance.ErrIsLead}, balance.Role{Boxes: 9, Reachable: 9}, 1, 0, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -115,7 +115,7 @@
 	rapid.Check(t, func(r *rapid.T) {
 		perSecond := rapid.SampledFrom([]float64{0.25, 0.5, 1, 2, 5}).Draw(r, "limit")
 		f := limited(t, 2, perSecond)
-		f.Lead = asking{balance.ErrHere}
+		f.Lead = asking{balance.ErrIsLead}
 		leads := true
 		var given []time.Time
 		for range rapid.IntRange(50, 300).Draw(r, "steps") {
@@ -123,7 +123,7 @@
 			if rapid.IntRange(0, 9).Draw(r, "turn") == 0 {
 				leads = !leads
 			}
-			f.SetRole(balance.Role{Leads: leads, Boxes: 9, Reached: 9})
+			f.SetRole(balance.Role{IsLead: leads, Boxes: 9, Reachable: 9})
 			for range rapid.IntRange(1, 4).Draw(r, "callers") {
 				if f.takes() {
 					given = append(given, f.clock.Now())
@@ -155,10 +155,10 @@
 	}{
 		"nothing else was said": {func(*fixture, *balance.Placement) {}, true},
 		"no limit in the answer to a later request": {func(f *fixture, p *balance.Placement) {
-			p.Says(p.Target.ID, barleystep.Statement{Limit: none}, f.clock.Now())
+			p.NoteStatement(p.Target.ID, barleystep.Statement{Limit: none}, f.clock.Now())
 		}, false},
 		"no limit in the answer to an earlier request": {func(f *fixture, p *balance.Placement) {
-			p.Says(p.Target.ID, barleystep.Statement{Limit: none}, f.clock.Now().Add(-3*time.Second))
+			p.NoteStatement(p.Target.ID, barleystep.Statement{Limit: none}, f.clock.Now().Add(-3*time.Second))
 		}, true},
 		"lifted, as another box tells": {func(f *fixture, _ *balance.Placement) {
 			f.SetOthers(news(none, f.clock.Now().Add(-time.Second)))
@@ -167,12 +167,12 @@
 			f.SetOthers(news(none, f.clock.Now().Add(-3*time.Second)))
 		}, true},
 		"named anew after it was lifted": {func(f *fixture, p *balance.Placement) {
-			p.Says(p.Target.ID, barleystep.Statement{Limit: none}, f.clock.Now().Add(-time.Second))
+			p.NoteStatement(p.Target.ID, barleystep.Statement{Limit: none}, f.clock.Now().Add(-time.Second))
 			f.SetOthers(news(barleystep.NewRateLimit(2), f.clock.Now()))
 		}, true},
 		"a new lifetime": {func(f *fixture, _ *balance.Placement) {
 			f.targets[0].Born = 7
-			f.Renew()
+			f.DetectRestarts()
 		}, false},
 	}
 	for name, tc := range cases {
@@ -181,10 +181,10 @@
 			f := newFixture(2)
 			f.targets[0].Born = 1
 			p := f.place(t, f.only("i-00"))
-			p.Says(p.Target.ID, barleystep.Statement{Limit: barleystep.NewRateLimit(1)}, f.clock.Now())
+			p.NoteStatement(p.Target.ID, barleystep.Statement{Limit: barleystep.NewRateLimit(1)}, f.clock.Now())
 			f.clock.Advance(2 * time.Second)
 			tc.change(f, p)
-			c.Check(f.Belief("i-00").Said.Limit.Value.IsSet(), quicktest.Equals, tc.named)
+			c.Check(f.TargetStatus("i-00").Statement.Limit.Value.IsSet(), quicktest.Equals, tc.named)
 			p.Done(balance.Report{})
 		})
 	}
@@ -196,7 +196,7 @@
 	for _, born := range []int64{1, 7} {
 		t := newFixture(1).targets[0]
 		t.Born = born
-		s.Said[balance.KeyOfTarget(t)] = balance.Said{Limit: balance.Word[barleystep.RateLimit]{Value: limit, At: at}}
+		s.Statements[balance.KeyOfTarget(t)] = balance.TimedStatement{Limit: balance.Timed[barleystep.RateLimit]{Value: limit, At: at}}
 	}
 	return s
 }
@@ -207,13 +207,13 @@
 	c := quicktest.New(t)
 	f := limited(t, 2, 1)
 	key := balance.KeyOf("i-00")
-	c.Check(f.Snapshot().Said[key].Limit.Value.PerSecond(), quicktest.Equals, 1.0)
+	c.Check(f.Snapshot().Statements[key].Limit.Value.PerSecond(), quicktest.Equals, 1.0)
 	f.clock.Advance(time.Second)
 	others := balance.NewSnapshot()
-	others.Said[key] = balance.Said{Limit: balance.Word[barleystep.RateLimit]{At: f.clock.Now()}}
+	others.Statements[key] = balance.TimedStatement{Limit: balance.Timed[barleystep.RateLimit]{At: f.clock.Now()}}
 	f.SetOthers(others)
-	c.Check(f.Snapshot().Said, quicktest.HasLen, 0)
-	c.Check(f.Belief("i-00").Said.Limit.Value.IsSet(), quicktest.IsFalse)
+	c.Check(f.Snapshot().Statements, quicktest.HasLen, 0)
+	c.Check(f.TargetStatus("i-00").Statement.Limit.Value.IsSet(), quicktest.IsFalse)
 }
 
 // TestAllLimited checks what becomes of requests whose targets have all used up their limits:
@@ -222,14 +222,14 @@
 func TestAllLimited(t *testing.T) {
 	c := quicktest.New(t)
 	f := limited(t, 1, 2)
-	var waits []*balance.Wait
+	var waits []*balance.QueuedJob
 	for range 3 {
-		p, w, err := f.Ask(context.Background(), plain())
+		p, w, err := f.TryPlace(context.Background(), plain())
 		c.Assert(err, quicktest.IsNil)
 		c.Assert(p, quicktest.IsNil)
 		waits = append(waits, w)
 	}
-	_, _, err := f.Ask(context.Background(), plain())
+	_, _, err := f.TryPlace(context.Background(), plain())
 	c.Check(eris.Is(err, balance.ErrFull), quicktest.IsTrue) // Three before it take 1.5 s.
 	f.SetOthers(balance.NewSnapshot())                       // The bucket begins to fill.
 	for _, w := range waits {
@@ -266,7 +266,7 @@
 		f := newFixture(2)
 		f.targets[0].Born = born
 		others := balance.NewSnapshot()
-		others.Said[balance.KeyOfTarget(f.targets[0])] = balance.Said{Limit: balance.Word[barleystep.RateLimit]{Value: barleystep.NewRateLimit(1), At: f.clock.Now()}}
+		others.Statements[balance.KeyOfTarget(f.targets[0])] = balance.TimedStatement{Limit: balance.Timed[barleystep.RateLimit]{Value: barleystep.NewRateLimit(1), At: f.clock.Now()}}
 		f.SetOthers(others)
 		c.Check(f.takes(), quicktest.IsFalse, quicktest.Commentf(name))
 	}
--- a/internal/balance/placement.go
+++ b/internal/balance/placement.go
@@ -15,7 +15,7 @@
 	Hall barleystep.HallID
 	// Memory is the memory, in tokens, to be set aside there for the prompt; zero
 	// if the engine that writes holds all of it.
-	Memory int
+	KVTokens int
 }
 
 // Placement is the choice for one try. Done or Return must be called once.
@@ -41,7 +41,7 @@
 
 // Expected returns after how long the first event is expected, zero if nothing
 // is known of it.
-func (p *Placement) Expected() time.Duration { return p.expected }
+func (p *Placement) ExpectedTTFT() time.Duration { return p.expected }
 
 // part is what a try costs one target.
 type part struct {
@@ -63,7 +63,7 @@
 }
 
 // First tells that the first event came: the prompt has been read.
-func (p *Placement) First() {
+func (p *Placement) NoteFirstEvent() {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -72,7 +72,7 @@
 }
 
 // Heard tells that the target sent something.
-func (p *Placement) Heard() {
+func (p *Placement) NoteEvent() {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -85,7 +85,7 @@
 }
 
 // Gone tells that a target of the placement has refused a connection.
-func (p *Placement) Gone(id barleystep.TargetID) {
+func (p *Placement) NoteUnreachable(id barleystep.TargetID) {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -95,11 +95,11 @@
 // LeaveOut takes helpers off the placement, so that the others read more. It reports false,
 // and leaves the placement as it is, if the prompt's memory is spread over its helpers: it
 // has to be placed anew.
-func (p *Placement) LeaveOut(silent []barleystep.TargetID) bool {
+func (p *Placement) DropHelpers(silent []barleystep.TargetID) bool {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if p.Helpers[0].Memory > 0 {
+	if p.Helpers[0].KVTokens > 0 {
 		return false
 	}
 	before := len(p.parts)
@@ -125,7 +125,7 @@
 	}
 	p.first = true
 	for _, part := range p.parts {
-		part.work.Backlog, part.work.Unread = 0, 0
+		part.work.Backlog, part.work.PendingPrefills = 0, 0
 		part.share = 0
 	}
 	p.tellLead()
@@ -133,7 +133,7 @@
 
 // Return gives a placement back that was not used: it says nothing of its target. It is
 // called in place of Done.
-func (p *Placement) Return() {
+func (p *Placement) Cancel() {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -150,9 +150,9 @@
 	if !p.over(p.Target.ID) {
 		b.learn(p.Target.ID, r)
 	}
-	if r.Helper != "" && !p.over(r.Helper) {
-		b.learn(r.Helper, Report{Unreachable: true})
-		b.blame(r.Helper)
+	if r.UnreachableHelper != "" && !p.over(r.UnreachableHelper) {
+		b.learn(r.UnreachableHelper, Report{Unreachable: true})
+		b.blame(r.UnreachableHelper)
 	}
 	b.serveWaiting(false)
 }
--- a/internal/balance/rest.go
+++ b/internal/balance/rest.go
@@ -29,8 +29,8 @@
 const defaultLongestRest = time.Minute
 
 func (b *Balancer) longestRest() time.Duration {
-	if b.LongestRest > 0 {
-		return b.LongestRest
+	if b.MaxRest > 0 {
+		return b.MaxRest
 	}
 	return defaultLongestRest
 }
@@ -79,7 +79,7 @@
 
 // RestLeft returns after how long a target may take the job that all rest from, zero if one
 // does not rest.
-func (b *Balancer) RestLeft(j Job) time.Duration {
+func (b *Balancer) RestRemaining(j Job) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.restLeft(b.candidates(j))
--- a/internal/balance/rest_test.go
+++ b/internal/balance/rest_test.go
@@ -15,7 +15,7 @@
 // rest has the target turn a request away and ask for rest.
 func (f *fixture) rest(t *testing.T, id barleystep.TargetID, length time.Duration) {
 	p := f.place(t, f.only(id))
-	p.Says(p.Target.ID, barleystep.Statement{Rest: length}, f.clock.Now())
+	p.NoteStatement(p.Target.ID, barleystep.Statement{Rest: length}, f.clock.Now())
 	p.Done(balance.Report{Full: true})
 }
 
@@ -33,7 +33,7 @@
 		"before its end": {nil, length - time.Millisecond, false},
 		"after its end":  {nil, length + mostSpread(length), true},
 		"a later answer asks for none": {func(t *testing.T, f *fixture) {
-			f.place(t, plain()).Says("i-01", barleystep.Statement{}, f.clock.Now())
+			f.place(t, plain()).NoteStatement("i-01", barleystep.Statement{}, f.clock.Now())
 		}, length - time.Millisecond, false},
 		"it starts anew": {func(_ *testing.T, f *fixture) {
 			f.say(0, 100)
@@ -51,7 +51,7 @@
 			p, err := f.Place(context.Background(), plain())
 			quicktest.Assert(t, err, quicktest.IsNil)
 			p.Done(balance.Report{})
-			quicktest.Check(t, f.Belief("i-00").Resting, quicktest.Equals, !tc.takes)
+			quicktest.Check(t, f.TargetStatus("i-00").Resting, quicktest.Equals, !tc.takes)
 		})
 	}
 }
@@ -60,10 +60,10 @@
 func TestShorterRest(t *testing.T) {
 	f := newFixture(1)
 	p := f.place(t, plain())
-	p.Says(p.Target.ID, barleystep.Statement{Rest: 3 * time.Second}, f.clock.Now())
-	p.Says(p.Target.ID, barleystep.Statement{Rest: time.Second}, f.clock.Now())
+	p.NoteStatement(p.Target.ID, barleystep.Statement{Rest: 3 * time.Second}, f.clock.Now())
+	p.NoteStatement(p.Target.ID, barleystep.Statement{Rest: time.Second}, f.clock.Now())
 	f.clock.Advance(2 * time.Second)
-	quicktest.Check(t, f.Belief("i-00").Resting, quicktest.IsTrue)
+	quicktest.Check(t, f.TargetStatus("i-00").Resting, quicktest.IsTrue)
 }
 
 // TestRestBesideOthers checks that a target which rests gets nothing while others are there, be
@@ -88,7 +88,7 @@
 		f := newFixture(2)
 		f.rest(t, "i-00", short)
 		f.rest(t, "i-01", long)
-		p, w, err := f.Ask(context.Background(), plain())
+		p, w, err := f.TryPlace(context.Background(), plain())
 		c.Assert(err, quicktest.IsNil)
 		c.Assert(p, quicktest.IsNil)
 		f.clock.Advance(short - time.Millisecond)
@@ -105,10 +105,10 @@
 			f := newFixture(2)
 			f.rest(t, "i-00", long)
 			f.rest(t, "i-01", 2*long)
-			_, w, err := f.Ask(context.Background(), j)
+			_, w, err := f.TryPlace(context.Background(), j)
 			c.Check(eris.Is(err, balance.ErrFull), quicktest.IsTrue)
 			c.Check(w, quicktest.IsNil)
-			left := f.RestLeft(j)
+			left := f.RestRemaining(j)
 			c.Check(left >= long && left <= long+time.Second, quicktest.IsTrue, quicktest.Commentf("%v", left))
 		})
 	}
@@ -120,15 +120,15 @@
 	c := quicktest.New(t)
 	f := newFixture(2)
 	f.rest(t, "i-00", time.Minute)
-	plan, err := f.Grant(context.Background(), job(1_000), f.clock.Now())
+	plan, err := f.PlaceForPeer(context.Background(), job(1_000), f.clock.Now())
 	c.Assert(err, quicktest.IsNil)
 	c.Check(plan.Target, quicktest.Equals, barleystep.TargetID("i-01"))
 	j := job(1_000)
 	j.Avoid = []barleystep.TargetID{"i-01"}
-	plan, err = f.Grant(context.Background(), j, f.clock.Now())
+	plan, err = f.PlaceForPeer(context.Background(), j, f.clock.Now())
 	c.Assert(err, quicktest.IsNil)
 	c.Check(plan.Target, quicktest.Equals, barleystep.TargetID("i-00"))
-	_, _, err = f.Ask(context.Background(), j)
+	_, _, err = f.TryPlace(context.Background(), j)
 	c.Check(eris.Is(err, balance.ErrFull), quicktest.IsTrue)
 }
 
@@ -142,12 +142,12 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(1)
-			f.LongestRest = tc.set
+			f.MaxRest = tc.set
 			f.rest(t, "i-00", tc.asked)
 			f.clock.Advance(tc.least - time.Millisecond)
-			quicktest.Check(t, f.Belief("i-00").Resting, quicktest.IsTrue)
+			quicktest.Check(t, f.TargetStatus("i-00").Resting, quicktest.IsTrue)
 			f.clock.Advance(time.Millisecond + mostSpread(tc.least))
-			quicktest.Check(t, f.Belief("i-00").Resting, quicktest.IsFalse)
+			quicktest.Check(t, f.TargetStatus("i-00").Resting, quicktest.IsFalse)
 		})
 	}
 }
@@ -159,7 +159,7 @@
 	for range 20 {
 		f := newFixture(1)
 		f.rest(t, "i-00", 4*time.Second)
-		lefts[f.RestLeft(plain())] = true
+		lefts[f.RestRemaining(plain())] = true
 	}
 	quicktest.Check(t, len(lefts) > 10, quicktest.IsTrue)
 }
@@ -171,9 +171,9 @@
 	f := newFixture(1)
 	f.rest(t, "i-00", 200*time.Millisecond)
 	f.clock.Advance(time.Second)
-	_, err := f.Grant(context.Background(), job(1_000), f.clock.Now())
+	_, err := f.PlaceForPeer(context.Background(), job(1_000), f.clock.Now())
 	c.Assert(err, quicktest.IsNil)
-	p, _, err := f.Ask(context.Background(), job(1_000))
+	p, _, err := f.TryPlace(context.Background(), job(1_000))
 	c.Assert(err, quicktest.IsNil)
 	c.Check(p, quicktest.IsNotNil)
 }
@@ -186,13 +186,13 @@
 		takes bool
 	}{
 		"nothing yet":   {func(*balance.Placement, *fixture) {}, false},
-		"its first":     {func(p *balance.Placement, _ *fixture) { p.First() }, true},
+		"its first":     {func(p *balance.Placement, _ *fixture) { p.NoteFirstEvent() }, true},
 		"done":          {func(p *balance.Placement, _ *fixture) { p.Done(balance.Report{}) }, true},
 		"its failure":   {func(p *balance.Placement, _ *fixture) { p.Done(balance.Report{Error: true}) }, true},
-		"given back":    {func(p *balance.Placement, _ *fixture) { p.Return() }, true},
+		"given back":    {func(p *balance.Placement, _ *fixture) { p.Cancel() }, true},
 		"not reachable": {func(p *balance.Placement, _ *fixture) { p.Done(balance.Report{Unreachable: true}) }, true},
 		"rest again": {func(p *balance.Placement, f *fixture) {
-			p.Says(p.Target.ID, barleystep.Statement{Rest: time.Second}, f.clock.Now())
+			p.NoteStatement(p.Target.ID, barleystep.Statement{Rest: time.Second}, f.clock.Now())
 			p.Done(balance.Report{Full: true})
 		}, false},
 	}
@@ -204,7 +204,7 @@
 			f.clock.Advance(time.Second)
 			first := f.place(t, plain())
 			tc.show(first, f)
-			p, w, err := f.Ask(context.Background(), plain())
+			p, w, err := f.TryPlace(context.Background(), plain())
 			c.Assert(err, quicktest.IsNil)
 			c.Check(p != nil, quicktest.Equals, tc.takes)
 			if w != nil {
--- a/internal/balance/said.go
+++ b/internal/balance/said.go
@@ -8,21 +8,21 @@
 
 // Said is what is believed of what a target's lifetime says of itself. Each word of it is as old
 // as it is: an answer without a word takes back what was said before its request was sent.
-type Said struct {
+type TimedStatement struct {
 	// Limit is how much it takes from all boxes.
-	Limit Word[barleystep.RateLimit]
+	Limit Timed[barleystep.RateLimit]
 	// Leaving is whether it is about to end.
-	Leaving Word[bool]
+	Leaving Timed[bool]
 	// Rest is until when it wants nothing from the box that it has told so. To others it is a
 	// hint: a target that is full for one box is mostly full for all.
-	Rest Word[time.Time]
+	Rest Timed[time.Time]
 	// Blamed is until when it is not asked to help, since a target has refused a prompt because
 	// of it: helpers that leave, or lack room, say nothing themselves.
-	Blamed Word[time.Time]
+	HelperBackoff Timed[time.Time]
 }
 
 // Word is one thing that a target says of itself. The value's zero is that it does not say it.
-type Word[T comparable] struct {
+type Timed[T comparable] struct {
 	Value T
 	// At is as of when it counts.
 	At time.Time
@@ -34,8 +34,8 @@
 
 // wordOf returns what an answer says that is heard now, to a request that was sent at the given
 // time. Answers pass each other on their way: one to an earlier request takes nothing back.
-func wordOf[T comparable](value T, now, sent time.Time) Word[T] {
-	w := Word[T]{Value: value, At: sent}
+func wordOf[T comparable](value T, now, sent time.Time) Timed[T] {
+	w := Timed[T]{Value: value, At: sent}
 	if w.says() {
 		w.At = now
 	}
@@ -43,13 +43,13 @@
 }
 
 // says reports whether the target says it.
-func (w Word[T]) says() bool {
+func (w Timed[T]) says() bool {
 	var none T
 	return w.Value != none
 }
 
 // join returns the later word. Nothing is kept of a word that was never said.
-func (w Word[T]) join(o Word[T]) Word[T] {
+func (w Timed[T]) join(o Timed[T]) Timed[T] {
 	if (w.says() || o.says()) && o.At.After(w.At) {
 		return o
 	}
@@ -58,26 +58,26 @@
 
 // told returns the word if the others are to be told that it was heard here: it is what is
 // believed, and was said, or taken back of late.
-func (w Word[T]) told(believed Word[T], now time.Time) Word[T] {
+func (w Timed[T]) told(believed Timed[T], now time.Time) Timed[T] {
 	if w.Value == believed.Value && (w.says() || now.Sub(w.At) < takenBackTold) {
 		return w
 	}
-	return Word[T]{}
+	return Timed[T]{}
 }
 
 // join returns the later words of both. The order makes no difference.
-func (s Said) join(o Said) Said {
-	return Said{Limit: s.Limit.join(o.Limit), Leaving: s.Leaving.join(o.Leaving), Rest: s.Rest.join(o.Rest), Blamed: s.Blamed.join(o.Blamed)}
+func (s TimedStatement) join(o TimedStatement) TimedStatement {
+	return TimedStatement{Limit: s.Limit.join(o.Limit), Leaving: s.Leaving.join(o.Leaving), Rest: s.Rest.join(o.Rest), HelperBackoff: s.HelperBackoff.join(o.HelperBackoff)}
 }
 
 // told returns what the others are to be told that was heard here.
-func (s Said) told(believed Said, now time.Time) Said {
-	told := Said{Limit: s.Limit.told(believed.Limit, now), Leaving: s.Leaving.told(believed.Leaving, now)}
+func (s TimedStatement) told(believed TimedStatement, now time.Time) TimedStatement {
+	told := TimedStatement{Limit: s.Limit.told(believed.Limit, now), Leaving: s.Leaving.told(believed.Leaving, now)}
 	if now.Before(s.Rest.Value) {
 		told.Rest = s.Rest
 	}
-	if now.Before(s.Blamed.Value) {
-		told.Blamed = s.Blamed
+	if now.Before(s.HelperBackoff.Value) {
+		told.HelperBackoff = s.HelperBackoff
 	}
 	return told
 }
@@ -85,7 +85,7 @@
 // Says takes in what the placement's target, or a helper, says of itself in the answer to a
 // request that was sent at the given time. With a zero time, words that it lacks are not taken
 // back.
-func (p *Placement) Says(id barleystep.TargetID, said barleystep.Statement, sent time.Time) {
+func (p *Placement) NoteStatement(id barleystep.TargetID, said barleystep.Statement, sent time.Time) {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -99,7 +99,7 @@
 // heardFrom takes in what a lifetime of a target says here.
 func (b *Balancer) heardFrom(id barleystep.TargetID, s *state, said barleystep.Statement, sent time.Time) {
 	now := b.Clock.Now()
-	heard := Said{
+	heard := TimedStatement{
 		Limit:   wordOf(said.Limit, now, sent),
 		Leaving: wordOf(said.Leaving, now, sent),
 	}
@@ -113,7 +113,7 @@
 
 // hearAll takes in what targets have told other boxes.
 func (b *Balancer) hearAll() {
-	if len(b.others.Said) == 0 {
+	if len(b.others.Statements) == 0 {
 		return
 	}
 	for id, s := range b.states {
@@ -124,13 +124,13 @@
 // hear takes in what a target has told other boxes. A box that has just started hears of
 // targets before it meets them.
 func (b *Balancer) hear(id barleystep.TargetID, s *state) {
-	if said, ok := b.others.Said[s.key]; ok {
+	if said, ok := b.others.Statements[s.key]; ok {
 		b.believe(id, s, said)
 	}
 }
 
 // believe takes in what a lifetime of a target has said, here or to another box.
-func (b *Balancer) believe(id barleystep.TargetID, s *state, said Said) {
+func (b *Balancer) believe(id barleystep.TargetID, s *state, said TimedStatement) {
 	before := s.believed
 	s.believed = before.join(said)
 	if before.Limit.Value != s.believed.Limit.Value {
@@ -179,7 +179,7 @@
 	}
 	e.Str("target", string(id)).Float64("per_second", s.limit().PerSecond()).
 		Bool("told_here", s.believed.Limit == s.heardHere.Limit).Dur("age", b.Clock.Now().Sub(s.believed.Limit.At)).
-		Bool("leads", b.leads()).Int("boxes", b.role.Boxes).Int("reached", b.role.Reached).
+		Bool("leads", b.leads()).Int("boxes", b.role.Boxes).Int("reached", b.role.Reachable).
 		Msg(logPrefix + text)
 }
 
--- a/internal/balance/sight.go
+++ b/internal/balance/sight.go
@@ -8,13 +8,13 @@
 )
 
 // Belief is what a box believes of one target.
-type Belief struct {
+type TargetStatus struct {
 	// Down is set while the target seems to be down.
 	Down bool
 	// Said is what the target says of itself, and HeardHere what it has said to this box; the
 	// rest was told by others.
-	Said      Said
-	HeardHere Said
+	Statement    TimedStatement
+	HeardLocally TimedStatement
 	// Resting is set while the target has asked this box for rest.
 	Resting bool
 }
@@ -24,7 +24,7 @@
 
 // PassedOver names the targets of the service that take nothing from this box by their own word,
 // and whose word that is, for logs.
-func (b *Balancer) PassedOver(service string) (list []string) {
+func (b *Balancer) DecliningTargets(service string) (list []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Clock.Now()
@@ -57,9 +57,9 @@
 }
 
 // Belief returns what this box believes of the target.
-func (b *Balancer) Belief(id barleystep.TargetID) Belief {
+func (b *Balancer) TargetStatus(id barleystep.TargetID) TargetStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now, s := b.Clock.Now(), b.state(id)
-	return Belief{Down: b.isDown(s, now), Said: s.believed, HeardHere: s.heardHere, Resting: s.resting(now)}
+	return TargetStatus{Down: b.isDown(s, now), Statement: s.believed, HeardLocally: s.heardHere, Resting: s.resting(now)}
 }
--- a/internal/balance/split.go
+++ b/internal/balance/split.go
@@ -49,11 +49,11 @@
 
 // Heavy reports whether reading the prompt would hold up other streams for
 // longer than they may pause.
-func Heavy(j Job) bool {
-	if j.Cost == nil || j.Tightest <= 0 {
+func IsLongPrompt(j Job) bool {
+	if j.Cost == nil || j.MaxPause <= 0 {
 		return false
 	}
-	return float64(j.Cost.Read(j.Prompt)) > heavyPart*float64(j.Tightest)
+	return float64(j.Cost.Read(j.PromptTokens)) > heavyPart*float64(j.MaxPause)
 }
 
 // divide orders the engines in the same way on every box and divides them by
@@ -82,11 +82,11 @@
 	d := b.demand(j.Service)
 	streams := 0
 	for _, t := range engines {
-		streams += b.work(t.ID).Light
+		streams += b.work(t.ID).Short
 	}
 	slots := max(float64(j.Cost.Slots), 1)
-	light := max(d.Light/lightUse, float64(streams)/(streamUse*slots), leastLight)
-	heavy := max(d.Heavy/heavyUse, leastHeavy)
+	light := max(d.Short/lightUse, float64(streams)/(streamUse*slots), leastLight)
+	heavy := max(d.Long/heavyUse, leastHeavy)
 	// Both get their part of what is left, or of what is lacking.
 	planned := math.Round(float64(n) * heavy / (heavy + light))
 	return min(max(int(planned), leastHeavy), n-leastLight)
@@ -98,7 +98,7 @@
 func (b *Balancer) writerEngines(engines []fleet.Target, heavies int) int {
 	writing := 0
 	for _, t := range engines {
-		writing += b.work(t.ID).Heavy
+		writing += b.work(t.ID).Long
 	}
 	const leastWriters = 2
 	most := (heavies + writersPart - 1) / writersPart
--- a/internal/balance/trial.go
+++ b/internal/balance/trial.go
@@ -50,7 +50,7 @@
 	case !b.leads():
 		return nil, holdTrial, ErrFull
 	case b.endsTargets(j):
-		return nil, holdTrial, ErrRefused
+		return nil, holdTrial, ErrSuspectRefused
 	case b.trialRuns(j), tried >= max((len(candidates)+tried)/trialPart, 1):
 		return nil, holdTrial, nil
 	}
@@ -66,7 +66,7 @@
 	if b.trials == nil {
 		b.trials = make(map[suspect.Digest]trial)
 	}
-	b.trials[j.Suspect] = trial{request: j.Request, target: p.Target.ID, since: b.Clock.Now(), ended: max(len(known.Ends()), j.Ended)}
+	b.trials[j.Suspect] = trial{request: j.RequestID, target: p.Target.ID, since: b.Clock.Now(), ended: max(len(known.Ends()), j.EndedTargets)}
 	return p, holdNone, nil
 }
 
@@ -75,7 +75,7 @@
 	best, least := 0, 0.0
 	for i, t := range candidates {
 		w := b.work(t.ID)
-		if score := float64(w.Light+w.Heavy) + b.chance(); i == 0 || score < least {
+		if score := float64(w.Short+w.Long) + b.chance(); i == 0 || score < least {
 			best, least = i, score
 		}
 	}
@@ -83,10 +83,10 @@
 	switch {
 	case j.Cost == nil:
 		return plainPlacement(t)
-	case Heavy(j):
-		return b.placement(j, t, nil, 0, j.Cost.Read(j.Prompt)+j.Cost.Pass())
+	case IsLongPrompt(j):
+		return b.placement(j, t, nil, 0, j.Cost.Read(j.PromptTokens)+j.Cost.Pass())
 	default:
-		return lightPlacement(j, t, j.Cost.Read(j.Prompt)+j.Cost.Pass())
+		return lightPlacement(j, t, j.Cost.Read(j.PromptTokens)+j.Cost.Pass())
 	}
 }
 
@@ -102,7 +102,7 @@
 // come to no target, or has left it.
 func (b *Balancer) trialRuns(j Job) bool {
 	t, ok := b.trials[j.Suspect]
-	return ok && t.request != j.Request && b.open(j.Suspect, t)
+	return ok && t.request != j.RequestID && b.open(j.Suspect, t)
 }
 
 // tried returns the targets that get nothing besides the suspects which they were given a
--- a/internal/balance/trial_test.go
+++ b/internal/balance/trial_test.go
@@ -39,9 +39,9 @@
 }
 
 // ask asks for a place for a suspect.
-func (t *trials) ask(j balance.Job, d suspect.Digest) (*balance.Placement, *balance.Wait, error) {
+func (t *trials) ask(j balance.Job, d suspect.Digest) (*balance.Placement, *balance.QueuedJob, error) {
 	j.Suspect = d
-	return t.Ask(context.Background(), j)
+	return t.TryPlace(context.Background(), j)
 }
 
 // TestTrialIsAlone checks that a suspect gets the target with the least to lose, without
@@ -53,7 +53,7 @@
 			f := newTrials(6)
 			others := balance.NewSnapshot()
 			for _, target := range f.targets[1:] {
-				others.Work[balance.KeyOf(string(target.ID))] = balance.Work{Light: 2}
+				others.Work[balance.KeyOf(string(target.ID))] = balance.Work{Short: 2}
 			}
 			f.SetOthers(others)
 			p, _, err := f.ask(j, f.first)
@@ -102,11 +102,11 @@
 		"it was whole":                        {12, func(f *trials) { f.clock.Advance(time.Millisecond); f.book.Clear(f.first, bodySize) }, false, false, true, nil},
 		"nothing was heard of it":             {12, func(f *trials) { f.clock.Advance(2 * time.Second) }, false, false, false, nil},
 		"nothing was heard of it, long after": {12, func(f *trials) { f.clock.Advance(4 * time.Second) }, false, false, true, nil},
-		"three have ended":                    {12, func(f *trials) { f.ended(f.first, 7); f.ended(f.first, 8) }, false, false, false, balance.ErrRefused},
+		"three have ended":                    {12, func(f *trials) { f.ended(f.first, 7); f.ended(f.first, 8) }, false, false, false, balance.ErrSuspectRefused},
 		"news of the end that was known":      {12, func(f *trials) { f.ended(f.first, 1) }, false, false, false, nil},
 		"this box does not lead, none answers": {12, func(f *trials) {
 			f.Lead = asking{eris.New("no answer")}
-			f.SetRole(balance.Role{Boxes: 9, Reached: 9})
+			f.SetRole(balance.Role{Boxes: 9, Reachable: 9})
 		}, false, false, false, balance.ErrFull},
 	}
 	for name, tc := range cases {
@@ -114,17 +114,17 @@
 			c := quicktest.New(t)
 			f := newTrials(tc.engines)
 			first := job(shortPrompt)
-			first.Request = "first"
+			first.RequestID = "first"
 			_, _, err := f.ask(first, f.first)
 			c.Assert(err, quicktest.IsNil)
 			tc.between(f)
 			j, d := job(shortPrompt), f.first
-			j.Request = "second"
+			j.RequestID = "second"
 			if tc.other {
 				d = f.second
 			}
 			if tc.again {
-				j.Request = "first"
+				j.RequestID = "first"
 			}
 			p, _, err := f.ask(j, d)
 			c.Check(p != nil, quicktest.Equals, tc.placed)
@@ -141,7 +141,7 @@
 	_, _, err := f.ask(job(shortPrompt), f.first)
 	c.Assert(err, quicktest.IsNil)
 	second := job(shortPrompt)
-	second.Request = "second"
+	second.RequestID = "second"
 	_, w, err := f.ask(second, f.first)
 	c.Assert(err, quicktest.IsNil)
 	f.SetOthers(balance.NewSnapshot())
--- a/internal/balance/turn.go
+++ b/internal/balance/turn.go
@@ -37,7 +37,7 @@
 
 // sizeOf returns the size of a long prompt.
 func sizeOf(j Job) int {
-	doublings := math.Ilogb(j.Cost.Read(j.Prompt).Seconds() / leastSize.Seconds())
+	doublings := math.Ilogb(j.Cost.Read(j.PromptTokens).Seconds() / leastSize.Seconds())
 	return min(max(doublings+1, 0), turnSizes-1)
 }
 
@@ -89,14 +89,14 @@
 
 // noteTurn counts a try of a long prompt.
 func (b *Balancer) noteTurn(j Job) {
-	if Heavy(j) {
+	if IsLongPrompt(j) {
 		b.turnsOf(j).count(b.Clock.Now(), j).asked++
 	}
 }
 
 // noteGiven counts a try of a long prompt that was given engines.
 func (b *Balancer) noteGiven(j Job) {
-	if Heavy(j) {
+	if IsLongPrompt(j) {
 		b.turnsOf(j).count(b.Clock.Now(), j).given++
 	}
 }
@@ -104,7 +104,7 @@
 // lag returns by how much the size of a long prompt is served less often than the others, zero
 // for a short prompt.
 func (b *Balancer) lag(j Job) float64 {
-	if !Heavy(j) {
+	if !IsLongPrompt(j) {
 		return 0
 	}
 	return b.turnsOf(j).lag(j)
--- a/internal/balance/turn_test.go
+++ b/internal/balance/turn_test.go
@@ -26,7 +26,7 @@
 			f := newFixture(1)
 			place := func(prompt int) *balance.Placement {
 				p := f.place(t, job(prompt))
-				p.First()
+				p.NoteFirstEvent()
 				return p
 			}
 			for range 3 {
@@ -34,8 +34,8 @@
 				place(large).Done(balance.Report{})
 			}
 			busy := f.place(t, job(small))
-			ask := func(prompt int) *balance.Wait {
-				_, w, err := f.Ask(context.Background(), job(prompt))
+			ask := func(prompt int) *balance.QueuedJob {
+				_, w, err := f.TryPlace(context.Background(), job(prompt))
 				c.Assert(err, quicktest.IsNil)
 				c.Assert(w, quicktest.IsNotNil)
 				return w
@@ -44,8 +44,8 @@
 				_, err := f.Abandon(ask(large))
 				c.Assert(err, quicktest.IsNotNil)
 			}
-			waits := map[int]*balance.Wait{large: ask(large), small: ask(small)}
-			busy.First()
+			waits := map[int]*balance.QueuedJob{large: ask(large), small: ask(small)}
+			busy.NoteFirstEvent()
 			busy.Done(balance.Report{})
 			for prompt, w := range waits {
 				c.Check(len(w.Ready()) == 1, quicktest.Equals, prompt == tc.want, quicktest.Commentf("%d", prompt))
--- a/internal/balance/waiting.go
+++ b/internal/balance/waiting.go
@@ -10,7 +10,7 @@
 )
 
 // Wait is a job that waits for a place.
-type Wait struct {
+type QueuedJob struct {
 	job   Job
 	until time.Time
 	// ready gets the placement; it holds one, so that nobody waits to send.
@@ -51,8 +51,8 @@
 )
 
 // enqueue has the job wait for a place, unless its wait is over already.
-func (b *Balancer) enqueue(j Job, h hold) (p *Placement, w *Wait, err error) {
-	w = &Wait{job: j, until: b.waitUntil(j), ready: make(chan *Placement, 1), held: h}
+func (b *Balancer) enqueue(j Job, h hold) (p *Placement, w *QueuedJob, err error) {
+	w = &QueuedJob{job: j, until: b.waitUntil(j), ready: make(chan *Placement, 1), held: h}
 	if !b.mayComeToPass(w) {
 		b.logInVain(w)
 		return nil, nil, ErrFull
@@ -64,7 +64,7 @@
 
 // mayComeToPass reports whether a wait has time left, and whether limits, where they are
 // what it waits for, have room in that time.
-func (b *Balancer) mayComeToPass(w *Wait) bool {
+func (b *Balancer) mayComeToPass(w *QueuedJob) bool {
 	left := w.until.Sub(b.Clock.Now())
 	if left <= 0 || w.held != holdLimit {
 		return left > 0
@@ -75,13 +75,13 @@
 
 // queue returns the queue for jobs like this one, which is held up by the given cause. Those
 // of one queue need the same kind of place: if the first finds none, neither do the others.
-func (b *Balancer) queue(j Job, h hold) *[]*Wait {
+func (b *Balancer) queue(j Job, h hold) *[]*QueuedJob {
 	switch {
 	case j.suspect():
 		return &b.trialQueue
 	case h == holdLimit:
 		return &b.limitQueue
-	case Heavy(j):
+	case IsLongPrompt(j):
 		return &b.heavyQueue
 	default:
 		return &b.lightQueue
@@ -89,11 +89,11 @@
 }
 
 // await waits for the placement.
-func (b *Balancer) await(ctx context.Context, w *Wait) (p *Placement, err error) {
-	return b.awaitUntil(ctx, w, w.Until())
+func (b *Balancer) await(ctx context.Context, w *QueuedJob) (p *Placement, err error) {
+	return b.awaitUntil(ctx, w, w.Deadline())
 }
 
-func (b *Balancer) awaitUntil(ctx context.Context, w *Wait, until time.Time) (p *Placement, err error) {
+func (b *Balancer) awaitUntil(ctx context.Context, w *QueuedJob, until time.Time) (p *Placement, err error) {
 	ctx, cancel := clock.WithDeadline(ctx, b.Clock, until)
 	defer cancel()
 	select {
@@ -105,25 +105,25 @@
 }
 
 // Ready returns the channel on which the placement comes.
-func (w *Wait) Ready() <-chan *Placement { return w.ready }
+func (w *QueuedJob) Ready() <-chan *Placement { return w.ready }
 
 // Until returns when the wait is to be abandoned.
-func (w *Wait) Until() time.Time { return w.until }
+func (w *QueuedJob) Deadline() time.Time { return w.until }
 
 // waitUntil returns until when a job may wait: while it is likely enough that the answer
 // is in time, or comes at all, and while the caller would still be there for it.
 func (b *Balancer) waitUntil(j Job) time.Time {
-	until := j.Since.Add(max(patience*j.Objective, leastPatience))
+	until := j.Arrival.Add(max(patience*j.Objective, leastPatience))
 	switch {
 	case giant(j):
 		until = j.lullUntil()
-	case Heavy(j) && !b.drains(j):
+	case IsLongPrompt(j) && !b.drains(j):
 		until = j.hopeUntil()
 	}
-	if j.Until.IsZero() {
+	if j.FirstEventDeadline.IsZero() {
 		return until
 	}
-	if latest := j.Until.Add(-j.leastTime()); latest.Before(until) {
+	if latest := j.FirstEventDeadline.Add(-j.leastTime()); latest.Before(until) {
 		return latest
 	}
 	return until
@@ -133,13 +133,13 @@
 // soon, if late.
 func (b *Balancer) drains(j Job) bool {
 	d := b.demand(j.Service)
-	return d.Light+d.Heavy < drainUse*float64(len(b.candidates(j)))
+	return d.Short+d.Long < drainUse*float64(len(b.candidates(j)))
 }
 
 // hopeUntil is until when a long prompt waits in a crowd, by its lateness.
 func (j Job) hopeUntil() time.Time {
 	until := j.first().Add(time.Duration(waitPart * float64(j.Objective)))
-	if least := j.Since.Add(j.Objective / leastWaitPart); until.Before(least) {
+	if least := j.Arrival.Add(j.Objective / leastWaitPart); until.Before(least) {
 		return least
 	}
 	return until
@@ -149,14 +149,14 @@
 // enough. Its caller is told soon to come back, and has no third try: the second one waits
 // for as long as it can be in time by itself.
 func (j Job) lullUntil() time.Time {
-	if j.Returned {
-		return j.Since.Add(j.Objective - j.leastTime())
+	if j.CallerRetry {
+		return j.Arrival.Add(j.Objective - j.leastTime())
 	}
-	return j.Since.Add(j.Objective / soonPart)
+	return j.Arrival.Add(j.Objective / soonPart)
 }
 
 // Abandon ends a wait. It returns ErrFull, or the placement if it has just come.
-func (b *Balancer) Abandon(w *Wait) (p *Placement, err error) {
+func (b *Balancer) Abandon(w *QueuedJob) (p *Placement, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w.gone = true
@@ -172,15 +172,15 @@
 }
 
 // logInVain tells that a long prompt has waited for engines in vain, and what for.
-func (b *Balancer) logInVain(w *Wait) {
-	if b.Log == nil || !Heavy(w.job) {
+func (b *Balancer) logInVain(w *QueuedJob) {
+	if b.Log == nil || !IsLongPrompt(w.job) {
 		return
 	}
 	d := b.demand(w.job.Service)
-	b.Log.Info().Str("request", w.job.Request).Int("prompt", w.job.Prompt).Bool("over_memory", giant(w.job)).
-		Dur("waited", b.Clock.Now().Sub(w.job.Since)).Dur("since_first_try", b.waited(w.job)).
+	b.Log.Info().Str("request", w.job.RequestID).Int("prompt", w.job.PromptTokens).Bool("over_memory", giant(w.job)).
+		Dur("waited", b.Clock.Now().Sub(w.job.Arrival)).Dur("since_first_try", b.waited(w.job)).
 		Str("held", w.held.String()).Float64("lag", b.lag(w.job)).Int("waiting", len(b.heavyQueue)).
-		Float64("demand_short", d.Light).Float64("demand_long", d.Heavy).
+		Float64("demand_short", d.Short).Float64("demand_long", d.Long).
 		Msg(logPrefix + "A long prompt has waited for engines in vain.")
 }
 
@@ -190,16 +190,16 @@
 	switch {
 	case j.Cost == nil:
 		return 0
-	case !Heavy(j):
-		return j.Cost.Read(j.Prompt) + j.Cost.Pass()
+	case !IsLongPrompt(j):
+		return j.Cost.Read(j.PromptTokens) + j.Cost.Pass()
 	default:
-		return j.Cost.Read(j.Prompt)/(maxHelpers+1) + j.Cost.Pass()
+		return j.Cost.Read(j.PromptTokens)/(maxHelpers+1) + j.Cost.Pass()
 	}
 }
 
 // Writing is about how long the job's answer takes from its first event to its last one,
 // zero where nothing is known of it.
-func (j Job) Writing() time.Duration {
+func (j Job) DecodeTime() time.Duration {
 	if j.Cost == nil {
 		return 0
 	}
@@ -208,12 +208,12 @@
 
 // LeastWhole is about how long the job takes to its last event where all engines that may
 // help it are idle, zero where nothing is known of it.
-func (j Job) LeastWhole() time.Duration { return j.leastTime() + j.Writing() }
+func (j Job) MinTotalTime() time.Duration { return j.leastTime() + j.DecodeTime() }
 
 // inVain reports whether the job's caller would be gone before the first event, however
 // idle the engines are.
 func (b *Balancer) inVain(j Job) bool {
-	return !j.Until.IsZero() && b.Clock.Now().Add(j.leastTime()).After(j.Until)
+	return !j.FirstEventDeadline.IsZero() && b.Clock.Now().Add(j.leastTime()).After(j.FirstEventDeadline)
 }
 
 // serveWaiting places the jobs that wait, as far as there are places. After news
@@ -232,8 +232,8 @@
 
 // serveInOrder places jobs that wait for what those of the same group wait for too, in the
 // order in which they came.
-func serveInOrder[G comparable](b *Balancer, q *[]*Wait, group func(j Job) G) {
-	var left []*Wait
+func serveInOrder[G comparable](b *Balancer, q *[]*QueuedJob, group func(j Job) G) {
+	var left []*QueuedJob
 	full := make(map[G]bool)
 	for _, w := range *q {
 		if w.gone {
@@ -250,8 +250,8 @@
 
 // serveQueue places jobs that wait, in their order. Where one finds no place, neither do those
 // behind it, unless it needs more than they do.
-func (b *Balancer) serveQueue(q *[]*Wait, most int) {
-	var left []*Wait
+func (b *Balancer) serveQueue(q *[]*QueuedJob, most int) {
+	var left []*QueuedJob
 	for ; most > 0; most-- {
 		w := b.nextWaiter(q)
 		if w == nil {
@@ -276,10 +276,10 @@
 
 // needsMore reports whether the job may need more than those behind it: it is over an engine's
 // memory, or goes first since its size lags.
-func (w *Wait) needsMore() bool { return w.lag > 0 || giant(w.job) }
+func (w *QueuedJob) needsMore() bool { return w.lag > 0 || giant(w.job) }
 
 // passedOver reports whether the job is not tried once so many before it have found no place.
-func (w *Wait) passedOver(failed int) bool {
+func (w *QueuedJob) passedOver(failed int) bool {
 	if w.lag > 0 {
 		return failed >= lagTries
 	}
@@ -290,22 +290,22 @@
 // needs no more: where it has found no place, neither does the job.
 func (b *Balancer) waitsBefore(j Job) bool {
 	now := b.Clock.Now()
-	own := &Wait{job: j, lag: b.lag(j)}
-	return slices.ContainsFunc(b.heavyQueue, func(w *Wait) bool {
+	own := &QueuedJob{job: j, lag: b.lag(j)}
+	return slices.ContainsFunc(b.heavyQueue, func(w *QueuedJob) bool {
 		w.lag = b.lag(w.job)
 		return !w.gone && w.lag == 0 && w.job.Service == j.Service && w.before(own, now)
 	})
 }
 
 // holdAll notes why none of the jobs was tried.
-func holdAll(q []*Wait, h hold) {
+func holdAll(q []*QueuedJob, h hold) {
 	for _, w := range q {
 		w.held = h
 	}
 }
 
 // serve places a job that waits; it reports false if there is no place.
-func (b *Balancer) serve(w *Wait) bool {
+func (b *Balancer) serve(w *QueuedJob) bool {
 	p, h, err := b.try(w.job)
 	if err != nil || p == nil {
 		w.held = h
@@ -319,9 +319,9 @@
 // of short prompts that can still be in time, the one that came last, since the
 // ones before it are the likelier to be late; else the one that has waited
 // longest.
-func (b *Balancer) nextWaiter(q *[]*Wait) *Wait {
+func (b *Balancer) nextWaiter(q *[]*QueuedJob) *QueuedJob {
 	now := b.Clock.Now()
-	kept := slices.DeleteFunc(*q, func(w *Wait) bool { return w.gone })
+	kept := slices.DeleteFunc(*q, func(w *QueuedJob) bool { return w.gone })
 	*q = kept
 	if len(kept) == 0 {
 		return nil
@@ -345,32 +345,32 @@
 }
 
 // inTime reports whether a job that is placed now can still be in time.
-func (w *Wait) inTime(now time.Time) bool {
+func (w *QueuedJob) inTime(now time.Time) bool {
 	return now.Sub(w.job.first()) < w.job.Objective-answerTime
 }
 
 // before reports whether the job goes before another one.
-func (w *Wait) before(o *Wait, now time.Time) bool {
-	if w.job.Rank != o.job.Rank {
-		return w.job.Rank < o.job.Rank
+func (w *QueuedJob) before(o *QueuedJob, now time.Time) bool {
+	if w.job.Priority != o.job.Priority {
+		return w.job.Priority < o.job.Priority
 	}
-	if Heavy(w.job) && Heavy(o.job) {
+	if IsLongPrompt(w.job) && IsLongPrompt(o.job) {
 		return w.longBefore(o, now)
 	}
-	fresh, otherFresh := w.inTime(now) && !Heavy(w.job), o.inTime(now) && !Heavy(o.job)
+	fresh, otherFresh := w.inTime(now) && !IsLongPrompt(w.job), o.inTime(now) && !IsLongPrompt(o.job)
 	switch {
 	case fresh != otherFresh:
 		return fresh
 	case fresh:
-		return w.job.Since.After(o.job.Since)
+		return w.job.Arrival.After(o.job.Arrival)
 	default:
-		return w.job.Since.Before(o.job.Since)
+		return w.job.Arrival.Before(o.job.Arrival)
 	}
 }
 
 // longBefore reports whether a long prompt goes before another: those whose size lags the most
 // go first, then those that can still be in time, and of these the one that is read the soonest.
-func (w *Wait) longBefore(o *Wait, now time.Time) bool {
+func (w *QueuedJob) longBefore(o *QueuedJob, now time.Time) bool {
 	if w.lag != o.lag {
 		return w.lag > o.lag
 	}
@@ -378,11 +378,11 @@
 	if hopeful != otherHopeful {
 		return hopeful
 	}
-	return w.job.Prompt < o.job.Prompt
+	return w.job.PromptTokens < o.job.PromptTokens
 }
 
 // hopeful reports whether a long prompt that is placed now can be in time.
-func (w *Wait) hopeful(now time.Time) bool {
-	read := w.job.Cost.Read(w.job.Prompt) / maxHelpers
+func (w *QueuedJob) hopeful(now time.Time) bool {
+	read := w.job.Cost.Read(w.job.PromptTokens) / maxHelpers
 	return now.Add(read + w.job.Cost.Pass()).Before(w.job.first().Add(w.job.Objective))
 }
--- a/internal/balance/waiting_test.go
+++ b/internal/balance/waiting_test.go
@@ -69,7 +69,7 @@
 				f.clock.Advance(w.after)
 				go func() {
 					j := job(shortPrompt)
-					j.Rank = w.rank
+					j.Priority = w.rank
 					if _, err := f.Place(context.Background(), j); err == nil {
 						served <- w.name
 					}
@@ -92,15 +92,15 @@
 	c := quicktest.New(t)
 	f := newFixture(1)
 	first := f.place(t, job(longPrompt))
-	ask := func(prompt int) *balance.Wait {
-		_, w, err := f.Ask(context.Background(), job(prompt))
+	ask := func(prompt int) *balance.QueuedJob {
+		_, w, err := f.TryPlace(context.Background(), job(prompt))
 		c.Assert(err, quicktest.IsNil)
 		c.Assert(w, quicktest.IsNotNil)
 		return w
 	}
 	long := ask(longPrompt)
 	short := ask(longPrompt / 2)
-	first.First()
+	first.NoteFirstEvent()
 	first.Done(balance.Report{})
 	c.Check(short.Ready(), quicktest.HasLen, 1)
 	c.Check(long.Ready(), quicktest.HasLen, 0)
@@ -126,9 +126,9 @@
 			c := quicktest.New(t)
 			f := newFixture(18)
 			busy := balance.NewSnapshot()
-			busy.Demands[balance.KeyOf("s")] = balance.Demand{Heavy: 18}
+			busy.Demands[balance.KeyOf("s")] = balance.Demand{Long: 18}
 			for _, target := range f.targets {
-				busy.Work[balance.KeyOf(string(target.ID))] = balance.Work{Light: tc.streams}
+				busy.Work[balance.KeyOf(string(target.ID))] = balance.Work{Short: tc.streams}
 			}
 			f.SetOthers(busy)
 			slots := *cost
@@ -136,8 +136,8 @@
 			j := job(longPrompt)
 			j.Cost = &slots
 			j.Objective = 3 * time.Second
-			j.Since = f.clock.Now().Add(-tc.waited)
-			p, w, err := f.Ask(context.Background(), j)
+			j.Arrival = f.clock.Now().Add(-tc.waited)
+			p, w, err := f.TryPlace(context.Background(), j)
 			c.Assert(eris.Is(err, balance.ErrFull), quicktest.Equals, tc.refused)
 			c.Check(w != nil, quicktest.Equals, tc.waits)
 			if p != nil || tc.refused {
@@ -171,17 +171,17 @@
 			f := newFixture(1)
 			if tc.busy > 0 {
 				busy := balance.NewSnapshot()
-				busy.Work[balance.KeyOf("i-00")] = balance.Work{Backlog: tc.busy, Heavy: 1}
+				busy.Work[balance.KeyOf("i-00")] = balance.Work{Backlog: tc.busy, Long: 1}
 				f.SetOthers(busy)
 			}
 			j := job(longPrompt)
 			j.Objective = time.Minute
-			j.Until = f.clock.Now().Add(tc.left)
-			p, w, err := f.Ask(context.Background(), j)
+			j.FirstEventDeadline = f.clock.Now().Add(tc.left)
+			p, w, err := f.TryPlace(context.Background(), j)
 			c.Assert(w != nil, quicktest.Equals, tc.waits)
 			if w != nil {
-				c.Assert(w.Until().After(j.Until), quicktest.IsFalse)
-				f.clock.Advance(w.Until().Sub(f.clock.Now()))
+				c.Assert(w.Deadline().After(j.FirstEventDeadline), quicktest.IsFalse)
+				f.clock.Advance(w.Deadline().Sub(f.clock.Now()))
 				if tc.placed {
 					f.SetOthers(balance.NewSnapshot())
 				}
@@ -214,15 +214,15 @@
 			c := quicktest.New(t)
 			f := newFixture(1)
 			busy := balance.NewSnapshot()
-			busy.Work[balance.KeyOf("i-00")] = balance.Work{Backlog: time.Minute, Heavy: 1}
-			busy.Demands[balance.KeyOf("s")] = balance.Demand{Heavy: tc.demand}
+			busy.Work[balance.KeyOf("i-00")] = balance.Work{Backlog: time.Minute, Long: 1}
+			busy.Demands[balance.KeyOf("s")] = balance.Demand{Long: tc.demand}
 			f.SetOthers(busy)
 			j := job(60_000)
 			j.Objective = objective
-			j.First = f.clock.Now().Add(-tc.earlier)
-			_, w, err := f.Ask(context.Background(), j)
+			j.FirstArrival = f.clock.Now().Add(-tc.earlier)
+			_, w, err := f.TryPlace(context.Background(), j)
 			c.Assert(err, quicktest.IsNil)
-			c.Check(w.Until().Sub(f.clock.Now()), quicktest.Equals, tc.want)
+			c.Check(w.Deadline().Sub(f.clock.Now()), quicktest.Equals, tc.want)
 		})
 	}
 }
--- a/internal/balance/work.go
+++ b/internal/balance/work.go
@@ -15,31 +15,31 @@
 type Work struct {
 	// Light and Heavy count requests in progress: those with short prompts, or
 	// to plain services, and those with long prompts.
-	Light int
-	Heavy int
+	Short int
+	Long  int
 	// Unread counts the requests of Heavy whose prompt was not read yet.
-	Unread int
+	PendingPrefills int
 	// Backlog is the time that it takes to read what has not been read, and Led that
 	// of the parts which the lead has placed.
-	Backlog time.Duration
-	Led     time.Duration
+	Backlog     time.Duration
+	LeadBacklog time.Duration
 	// Memory is the KV memory, in tokens, that the requests take.
-	Memory int
+	KVTokens int
 	// Down counts boxes that could not reach the target a moment ago.
-	Down int
+	DownReports int
 }
 
 func (w *Work) add(o Work) { w.merge(o, 1) }
 
 // merge adds other work so many times; minus one takes it out again.
 func (w *Work) merge(o Work, times int) {
-	w.Light += times * o.Light
-	w.Heavy += times * o.Heavy
-	w.Unread += times * o.Unread
+	w.Short += times * o.Short
+	w.Long += times * o.Long
+	w.PendingPrefills += times * o.PendingPrefills
 	w.Backlog += time.Duration(times) * o.Backlog
-	w.Led += time.Duration(times) * o.Led
-	w.Memory += times * o.Memory
-	w.Down += times * o.Down
+	w.LeadBacklog += time.Duration(times) * o.LeadBacklog
+	w.KVTokens += times * o.KVTokens
+	w.DownReports += times * o.DownReports
 }
 
 // Key names a lifetime of a target, or a service, between boxes, in less room than its id.
@@ -63,7 +63,7 @@
 	Work    map[Key]Work
 	Demands map[Key]Demand
 	// Said is what targets have said of themselves to any of the boxes.
-	Said map[Key]Said
+	Statements map[Key]TimedStatement
 	// Suspects is what is known of requests under which targets have ended.
 	Suspects map[suspect.Digest]suspect.Evidence
 }
@@ -71,10 +71,10 @@
 // NewSnapshot returns an empty snapshot.
 func NewSnapshot() Snapshot {
 	return Snapshot{
-		Work:     make(map[Key]Work),
-		Demands:  make(map[Key]Demand),
-		Said:     make(map[Key]Said),
-		Suspects: make(map[suspect.Digest]suspect.Evidence),
+		Work:       make(map[Key]Work),
+		Demands:    make(map[Key]Demand),
+		Statements: make(map[Key]TimedStatement),
+		Suspects:   make(map[suspect.Digest]suspect.Evidence),
 	}
 }
 
@@ -82,8 +82,8 @@
 func (s Snapshot) Add(o Snapshot) {
 	s.merge(o, 1)
 	suspect.Join(s.Suspects, o.Suspects)
-	for k, said := range o.Said {
-		s.Said[k] = s.Said[k].join(said)
+	for k, said := range o.Statements {
+		s.Statements[k] = s.Statements[k].join(said)
 	}
 }
 
@@ -98,8 +98,8 @@
 	}
 	for k, d := range o.Demands {
 		sum := s.Demands[k]
-		sum.Light += float64(times) * d.Light
-		sum.Heavy += float64(times) * d.Heavy
+		sum.Short += float64(times) * d.Short
+		sum.Long += float64(times) * d.Long
 		s.Demands[k] = sum
 	}
 }
@@ -125,8 +125,8 @@
 		if len(state.parts) > 0 || state.down(now) {
 			s.Work[state.key] = state.own(now)
 		}
-		if told := state.heardHere.told(state.believed, now); told != (Said{}) {
-			s.Said[state.key] = told
+		if told := state.heardHere.told(state.believed, now); told != (TimedStatement{}) {
+			s.Statements[state.key] = told
 		}
 	}
 	suspect.Join(s.Suspects, b.Suspects.Told())
@@ -142,12 +142,12 @@
 func (s *state) own(now time.Time) Work {
 	var w Work
 	if s.down(now) {
-		w.Down = 1
+		w.DownReports = 1
 	}
 	for _, p := range s.parts {
 		w.add(p.work)
 		if p.led {
-			w.Led += p.remaining(now)
+			w.LeadBacklog += p.remaining(now)
 		} else {
 			w.Backlog += p.remaining(now)
 		}
@@ -165,10 +165,10 @@
 	w := s.own(now)
 	others := b.others.Work[s.key]
 	if now.Before(b.leadUntil) {
-		others.Led = 0 // This box knows better.
+		others.LeadBacklog = 0 // This box knows better.
 	}
 	w.add(others)
-	w.Backlog, w.Led = w.Backlog+w.Led, 0
+	w.Backlog, w.LeadBacklog = w.Backlog+w.LeadBacklog, 0
 	if b.seen == nil {
 		b.seen = make(map[barleystep.TargetID]Work)
 	}
--- a/internal/front/deliver.go
+++ b/internal/front/deliver.go
@@ -81,14 +81,14 @@
 	for dials, tries := 0, 0; ; {
 		asked := d.clock.Now()
 		x.progress.enter(PhaseWaiting, asked)
-		job.Until = x.patience()
+		job.FirstEventDeadline = x.patience()
 		placement, err := d.place(ctx, x, &job)
 		x.queued += d.clock.Now().Sub(asked)
 		if err != nil {
 			return d.ended(ctx, x, failed, err)
 		}
 		tries++
-		t := &try{stage: d, exchange: x, placement: placement, number: tries, alone: job.Ended > 0}
+		t := &try{stage: d, exchange: x, placement: placement, number: tries, alone: job.EndedTargets > 0}
 		res, err := t.run(ctx)
 		placement.Done(t.report(ctx, res))
 		if res == resultDone {
@@ -121,7 +121,7 @@
 	if x.answer.Begun() {
 		return d.ask(ctx, x, *job)
 	}
-	least := job.LeastWhole()
+	least := job.MinTotalTime()
 	if d.stop.before(least) {
 		return nil, errStopping
 	}
@@ -133,8 +133,8 @@
 		return nil, errStopping
 	case err != nil:
 		return nil, err
-	case d.stop.before(p.Expected() + job.Writing()):
-		p.Return()
+	case d.stop.before(p.ExpectedTTFT() + job.DecodeTime()):
+		p.Cancel()
 		return nil, errStopping
 	}
 	return p, nil
@@ -150,7 +150,7 @@
 		if !x.ran || !eris.Is(err, balance.ErrFull) || !clock.Sleep(ctx, d.clock, moveRetry) {
 			return p, err
 		}
-		job.Since = since // It has waited, and is counted as demand, once.
+		job.Arrival = since // It has waited, and is counted as demand, once.
 	}
 }
 
@@ -165,27 +165,27 @@
 	}
 	if t.blamed != "" {
 		job.Avoid = append(job.Avoid, t.blamed)
-		job.Near = job.Near || t.blamedFar()
+		job.LocalHelpers = job.LocalHelpers || t.blamedFar()
 		return
 	}
 	job.Avoid = append(job.Avoid, t.placement.Target.ID)
-	job.Alone = job.Alone || (res == resultNotRun && len(t.placement.Helpers) > 0)
+	job.NoHelpers = job.NoHelpers || (res == resultNotRun && len(t.placement.Helpers) > 0)
 }
 
 func (d *deliver) job(x *Exchange) balance.Job {
 	j := balance.Job{
-		Request:   x.call.RequestID,
-		Service:   x.service,
-		Prompt:    x.call.PromptTokens,
-		Output:    x.call.MaxOutputTokens,
-		Objective: x.route.Objective,
-		Rank:      x.rank,
-		First:     x.firstTry,
-		Returned:  x.firstTry.Before(x.started),
+		RequestID:    x.call.RequestID,
+		Service:      x.service,
+		PromptTokens: x.call.PromptTokens,
+		OutputTokens: x.call.MaxOutputTokens,
+		Objective:    x.route.Objective,
+		Priority:     x.rank,
+		FirstArrival: x.firstTry,
+		CallerRetry:  x.firstTry.Before(x.started),
 	}
 	if s := x.view.Service(x.service); s != nil {
 		j.Cost = s.Cost
-		j.Tightest = x.view.TightestPause(x.service)
+		j.MaxPause = x.view.TightestPause(x.service)
 	}
 	return j
 }
@@ -218,7 +218,7 @@
 	if x.ran {
 		outcome = barleystep.OutcomeUnknown
 	}
-	if eris.Is(err, balance.ErrRefused) || eris.Is(context.Cause(ctx), balance.ErrRefused) {
+	if eris.Is(err, balance.ErrSuspectRefused) || eris.Is(context.Cause(ctx), balance.ErrSuspectRefused) {
 		return d.endsTargets(x, outcome)
 	}
 	end := d.endOf(ctx, err)
@@ -275,12 +275,12 @@
 
 // notTaken refuses a request that no target has run. It is in vain, or may come back.
 func (d *deliver) notTaken(x *Exchange, err error) *barleystep.Refusal {
-	x.passed = d.balancer.PassedOver(x.service)
+	x.passed = d.balancer.DecliningTargets(x.service)
 	switch {
-	case eris.Is(err, balance.ErrInVain):
+	case eris.Is(err, balance.ErrCannotMeetDeadline):
 		return notRun(barleystep.ReasonDeadlineCannotBeMet, "No target could answer in the time that is left.", 0)
 	case eris.Is(err, balance.ErrFull):
-		after := max(x.comeBack(d.clock.Now()), d.balancer.RestLeft(d.job(x)))
+		after := max(x.comeBack(d.clock.Now()), d.balancer.RestRemaining(d.job(x)))
 		return notRun(barleystep.ReasonQueueFull, "All targets are full.", after)
 	default:
 		return notRun(barleystep.ReasonNoTarget, "No target took the request.", fullPause)
--- a/internal/front/helper.go
+++ b/internal/front/helper.go
@@ -31,7 +31,7 @@
 	if len(t.silent) == 0 {
 		return nil
 	}
-	left := t.placement.LeaveOut(t.silent)
+	left := t.placement.DropHelpers(t.silent)
 	t.stage.log.Info().Str("request", t.exchange.call.RequestID).Str("target", string(t.placement.Target.ID)).
 		Strs("silent", names(t.silent)).Bool("goes_on", left).Dur("within", helperTimeout).
 		Msg(logPrefix + "Helpers cannot be reached. They are left out.")
@@ -54,7 +54,7 @@
 		wait.Go(func() {
 			reached[i] = t.stage.pool.Reach(asking, h.Addr) == nil
 			if !reached[i] && asking.Err() == nil {
-				t.placement.Gone(h.ID)
+				t.placement.NoteUnreachable(h.ID)
 			}
 		})
 	}
--- a/internal/front/helper_test.go
+++ b/internal/front/helper_test.go
@@ -98,7 +98,7 @@
 				f.targets = append(f.targets, fleet.Target{ID: id, Service: "engines", Addr: gone, Slots: 4})
 			}
 			told := balance.NewSnapshot()
-			told.Work[balance.KeyOf("alive")] = balance.Work{Memory: 990, Heavy: 1} // It is the last choice.
+			told.Work[balance.KeyOf("alive")] = balance.Work{KVTokens: 990, Long: 1} // It is the last choice.
 			f.front.Balancer.SetOthers(told)
 			got := f.ask(t, http.MethodPost, "/giant/", "", "Prompt", "800")
 			quicktest.Check(t, got.status, quicktest.Equals, http.StatusOK)
--- a/internal/front/leaving_test.go
+++ b/internal/front/leaving_test.go
@@ -36,7 +36,7 @@
 			f := newFixture(t, state{view: newView()}, answersAfter(tc.first)...)
 			got := sentOn(t, f, tc.path, tc.status)
 			first := barleystep.TargetID(f.target.requests[0].Header.Get("Instance"))
-			quicktest.Check(t, f.front.Balancer.Belief(first).Said.Leaving.Value, quicktest.Equals, tc.left)
+			quicktest.Check(t, f.front.Balancer.TargetStatus(first).Statement.Leaving.Value, quicktest.Equals, tc.left)
 			quicktest.Check(t, !tc.left || got == 0, quicktest.IsTrue, quicktest.Commentf("%d sent on", got))
 		})
 	}
@@ -52,7 +52,7 @@
 	c.Check(got.status, quicktest.Equals, http.StatusServiceUnavailable)
 	leaving := 0
 	for _, target := range f.targets {
-		if f.front.Balancer.Belief(target.ID).Said.Leaving.Value {
+		if f.front.Balancer.TargetStatus(target.ID).Statement.Leaving.Value {
 			leaving++
 		}
 	}
@@ -82,7 +82,7 @@
 	}
 	leaving := 0
 	for _, target := range f.targets {
-		if f.front.Balancer.Belief(target.ID).Said.Leaving.Value {
+		if f.front.Balancer.TargetStatus(target.ID).Statement.Leaving.Value {
 			leaving++
 		}
 	}
--- a/internal/front/relay.go
+++ b/internal/front/relay.go
@@ -66,7 +66,7 @@
 		return data, nil
 	}
 	w.progress()
-	t.placement.Heard()
+	t.placement.NoteEvent()
 	x := t.exchange
 	fresh := data[:end]
 	for x.last != "" && len(fresh) > 0 {
@@ -98,7 +98,7 @@
 	x := t.exchange
 	if t.first == 0 {
 		t.first = t.stage.clock.Now().Sub(t.started)
-		t.placement.First()
+		t.placement.NoteFirstEvent()
 		t.showBegun()
 	}
 	if x.answer.Begun() {
--- a/internal/front/reserve.go
+++ b/internal/front/reserve.go
@@ -45,7 +45,7 @@
 	var list []barleystep.Helper
 	for _, h := range t.placement.Helpers {
 		id := ""
-		if h.Memory > 0 {
+		if h.KVTokens > 0 {
 			id = t.reservationID()
 		}
 		list = append(list, barleystep.Helper{Addr: h.Addr, ReservationID: id})
@@ -62,8 +62,8 @@
 // keeps it until the context ends.
 func (t *try) reserve(ctx context.Context) error {
 	for _, h := range t.placement.Helpers {
-		if h.Memory > 0 {
-			r := barleystep.Reservation{ID: t.reservationID(), Tokens: h.Memory, Hold: holdTime}
+		if h.KVTokens > 0 {
+			r := barleystep.Reservation{ID: t.reservationID(), Tokens: h.KVTokens, Hold: holdTime}
 			t.reserved = append(t.reserved, reservation{h.ID, h.Addr, r})
 		}
 	}
@@ -133,7 +133,7 @@
 // reserveAt sets memory aside at a helper. One that has started anew holds nothing of the
 // prompt: setting memory aside there would keep it from others.
 func (t *try) reserveAt(ctx context.Context, r reservation) bool {
-	if t.placement.Over(r.target) {
+	if t.placement.HasRestarted(r.target) {
 		return true
 	}
 	req, body := t.stage.protocol.ReserveRequest(r.Reservation)
@@ -165,7 +165,7 @@
 	defer resp.Body.Close()
 	if !misdirected(resp) {
 		// Answers to orders may lack words that others carry: they take nothing back.
-		t.placement.Says(r.target, t.stage.protocol.ReadResponseHead(resp.StatusCode, resp.Header).Statement, time.Time{})
+		t.placement.NoteStatement(r.target, t.stage.protocol.ReadResponseHead(resp.StatusCode, resp.Header).Statement, time.Time{})
 	}
 	if _, err = io.Copy(io.Discard, io.LimitReader(resp.Body, answerBytes)); err != nil {
 		return 0
--- a/internal/front/restart_test.go
+++ b/internal/front/restart_test.go
@@ -99,7 +99,7 @@
 				// The try may have been heard of a moment ago: it is told again.
 				manual.Advance(300 * time.Millisecond)
 				lives.say(id, int64(200+i))
-				f.front.Balancer.Renew()
+				f.front.Balancer.DetectRestarts()
 				runtime.Gosched()
 			}
 			c.Check(f.target.count() == 2, quicktest.Equals, tc.moves)
@@ -112,7 +112,7 @@
 				c.Check(got.broken, quicktest.IsFalse)
 				c.Check(strings.HasSuffix(got.body, tc.end), quicktest.IsTrue, quicktest.Commentf("body %q", got.body))
 			}
-			c.Check(f.front.Balancer.Down(id), quicktest.IsFalse)
+			c.Check(f.front.Balancer.IsDown(id), quicktest.IsFalse)
 		})
 	}
 }
@@ -138,7 +138,7 @@
 	before := strings.Count(f.target.kinds(), "R")
 	manual.Advance(300 * time.Millisecond)
 	lives.say("", 200)
-	f.front.Balancer.Renew()
+	f.front.Balancer.DetectRestarts()
 	for range 20 {
 		manual.Advance(time.Second)
 		for range 100 {
@@ -175,7 +175,7 @@
 			f := newFixture(t, state{view: view}, refuse)
 			f.target.orders = []step{whole(http.StatusOK, "", "")}
 			f.ask(t, http.MethodPost, "/giant/", "", "Prompt", "1200")
-			c.Check(f.front.Balancer.Down(barleystep.TargetID(asked)), quicktest.Equals, tc.down)
+			c.Check(f.front.Balancer.IsDown(barleystep.TargetID(asked)), quicktest.Equals, tc.down)
 		})
 	}
 }
--- a/internal/front/silence_test.go
+++ b/internal/front/silence_test.go
@@ -81,7 +81,7 @@
 	<-begun
 	told := balance.NewSnapshot()
 	for _, id := range []string{"a", "b"} {
-		told.Work[balance.KeyOf(id)] = balance.Work{Down: 1}
+		told.Work[balance.KeyOf(id)] = balance.Work{DownReports: 1}
 	}
 	f.front.Balancer.SetOthers(told)
 	for f.target.count() < 2 { // A target that is up would be given a day.
--- a/internal/front/suspect.go
+++ b/internal/front/suspect.go
@@ -31,7 +31,7 @@
 func (s *Server) cutRefused(d suspect.Digest, size int) {
 	for _, x := range s.running.oldest(math.MaxInt) {
 		if phase, _, _ := x.progress.look(); phase != PhaseReading && len(x.body) == size && x.identity() == d {
-			x.cut(balance.ErrRefused)
+			x.cut(balance.ErrSuspectRefused)
 		}
 	}
 }
@@ -43,12 +43,12 @@
 	if !book.Concerns(len(x.body)) {
 		return nil
 	}
-	job.Suspect, job.Ended = suspect.Digest{}, 0
+	job.Suspect, job.EndedTargets = suspect.Digest{}, 0
 	switch standing, _ := book.Standing(x.identity()); standing {
 	case suspect.Refused:
-		return balance.ErrRefused
+		return balance.ErrSuspectRefused
 	case suspect.Alone:
-		job.Suspect, job.Ended = x.identity(), len(book.Known(x.identity()).Ends())
+		job.Suspect, job.EndedTargets = x.identity(), len(book.Known(x.identity()).Ends())
 	}
 	return nil
 }
@@ -118,9 +118,9 @@
 		wait.Go(func() {
 			refuses := t.stage.pool.Refuses(asking, target.Addr)
 			if refuses {
-				t.placement.Gone(target.ID)
+				t.placement.NoteUnreachable(target.ID)
 			}
-			gone[i] = refuses || t.placement.Over(target.ID)
+			gone[i] = refuses || t.placement.HasRestarted(target.ID)
 		})
 	}
 	wait.Wait()
@@ -146,5 +146,5 @@
 	if res == resultNotRun && t.blamed != "" {
 		ids = append(ids, t.blamed)
 	}
-	return t.stage.balancer.Staying(ids)
+	return t.stage.balancer.NotLeaving(ids)
 }
--- a/internal/front/try.go
+++ b/internal/front/try.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		return resultNotSent, err
 	}
-	if !t.placement.Stands() {
+	if !t.placement.IsValid() {
 		c.Release(nil)
 		t.unplaced = true
 		return resultNotSent, eris.Wrap(barleystep.ErrNotStarted, errWithdrawn.Error())
@@ -107,7 +107,7 @@
 	x.sends++
 	x.target = t.placement.Target.ID
 	x.helpers = len(t.placement.Helpers)
-	x.expected = t.placement.Expected()
+	x.expected = t.placement.ExpectedTTFT()
 	t.sent = t.stage.clock.Now()
 	x.progress.sendTo(x.target, t.sent)
 	resp, err := c.Send(ctx, t.request(left), x.body, t.mine)
@@ -138,7 +138,7 @@
 		ids[i] = h.ID
 	}
 	t.stage.log.Info().Str("request", t.exchange.call.RequestID).Str("target", string(t.placement.Target.ID)).
-		Strs("helpers", names(ids)).Int("prompt", t.exchange.call.PromptTokens).Dur("expected", t.placement.Expected()).
+		Strs("helpers", names(ids)).Int("prompt", t.exchange.call.PromptTokens).Dur("expected", t.placement.ExpectedTTFT()).
 		Msg(logPrefix + "Several targets read the prompt.")
 }
 
@@ -222,7 +222,7 @@
 	verdict := t.stage.protocol.ReadResponseHead(resp.StatusCode, resp.Header)
 	t.moved = misdirected(resp) && t.helperNamed(verdict.RefusedBy) == ""
 	if !t.moved {
-		t.placement.Says(t.placement.Target.ID, verdict.Statement, t.sent)
+		t.placement.NoteStatement(t.placement.Target.ID, verdict.Statement, t.sent)
 	}
 	t.head = reply.FromTarget(t.placement.Target.ID, resp, verdict.HasDigest)
 	if verdict.NotRun {
@@ -291,11 +291,11 @@
 // report tells the balancer what was learnt of the target.
 func (t *try) report(ctx context.Context, res result) balance.Report {
 	return balance.Report{
-		Unreachable: ctx.Err() == nil && res == resultNotSent && !t.noMemory && !t.unplaced,
-		Failed:      ctx.Err() == nil && res == resultBroken,
-		Error:       res == resultFailed,
-		Full:        res == resultNotRun && t.blamed == "",
-		Helper:      t.blamed,
-		Moved:       t.moved,
+		Unreachable:       ctx.Err() == nil && res == resultNotSent && !t.noMemory && !t.unplaced,
+		Failed:            ctx.Err() == nil && res == resultBroken,
+		Error:             res == resultFailed,
+		Full:              res == resultNotRun && t.blamed == "",
+		UnreachableHelper: t.blamed,
+		Moved:             t.moved,
 	}
 }
--- a/internal/front/watch.go
+++ b/internal/front/watch.go
@@ -58,7 +58,7 @@
 		return w
 	}
 	w.pause = max(pauseFactor*x.route.MaxPause, leastSilence)
-	first := max(firstFactor*x.route.Objective, leastSilence) + waitFactor*t.placement.Expected()
+	first := max(firstFactor*x.route.Objective, leastSilence) + waitFactor*t.placement.ExpectedTTFT()
 	w.heard = w.clock.Now()
 	w.until = w.heard.Add(first)
 	go w.run()
@@ -103,7 +103,7 @@
 }
 
 // targetDown reports whether the try's target seems to be down.
-func (t *try) targetDown() bool { return t.stage.balancer.Down(t.placement.Target.ID) }
+func (t *try) targetDown() bool { return t.stage.balancer.IsDown(t.placement.Target.ID) }
 
 // progress notes that the target sent something.
 func (w *watch) progress() {
@@ -126,11 +126,11 @@
 		return true
 	}
 	job := t.stage.job(t.exchange)
-	if t.stage.stop.before(job.LeastWhole()) {
+	if t.stage.stop.before(job.MinTotalTime()) {
 		return false
 	}
 	job.Avoid = append(job.Avoid, t.placement.Target.ID)
-	if !t.stage.balancer.HasRoom(job) || !t.stage.budget.Retry(t.exchange.service) {
+	if !t.stage.balancer.HasFreeSlot(job) || !t.stage.budget.Retry(t.exchange.service) {
 		return false
 	}
 	t.paid.Store(true)
--- a/internal/gossip/bench_internal_test.go
+++ b/internal/gossip/bench_internal_test.go
@@ -21,9 +21,9 @@
 			s := balance.NewSnapshot()
 			for i := range tc.targets {
 				key := balance.KeyOf(fmt.Sprint("i-", i))
-				s.Work[key] = balance.Work{Light: 12, Heavy: 2, Unread: 1, Backlog: 350 * time.Millisecond, Memory: 300_000}
+				s.Work[key] = balance.Work{Short: 12, Long: 2, PendingPrefills: 1, Backlog: 350 * time.Millisecond, KVTokens: 300_000}
 			}
-			s.Demands[1] = balance.Demand{Light: 2.5, Heavy: 9.5}
+			s.Demands[1] = balance.Demand{Short: 2.5, Long: 9.5}
 			size := 0
 			for b.Loop() {
 				d := &gossipv1.Datagram{Box: "edge-cluj-hala1-1", Hall: "cluj-hala1", Incarnation: 1 << 60, Sequence: 5000, SentNs: 1 << 40, EchoNs: 1 << 40, HeldNs: 1 << 25, EchoIncarnation: 1 << 60, Topics: []*gossipv1.TopicState{{Changed: 300, ProofAgeNs: 1 << 30}, {Changed: 3000, ProofAgeNs: 1 << 30}}}
@@ -55,10 +55,10 @@
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
 			s := balance.NewSnapshot()
 			for i := range targets {
-				s.Said[balance.KeyOf(fmt.Sprint("i-", i))] = balance.Said{
-					Limit:   balance.Word[barleystep.RateLimit]{Value: barleystep.NewRateLimit(1.5), At: now.Add(-time.Second)},
-					Leaving: balance.Word[bool]{Value: true, At: now.Add(-time.Second)},
-					Rest:    balance.Word[time.Time]{Value: now.Add(time.Second), At: now.Add(-time.Second)},
+				s.Statements[balance.KeyOf(fmt.Sprint("i-", i))] = balance.TimedStatement{
+					Limit:   balance.Timed[barleystep.RateLimit]{Value: barleystep.NewRateLimit(1.5), At: now.Add(-time.Second)},
+					Leaving: balance.Timed[bool]{Value: true, At: now.Add(-time.Second)},
+					Rest:    balance.Timed[time.Time]{Value: now.Add(time.Second), At: now.Add(-time.Second)},
 				}
 			}
 			size := 0
@@ -98,7 +98,7 @@
 				s.Suspects[digest] = suspect.NewEvidence(20_000, ends, time.Time{}, now.Add(-time.Second))
 			}
 			for i := range tc.limits {
-				s.Said[balance.Key(i+1)] = balance.Said{Limit: balance.Word[barleystep.RateLimit]{Value: barleystep.NewRateLimit(1.5), At: now.Add(-time.Second)}}
+				s.Statements[balance.Key(i+1)] = balance.TimedStatement{Limit: balance.Timed[barleystep.RateLimit]{Value: barleystep.NewRateLimit(1.5), At: now.Add(-time.Second)}}
 			}
 			size := 0
 			for b.Loop() {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -121,8 +121,8 @@
 
 func start(t *testing.T, r *registry, name, hall string, target int, conf *known) *box {
 	own := balance.NewSnapshot()
-	own.Work[balance.Key(target)] = balance.Work{Light: 1, Backlog: time.Millisecond}
-	own.Demands[1] = balance.Demand{Light: 0.5}
+	own.Work[balance.Key(target)] = balance.Work{Short: 1, Backlog: time.Millisecond}
+	own.Demands[1] = balance.Demand{Short: 0.5}
 	b := &box{books: &books{own: own, others: make(chan balance.Snapshot, 1000)}, known: conf}
 	b.node = &gossip.Node{
 		Clock:     clock.System{},
--- a/internal/gossip/incarnation_internal_test.go
+++ b/internal/gossip/incarnation_internal_test.go
@@ -21,7 +21,7 @@
 	said := func(incarnation, sequence uint64, light int) *datagram {
 		d := &datagram{Box: "other", Hall: "h", Incarnation: incarnation, Sequence: sequence}
 		s := balance.NewSnapshot()
-		s.Work[target] = balance.Work{Light: light}
+		s.Work[target] = balance.Work{Short: light}
 		fill(d, s, time.Time{})
 		return d
 	}
@@ -47,7 +47,7 @@
 			for _, d := range tc.datagrams {
 				n.receive(context.Background(), d, netip.MustParseAddrPort("10.0.0.1:1"))
 			}
-			quicktest.Check(t, n.members["other"].own.Work[target].Light, quicktest.Equals, tc.want)
+			quicktest.Check(t, n.members["other"].own.Work[target].Short, quicktest.Equals, tc.want)
 		})
 	}
 }
--- a/internal/gossip/role.go
+++ b/internal/gossip/role.go
@@ -27,9 +27,9 @@
 // role returns this box's part among the boxes that it knows.
 func (n *Node) role(now time.Time) balance.Role {
 	return balance.Role{
-		Leads:   n.leads(now),
-		Boxes:   n.count(now),
-		Reached: n.reached(now),
+		IsLead:    n.leads(now),
+		Boxes:     n.count(now),
+		Reachable: n.reached(now),
 	}
 }
 
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -23,30 +23,30 @@
 		}
 		d.Work = append(d.Work, &gossipv1.TargetWork{
 			Target:    uint32(key),
-			Light:     int32(w.Light),
-			Heavy:     int32(w.Heavy),
+			Light:     int32(w.Short),
+			Heavy:     int32(w.Long),
 			BacklogUs: w.Backlog.Microseconds(),
-			LedUs:     w.Led.Microseconds(),
-			Memory:    int64(w.Memory),
-			Unread:    int32(w.Unread),
-			Down:      int32(w.Down),
+			LedUs:     w.LeadBacklog.Microseconds(),
+			Memory:    int64(w.KVTokens),
+			Unread:    int32(w.PendingPrefills),
+			Down:      int32(w.DownReports),
 		})
 	}
 	for key, demand := range s.Demands {
 		d.Demands = append(d.Demands, &gossipv1.ServiceDemand{
 			Service:    uint32(key),
-			LightMilli: int32(demand.Light * perMilli),
-			HeavyMilli: int32(demand.Heavy * perMilli),
+			LightMilli: int32(demand.Short * perMilli),
+			HeavyMilli: int32(demand.Long * perMilli),
 		})
 	}
 	fillSuspects(d, s.Suspects, now)
-	for key, said := range s.Said {
+	for key, said := range s.Statements {
 		d.Statements = append(d.Statements, statement(key, said, now))
 	}
 }
 
 // statement writes what a target has said of itself.
-func statement(key balance.Key, said balance.Said, now time.Time) *gossipv1.TargetStatement {
+func statement(key balance.Key, said balance.TimedStatement, now time.Time) *gossipv1.TargetStatement {
 	w := &gossipv1.TargetStatement{Target: uint32(key)}
 	if l := said.Limit; !l.At.IsZero() {
 		w.Limit = &gossipv1.LimitWord{Named: l.Value.IsSet(), PerSecond: l.Value.PerSecond(), AgeUs: now.Sub(l.At).Microseconds()}
@@ -57,14 +57,14 @@
 	if l := said.Rest; !l.At.IsZero() {
 		w.Rest = &gossipv1.RestWord{LeftUs: l.Value.Sub(now).Microseconds(), AgeUs: now.Sub(l.At).Microseconds()}
 	}
-	if l := said.Blamed; !l.At.IsZero() {
+	if l := said.HelperBackoff; !l.At.IsZero() {
 		w.Blamed = &gossipv1.RestWord{LeftUs: l.Value.Sub(now).Microseconds(), AgeUs: now.Sub(l.At).Microseconds()}
 	}
 	return w
 }
 
 // saidIn reads what a target has said of itself.
-func saidIn(w *gossipv1.TargetStatement, now time.Time) (said balance.Said) {
+func saidIn(w *gossipv1.TargetStatement, now time.Time) (said balance.TimedStatement) {
 	if l := w.GetLimit(); l != nil {
 		said.Limit.At = ago(now, l.GetAgeUs())
 		if l.GetNamed() {
@@ -72,13 +72,13 @@
 		}
 	}
 	if l := w.GetLeaving(); l != nil {
-		said.Leaving = balance.Word[bool]{Value: l.GetLeaving(), At: ago(now, l.GetAgeUs())}
+		said.Leaving = balance.Timed[bool]{Value: l.GetLeaving(), At: ago(now, l.GetAgeUs())}
 	}
 	if l := w.GetRest(); l != nil {
-		said.Rest = balance.Word[time.Time]{Value: ago(now, -l.GetLeftUs()), At: ago(now, l.GetAgeUs())}
+		said.Rest = balance.Timed[time.Time]{Value: ago(now, -l.GetLeftUs()), At: ago(now, l.GetAgeUs())}
 	}
 	if l := w.GetBlamed(); l != nil {
-		said.Blamed = balance.Word[time.Time]{Value: ago(now, -l.GetLeftUs()), At: ago(now, l.GetAgeUs())}
+		said.HelperBackoff = balance.Timed[time.Time]{Value: ago(now, -l.GetLeftUs()), At: ago(now, l.GetAgeUs())}
 	}
 	return said
 }
@@ -148,24 +148,24 @@
 	s := balance.NewSnapshot()
 	for _, w := range d.GetWork() {
 		s.Work[balance.Key(w.GetTarget())] = balance.Work{
-			Light:   int(w.GetLight()),
-			Heavy:   int(w.GetHeavy()),
-			Backlog: time.Duration(w.GetBacklogUs()) * time.Microsecond,
-			Led:     time.Duration(w.GetLedUs()) * time.Microsecond,
-			Memory:  int(w.GetMemory()),
-			Unread:  int(w.GetUnread()),
-			Down:    int(w.GetDown()),
+			Short:           int(w.GetLight()),
+			Long:            int(w.GetHeavy()),
+			Backlog:         time.Duration(w.GetBacklogUs()) * time.Microsecond,
+			LeadBacklog:     time.Duration(w.GetLedUs()) * time.Microsecond,
+			KVTokens:        int(w.GetMemory()),
+			PendingPrefills: int(w.GetUnread()),
+			DownReports:     int(w.GetDown()),
 		}
 	}
 	for _, demand := range d.GetDemands() {
 		s.Demands[balance.Key(demand.GetService())] = balance.Demand{
-			Light: float64(demand.GetLightMilli()) / perMilli,
-			Heavy: float64(demand.GetHeavyMilli()) / perMilli,
+			Short: float64(demand.GetLightMilli()) / perMilli,
+			Long:  float64(demand.GetHeavyMilli()) / perMilli,
 		}
 	}
 	s.Suspects = suspectsOf(d, now)
 	for _, w := range d.GetStatements() {
-		s.Said[balance.Key(w.GetTarget())] = saidIn(w, now)
+		s.Statements[balance.Key(w.GetTarget())] = saidIn(w, now)
 	}
 	return s
 }
--- a/internal/lab/call.go
+++ b/internal/lab/call.go
@@ -103,15 +103,15 @@
 	kind := d.load.Kinds[r.kind]
 	first := d.timeline.Now().Add(r.at - d.timeline.Elapsed())
 	return balance.Job{
-		Service:   service,
-		Prompt:    r.prompt,
-		Output:    r.events * d.load.Cost.Stride,
-		Objective: kind.Objective,
-		Cost:      &d.load.Cost,
-		Tightest:  r.tightest,
-		First:     first,
-		Returned:  r.tries > 1,
-		Until:     first.Add(kind.Deadline),
+		Service:            service,
+		PromptTokens:       r.prompt,
+		OutputTokens:       r.events * d.load.Cost.Stride,
+		Objective:          kind.Objective,
+		Cost:               &d.load.Cost,
+		MaxPause:           r.tightest,
+		FirstArrival:       first,
+		CallerRetry:        r.tries > 1,
+		FirstEventDeadline: first.Add(kind.Deadline),
 	}
 }
 
@@ -126,7 +126,7 @@
 	j.Avoid = avoid
 	j.Hall = b.balancer.Hall
 	asked := d.boxes[0] // It is the lead.
-	p, w, err := asked.balancer.Ask(context.Background(), j)
+	p, w, err := asked.balancer.TryPlace(context.Background(), j)
 	switch {
 	case err != nil:
 		d.refuse(r, err)
@@ -170,13 +170,13 @@
 
 // waiting is a request that waits at a box for a place.
 type waiting struct {
-	wait  *balance.Wait
+	wait  *balance.QueuedJob
 	box   *box // box is where its caller asked.
 	avoid []barleystep.TargetID
 }
 
 // wait keeps a request until the balancer that was asked has a place for it.
-func (d *day) wait(asked, b *box, r *request, avoid []barleystep.TargetID, w *balance.Wait) {
+func (d *day) wait(asked, b *box, r *request, avoid []barleystep.TargetID, w *balance.QueuedJob) {
 	asked.waits[r] = waiting{w, b, avoid}
 	asked.order = append(asked.order, r)
 	r.abandon = func() {
@@ -185,7 +185,7 @@
 			p.Done(balance.Report{})
 		}
 	}
-	d.timeline.After(w.Until().Sub(d.timeline.Now()), func() {
+	d.timeline.After(w.Deadline().Sub(d.timeline.Now()), func() {
 		if asked.waits[r].wait != w {
 			return
 		}
@@ -234,7 +234,7 @@
 	c := &choice{first: d.byID[p.Target.ID], placement: p, memory: -1}
 	for _, h := range p.Helpers {
 		c.helpers = append(c.helpers, d.byID[h.ID])
-		if h.Memory > 0 {
+		if h.KVTokens > 0 {
 			c.memory = 0
 		}
 	}
@@ -295,9 +295,9 @@
 	}
 	if silent := c.silent(); len(silent) > 0 {
 		for _, id := range silent {
-			c.placement.Gone(id)
+			c.placement.NoteUnreachable(id)
 		}
-		if !c.placement.LeaveOut(silent) {
+		if !c.placement.DropHelpers(silent) {
 			d.replace(b, r, append(slices.Clone(avoid), silent...), c)
 			return
 		}
@@ -310,7 +310,7 @@
 		unhelped: func() { a.again(balance.Report{}, c.dead()) },
 	}
 	a.run.news = a.leave
-	a.run.down = func(e *engine) bool { return b.balancer.Down(e.id()) }
+	a.run.down = func(e *engine) bool { return b.balancer.IsDown(e.id()) }
 	r.run = a.run
 	r.abandon = func() { a.end(balance.Report{}) }
 	d.timeline.After(network, func() {
@@ -329,7 +329,7 @@
 	}
 	a.day.event(r, a.day.load.Kinds[r.kind], p)
 	if a.choice.placement != nil {
-		a.choice.placement.First()
+		a.choice.placement.NoteFirstEvent()
 	}
 	if r.got >= r.events {
 		r.end(causeNone)
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -149,7 +149,7 @@
 		if i > 0 {
 			b.balancer.Lead = lead{d, d.boxes[0].balancer}
 		}
-		b.balancer.SetRole(balance.Role{Leads: i == 0, Boxes: d.load.Boxes, Reached: d.load.Boxes})
+		b.balancer.SetRole(balance.Role{IsLead: i == 0, Boxes: d.load.Boxes, Reachable: d.load.Boxes})
 		d.boxes = append(d.boxes, b)
 	}
 }
@@ -166,9 +166,9 @@
 }
 
 // Read tells the lead after the network's delay.
-func (l lead) Read(plan uint64) {
+func (l lead) PrefillDone(plan uint64) {
 	l.day.timeline.After(network, func() {
-		l.balancer.EndRead(plan)
+		l.balancer.PrefillDone(plan)
 		l.day.poll(l.day.boxes[0])
 	})
 }
--- a/internal/lab/limit.go
+++ b/internal/lab/limit.go
@@ -104,7 +104,7 @@
 		}
 	}
 	if a.choice.placement != nil {
-		a.choice.placement.Says(a.choice.placement.Target.ID, barleystep.Statement{Limit: e.limit()}, a.sent)
+		a.choice.placement.NoteStatement(a.choice.placement.Target.ID, barleystep.Statement{Limit: e.limit()}, a.sent)
 	}
 }
 
--- a/internal/lab/rebirth.go
+++ b/internal/lab/rebirth.go
@@ -44,7 +44,7 @@
 	}
 	e.target.Born = d.timeline.Elapsed().Milliseconds()
 	for _, b := range d.boxes {
-		b.balancer.Renew()
+		b.balancer.DetectRestarts()
 		d.poll(b)
 	}
 	for _, r := range lost {
--- a/internal/lead/client.go
+++ b/internal/lead/client.go
@@ -62,12 +62,12 @@
 // Place asks the lead for the engines of a prompt, again and again while the prompt has
 // to wait for them.
 func (c *Client) Place(ctx context.Context, j balance.Job) (plan balance.Plan, err error) {
-	if !balance.Heavy(j) && c.silent() {
+	if !balance.IsLongPrompt(j) && c.silent() {
 		return balance.Plan{}, errSilent
 	}
 	for {
 		plan, err = c.ask(ctx, j)
-		if !eris.Is(err, balance.ErrWaiting) || ctx.Err() != nil {
+		if !eris.Is(err, balance.ErrStillWaiting) || ctx.Err() != nil {
 			return plan, err
 		}
 	}
@@ -76,18 +76,18 @@
 func (c *Client) ask(ctx context.Context, j balance.Job) (plan balance.Plan, err error) {
 	addr, ok := c.Addr()
 	if !ok {
-		return balance.Plan{}, balance.ErrHere
+		return balance.Plan{}, balance.ErrIsLead
 	}
 	now := c.Clock.Now()
 	asking, cancel := clock.WithDeadline(ctx, c.Clock, now.Add(holdTime(j)+answerTime))
 	defer cancel()
 	m := requestOf(j)
-	m.WaitedMs = max(now.Sub(j.Since), 0).Milliseconds() // Zero on the first question.
-	if !j.First.IsZero() {
-		m.EarlierMs = max(j.Since.Sub(j.First), 0).Milliseconds()
+	m.WaitedMs = max(now.Sub(j.Arrival), 0).Milliseconds() // Zero on the first question.
+	if !j.FirstArrival.IsZero() {
+		m.EarlierMs = max(j.Arrival.Sub(j.FirstArrival), 0).Milliseconds()
 	}
-	if !j.Until.IsZero() {
-		m.LeftMs = max(j.Until.Sub(now).Milliseconds(), 1)
+	if !j.FirstEventDeadline.IsZero() {
+		m.LeftMs = max(j.FirstEventDeadline.Sub(now).Milliseconds(), 1)
 	}
 	resp, err := c.service(addr).Place(asking, connect.NewRequest(m))
 	switch {
@@ -96,11 +96,11 @@
 	case connect.CodeOf(err) == connect.CodeResourceExhausted:
 		return balance.Plan{}, balance.ErrFull
 	case connect.CodeOf(err) == connect.CodeDeadlineExceeded && asking.Err() == nil:
-		return balance.Plan{}, balance.ErrInVain
+		return balance.Plan{}, balance.ErrCannotMeetDeadline
 	case connect.CodeOf(err) == connect.CodePermissionDenied:
-		return balance.Plan{}, balance.ErrRefused
+		return balance.Plan{}, balance.ErrSuspectRefused
 	case connect.CodeOf(err) == connect.CodeAborted:
-		return balance.Plan{}, balance.ErrWaiting
+		return balance.Plan{}, balance.ErrStillWaiting
 	case ctx.Err() != nil: // The caller left, which says nothing of the lead.
 		return balance.Plan{}, eris.Wrap(context.Cause(ctx), "lead: place")
 	default:
@@ -114,7 +114,7 @@
 // goes by its own expectation. It is called under the balancer's lock, and finding the
 // lead takes that of the gossip, which the gossip holds while it asks the balancer: all
 // of it is done apart.
-func (c *Client) Read(plan uint64) { go c.tell(plan) }
+func (c *Client) PrefillDone(plan uint64) { go c.tell(plan) }
 
 func (c *Client) service(addr string) placementv1connect.PlacementServiceClient {
 	return placementv1connect.NewPlacementServiceClient(c.HTTP, "http://"+addr)
--- a/internal/lead/lead_test.go
+++ b/internal/lead/lead_test.go
@@ -49,7 +49,7 @@
 }
 
 func job(prompt int) balance.Job {
-	return balance.Job{Service: "s", Prompt: prompt, Output: 100, Objective: 3 * time.Second, Cost: cost, Tightest: pause}
+	return balance.Job{Service: "s", PromptTokens: prompt, OutputTokens: 100, Objective: 3 * time.Second, Cost: cost, MaxPause: pause}
 }
 
 var engines = []barleystep.TargetID{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"}
@@ -112,7 +112,7 @@
 			c.Assert(err, quicktest.IsNil)
 			c.Check(p.asks.Load(), quicktest.Equals, tc.asks)
 			known := p.lead.Snapshot().Work[balance.KeyOf(string(placed.Target.ID))]
-			c.Check(known.Heavy == 1, quicktest.Equals, tc.led)
+			c.Check(known.Long == 1, quicktest.Equals, tc.led)
 			if tc.led {
 				c.Check(p.box.Snapshot().Work, quicktest.DeepEquals, led(p.lead.Snapshot().Work))
 			}
@@ -125,7 +125,7 @@
 // led returns the work as a box tells it that carries out the lead's plans.
 func led(work map[balance.Key]balance.Work) map[balance.Key]balance.Work {
 	for key, w := range work {
-		w.Led, w.Backlog = w.Backlog, 0
+		w.LeadBacklog, w.Backlog = w.Backlog, 0
 		work[key] = w
 	}
 	return work
@@ -139,7 +139,7 @@
 	other.Lead = p.box.Lead
 	first, err := p.box.Place(context.Background(), job(210_000))
 	quicktest.Assert(t, err, quicktest.IsNil)
-	p.clock.Advance(first.Expected())
+	p.clock.Advance(first.ExpectedTTFT())
 	second, err := other.Place(context.Background(), job(210_000))
 	quicktest.Assert(t, err, quicktest.IsNil)
 	quicktest.Check(t, first.Target.ID, quicktest.Not(quicktest.Equals), second.Target.ID)
@@ -149,10 +149,10 @@
 // often its box asks for its engines.
 func TestDemand(t *testing.T) {
 	p := newPair(t, view, engines)
-	demand := func() float64 { return p.lead.Snapshot().Demands[balance.KeyOf("s")].Heavy }
+	demand := func() float64 { return p.lead.Snapshot().Demands[balance.KeyOf("s")].Long }
 	placed, err := p.box.Place(context.Background(), job(210_000))
 	quicktest.Assert(t, err, quicktest.IsNil)
-	placed.First()
+	placed.NoteFirstEvent()
 	for p.lead.Snapshot().Work[balance.KeyOf(string(placed.Target.ID))].Backlog > 0 {
 		runtime.Gosched() // The lead is being told, so that the next one need not wait.
 	}
@@ -162,7 +162,7 @@
 	asked := p.lead.Snapshot()
 	p.clock.Advance(time.Second)
 	again := job(210_000)
-	again.Since = p.clock.Now().Add(-time.Second)
+	again.Arrival = p.clock.Now().Add(-time.Second)
 	_, _ = p.box.Lead.Place(context.Background(), again) // Only its demand counts.
 	quicktest.Check(t, demand() < once, quicktest.IsTrue, quicktest.Commentf("%v became %v", asked.Demands, demand()))
 }
@@ -174,10 +174,10 @@
 	p := newPair(t, view, engines)
 	placed, err := p.box.Place(context.Background(), job(210_000))
 	c.Assert(err, quicktest.IsNil)
-	_, w, err := p.lead.Ask(context.Background(), job(400_000))
+	_, w, err := p.lead.TryPlace(context.Background(), job(400_000))
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(w, quicktest.IsNotNil)
-	placed.First()
+	placed.NoteFirstEvent()
 	next := <-w.Ready()
 	c.Check(next, quicktest.IsNotNil)
 }
@@ -188,7 +188,7 @@
 	p := newPair(t, view, []barleystep.TargetID{"x"})
 	_, err := p.box.Place(context.Background(), job(210_000))
 	quicktest.Assert(t, err, quicktest.IsNil)
-	_, w, err := p.lead.Ask(context.Background(), job(210_000))
+	_, w, err := p.lead.TryPlace(context.Background(), job(210_000))
 	quicktest.Assert(t, err, quicktest.IsNil)
 	if w != nil {
 		<-w.Ready()
@@ -201,10 +201,10 @@
 	manual := clock.NewManual(time.Unix(1000, 0))
 	seen := make(map[uint64]bool)
 	for range 5 {
-		plan, err := newBalancer(manual, engines...).Grant(context.Background(), job(210_000), manual.Now())
+		plan, err := newBalancer(manual, engines...).PlaceForPeer(context.Background(), job(210_000), manual.Now())
 		quicktest.Assert(t, err, quicktest.IsNil)
-		quicktest.Check(t, seen[plan.Number], quicktest.IsFalse)
-		seen[plan.Number] = true
+		quicktest.Check(t, seen[plan.ID], quicktest.IsFalse)
+		seen[plan.ID] = true
 	}
 }
 
@@ -215,7 +215,7 @@
 	b := newBalancer(manual, engines...)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err := b.Grant(ctx, job(210_000), manual.Now().Add(time.Second))
+	_, err := b.PlaceForPeer(ctx, job(210_000), manual.Now().Add(time.Second))
 	quicktest.Check(t, err, quicktest.ErrorIs, context.Canceled)
 	quicktest.Check(t, b.Snapshot().Work, quicktest.HasLen, 0)
 }
@@ -225,13 +225,13 @@
 func TestGrantEnds(t *testing.T) {
 	manual := clock.NewManual(time.Unix(1000, 0))
 	b := newBalancer(manual, engines...)
-	plan, err := b.Grant(context.Background(), job(210_000), manual.Now())
+	plan, err := b.PlaceForPeer(context.Background(), job(210_000), manual.Now())
 	quicktest.Assert(t, err, quicktest.IsNil)
 	work := func() balance.Work { return b.Snapshot().Work[balance.KeyOf(string(plan.Target))] }
-	quicktest.Check(t, work().Heavy, quicktest.Equals, 1)
+	quicktest.Check(t, work().Long, quicktest.Equals, 1)
 	manual.Advance(300 * time.Millisecond)
 	b.SetOthers(balance.NewSnapshot())
-	quicktest.Check(t, work().Heavy, quicktest.Equals, 0)
+	quicktest.Check(t, work().Long, quicktest.Equals, 0)
 	manual.Advance(10 * time.Second)
 	b.SetOthers(balance.NewSnapshot())
 	quicktest.Check(t, b.Snapshot().Work, quicktest.HasLen, 0)
--- a/internal/lead/server.go
+++ b/internal/lead/server.go
@@ -61,7 +61,7 @@
 )
 
 func holdTime(j balance.Job) time.Duration {
-	if balance.Heavy(j) {
+	if balance.IsLongPrompt(j) {
 		return longHold
 	}
 	return shortHold
@@ -78,31 +78,31 @@
 	}
 	now := s.Clock.Now()
 	j := jobOf(view, r.Msg, now)
-	if !balance.Heavy(j) && s.busy() {
+	if !balance.IsLongPrompt(j) && s.busy() {
 		return nil, connect.NewError(connect.CodeUnavailable, eris.New("too many boxes ask"))
 	}
-	plan, err := s.Balancer.Grant(ctx, j, now.Add(holdTime(j)))
+	plan, err := s.Balancer.PlaceForPeer(ctx, j, now.Add(holdTime(j)))
 	switch {
-	case eris.Is(err, balance.ErrWaiting):
+	case eris.Is(err, balance.ErrStillWaiting):
 		return nil, connect.NewError(connect.CodeAborted, err)
 	case eris.Is(err, balance.ErrFull):
 		return nil, connect.NewError(connect.CodeResourceExhausted, err)
-	case eris.Is(err, balance.ErrRefused):
+	case eris.Is(err, balance.ErrSuspectRefused):
 		return nil, connect.NewError(connect.CodePermissionDenied, err)
-	case eris.Is(err, balance.ErrInVain):
+	case eris.Is(err, balance.ErrCannotMeetDeadline):
 		return nil, connect.NewError(connect.CodeDeadlineExceeded, err)
 	case err != nil:
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
-	out := &placementv1.PlaceResponse{Number: plan.Number, Target: string(plan.Target), ExpectedUs: plan.Expected.Microseconds()}
+	out := &placementv1.PlaceResponse{Number: plan.ID, Target: string(plan.Target), ExpectedUs: plan.ExpectedTTFT.Microseconds()}
 	for _, h := range plan.Helpers {
-		out.Helpers = append(out.Helpers, &placementv1.Helper{Target: string(h.Target), Memory: int64(h.Memory)})
+		out.Helpers = append(out.Helpers, &placementv1.Helper{Target: string(h.Target), Memory: int64(h.KVTokens)})
 	}
 	return connect.NewResponse(out), nil
 }
 
 // Read notes that the prompt of a plan was read.
 func (s *Server) Read(_ context.Context, r *connect.Request[placementv1.ReadRequest]) (*connect.Response[placementv1.ReadResponse], error) {
-	s.Balancer.EndRead(r.Msg.GetNumber())
+	s.Balancer.PrefillDone(r.Msg.GetNumber())
 	return connect.NewResponse(&placementv1.ReadResponse{}), nil
 }
--- a/internal/lead/wire_internal_test.go
+++ b/internal/lead/wire_internal_test.go
@@ -15,9 +15,9 @@
 func TestReturnedTold(t *testing.T) {
 	for name, returned := range map[string]bool{"first try": false, "came back": true} {
 		t.Run(name, func(t *testing.T) {
-			j := balance.Job{Service: "s", Prompt: 1, Returned: returned}
+			j := balance.Job{Service: "s", PromptTokens: 1, CallerRetry: returned}
 			got := jobOf(fleet.NewView(fleet.Configuration{}), requestOf(j), time.Unix(1000, 0))
-			quicktest.Check(t, got.Returned, quicktest.Equals, returned)
+			quicktest.Check(t, got.CallerRetry, quicktest.Equals, returned)
 		})
 	}
 }
--- a/internal/plane/box_test.go
+++ b/internal/plane/box_test.go
@@ -224,7 +224,7 @@
 // a target of its own, so that others see how old it is.
 func (b *box) Snapshot() balance.Snapshot {
 	s := balance.NewSnapshot()
-	s.Work[b.key()] = balance.Work{Light: 1, Backlog: b.day.elapsed()}
+	s.Work[b.key()] = balance.Work{Short: 1, Backlog: b.day.elapsed()}
 	return s
 }
 
@@ -245,7 +245,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w, ok := b.last.Work[of.key()]
-	if !ok || w.Light != 1 {
+	if !ok || w.Short != 1 {
 		return 0, false
 	}
 	return b.day.elapsed() - w.Backlog, true
--- a/internal/plane/limit_test.go
+++ b/internal/plane/limit_test.go
@@ -125,9 +125,9 @@
 	pause(time.Until(b.wakes()))
 	ctx, cancel := clock.WithDeadline(l.ctx, b, b.Now().Add(patience))
 	defer cancel()
-	j := balance.Job{Service: service, Objective: 300 * ms, Tightest: 200 * ms, Until: b.Now().Add(patience)}
+	j := balance.Job{Service: service, Objective: 300 * ms, MaxPause: 200 * ms, FirstEventDeadline: b.Now().Add(patience)}
 	if service == engineService {
-		j.Cost, j.Prompt, j.Output = engineModel, 5_000, 500
+		j.Cost, j.PromptTokens, j.OutputTokens = engineModel, 5_000, 500
 	}
 	place, err := l.balancer.Place(ctx, j)
 	if err != nil {
@@ -138,7 +138,7 @@
 	index := slices.IndexFunc(p.list, func(t fleet.Target) bool { return t.ID == place.Target.ID })
 	p.arrive(b, l, index)
 	pause(runTime)
-	place.Says(place.Target.ID, barleystep.Statement{Limit: p.answer(b, index)}, sent)
+	place.NoteStatement(place.Target.ID, barleystep.Statement{Limit: p.answer(b, index)}, sent)
 	place.Done(balance.Report{})
 }
 
--- a/internal/plane/statement_test.go
+++ b/internal/plane/statement_test.go
@@ -105,9 +105,9 @@
 	pause(time.Until(b.wakes()))
 	ctx, cancel := clock.WithDeadline(l.ctx, b, b.Now().Add(patience))
 	defer cancel()
-	j := balance.Job{Service: service, Objective: 300 * ms, Tightest: 200 * ms, Until: b.Now().Add(patience)}
+	j := balance.Job{Service: service, Objective: 300 * ms, MaxPause: 200 * ms, FirstEventDeadline: b.Now().Add(patience)}
 	if service == engineService {
-		j.Cost, j.Prompt, j.Output = engineModel, 5_000, 500
+		j.Cost, j.PromptTokens, j.OutputTokens = engineModel, 5_000, 500
 	}
 	served := false
 	for range sendsEach {
@@ -141,7 +141,7 @@
 		pause(runTime)
 	}
 	pause(hallDelay)
-	p.Says(p.Target.ID, said, sent)
+	p.NoteStatement(p.Target.ID, said, sent)
 	w.heard(d, l, i, said)
 	p.Done(balance.Report{Full: away})
 	return !away
--- a/internal/plane/suspect_test.go
+++ b/internal/plane/suspect_test.go
@@ -159,8 +159,8 @@
 	ctx, cancel := clock.WithDeadline(l.ctx, b, b.Now().Add(patience))
 	defer cancel()
 	j := balance.Job{
-		Request: id, Service: engineService, Objective: 300 * ms, Tightest: 200 * ms,
-		Cost: engineModel, Prompt: 5_000, Output: 500, Until: b.Now().Add(patience),
+		RequestID: id, Service: engineService, Objective: 300 * ms, MaxPause: 200 * ms,
+		Cost: engineModel, PromptTokens: 5_000, OutputTokens: 500, FirstEventDeadline: b.Now().Add(patience),
 	}
 	whole, counts := false, d.elapsed() < d.scene.length-patience-streamTime // Others may be cut by the scene's end.
 	for sends, dials := 0, 0; sends < sendsEach && dials < dialsEach; {
@@ -169,16 +169,16 @@
 			w.count(body, &w.refused)
 			break
 		}
-		j.Suspect, j.Ended = suspect.Digest{}, 0
+		j.Suspect, j.EndedTargets = suspect.Digest{}, 0
 		if standing == suspect.Alone {
-			j.Suspect, j.Ended = digest, len(l.balancer.Suspects.Known(digest).Ends())
+			j.Suspect, j.EndedTargets = digest, len(l.balancer.Suspects.Known(digest).Ends())
 		}
 		p, err := l.balancer.Place(ctx, j)
 		if err != nil {
 			break
 		}
 		var reached bool
-		reached, whole = w.run(d, l, p, digest, body, j.Ended > 0)
+		reached, whole = w.run(d, l, p, digest, body, j.EndedTargets > 0)
 		p.Done(balance.Report{Unreachable: !reached})
 		if reached {
 			sends++
@@ -224,7 +224,7 @@
 	for {
 		select {
 		case <-m.over:
-			p.Gone(p.Target.ID)
+			p.NoteUnreachable(p.Target.ID)
 			marks := unread
 			if alone {
 				marks |= suspect.Lone
--- a/internal/router/observe.go
+++ b/internal/router/observe.go
@@ -104,15 +104,15 @@
 
 // believed returns what is believed of a target besides its record.
 func (r *Router) believed(id barleystep.TargetID) (states []string) {
-	belief := r.balancer.Belief(id)
+	belief := r.balancer.TargetStatus(id)
 	if belief.Down {
 		states = append(states, "down")
 	}
-	if belief.Said.Limit.Value.IsSet() {
-		states = append(states, "limited, "+source(belief.Said.Limit == belief.HeardHere.Limit))
+	if belief.Statement.Limit.Value.IsSet() {
+		states = append(states, "limited, "+source(belief.Statement.Limit == belief.HeardLocally.Limit))
 	}
-	if belief.Said.Leaving.Value {
-		states = append(states, "leaving, "+source(belief.Said.Leaving == belief.HeardHere.Leaving))
+	if belief.Statement.Leaving.Value {
+		states = append(states, "leaving, "+source(belief.Statement.Leaving == belief.HeardLocally.Leaving))
 	}
 	if belief.Resting {
 		states = append(states, "resting, "+source(true))
--- a/internal/router/renew.go
+++ b/internal/router/renew.go
@@ -3,6 +3,6 @@
 // renew drops what belongs to earlier lifetimes of the targets. It is called whenever their
 // list has changed.
 func (r *Router) renew() {
-	r.balancer.Renew()
+	r.balancer.DetectRestarts()
 	r.pool.Renew(r.targets.List())
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -109,7 +109,7 @@
 		Log:      r.Log,
 		Suspects: &suspect.Book{Clock: r.Clock, Log: r.Log},
 	}
-	r.balancer.LongestRest = time.Duration(s.Limits.MaxRest)
+	r.balancer.MaxRest = time.Duration(s.Limits.MaxRest)
 	r.plane = &plane.Plane{
 		Clock:         r.Clock,
 		Box:           barleystep.BoxID(s.Box.ID),
@@ -287,6 +287,6 @@
 	return clock.Repeat(ctx, t.router.Clock, tendEvery, func(context.Context) {
 		t.router.targets.Expire()
 		t.router.pool.Sweep()
-		t.router.balancer.Forget()
+		t.router.balancer.Prune()
 	})
 }
