--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -113,7 +113,7 @@
 	// runtime's. It is used under the balancer's lock only.
 	Rand *rand.Rand
 	// Suspects is what is known of requests under which targets have ended; it may be nil.
-	Suspects *suspect.Book
+	Suspects *suspect.Registry
 	Log      *log.Logger
 
 	mu     sync.Mutex
--- a/internal/balance/trial.go
+++ b/internal/balance/trial.go
@@ -37,7 +37,7 @@
 	if !j.suspect() {
 		return false
 	}
-	standing, _ := b.Suspects.Standing(j.Suspect)
+	standing, _ := b.Suspects.Status(j.Suspect)
 	return standing == suspect.Refused
 }
 
@@ -62,7 +62,7 @@
 	if p == nil {
 		return nil, h, nil
 	}
-	known := b.Suspects.Known(j.Suspect)
+	known := b.Suspects.Evidence(j.Suspect)
 	if b.trials == nil {
 		b.trials = make(map[suspect.Digest]trial)
 	}
@@ -93,8 +93,8 @@
 // open reports whether a request of the kind may still run: nothing has been learnt of it since
 // it was placed.
 func (b *Balancer) open(d suspect.Digest, t trial) bool {
-	known := b.Suspects.Known(d)
-	learnt := len(known.Ends()) > t.ended || known.Cleared().After(t.since)
+	known := b.Suspects.Evidence(d)
+	learnt := len(known.Ends()) > t.ended || known.LastSuccess().After(t.since)
 	return !learnt && b.Clock.Now().Sub(t.since) < trialLife
 }
 
--- a/internal/balance/trial_test.go
+++ b/internal/balance/trial_test.go
@@ -18,16 +18,16 @@
 // trials is a balancer that knows of two suspects.
 type trials struct {
 	*fixture
-	book   *suspect.Book
+	book   *suspect.Registry
 	first  suspect.Digest
 	second suspect.Digest
 }
 
 func newTrials(engines int) *trials {
 	f := newFixture(engines)
-	book := &suspect.Book{Clock: f.clock}
+	book := &suspect.Registry{Clock: f.clock}
 	f.Suspects = book
-	t := &trials{f, book, suspect.Request{Target: "/a"}.Digest(), suspect.Request{Target: "/b"}.Digest()}
+	t := &trials{f, book, suspect.Request{RequestURI: "/a"}.Digest(), suspect.Request{RequestURI: "/b"}.Digest()}
 	t.ended(t.first, 1)
 	t.ended(t.second, 2)
 	return t
@@ -35,7 +35,7 @@
 
 // ended notes a target that had the request.
 func (t *trials) ended(d suspect.Digest, key uint32) {
-	t.book.Ended(d, bodySize, suspect.NewEnd(key, t.clock.Now(), suspect.Unread|suspect.Lone))
+	t.book.RecordEnd(d, bodySize, suspect.NewEnd(key, t.clock.Now(), suspect.BeforeFirstEvent|suspect.RanAlone))
 }
 
 // ask asks for a place for a suspect.
@@ -69,7 +69,7 @@
 			}
 			p.Done(balance.Report{})
 			f.clock.Advance(time.Millisecond)
-			f.book.Clear(f.first, bodySize)
+			f.book.RecordSuccess(f.first, bodySize)
 			f.SetOthers(balance.NewSnapshot())
 			seen := false
 			for range 200 {
@@ -99,7 +99,7 @@
 		"another one, where targets are few":  {3, func(*trials) {}, true, false, false, nil},
 		"another one, a while later":          {3, func(f *trials) { f.clock.Advance(time.Second) }, true, false, true, nil},
 		"its target has ended":                {12, func(f *trials) { f.ended(f.first, 7) }, false, false, true, nil},
-		"it was whole":                        {12, func(f *trials) { f.clock.Advance(time.Millisecond); f.book.Clear(f.first, bodySize) }, false, false, true, nil},
+		"it was whole":                        {12, func(f *trials) { f.clock.Advance(time.Millisecond); f.book.RecordSuccess(f.first, bodySize) }, false, false, true, nil},
 		"nothing was heard of it":             {12, func(f *trials) { f.clock.Advance(2 * time.Second) }, false, false, false, nil},
 		"nothing was heard of it, long after": {12, func(f *trials) { f.clock.Advance(4 * time.Second) }, false, false, true, nil},
 		"three have ended":                    {12, func(f *trials) { f.ended(f.first, 7); f.ended(f.first, 8) }, false, false, false, balance.ErrSuspectRefused},
@@ -147,7 +147,7 @@
 	f.SetOthers(balance.NewSnapshot())
 	c.Check(len(w.Ready()), quicktest.Equals, 0)
 	f.clock.Advance(time.Millisecond)
-	f.book.Clear(f.first, bodySize)
+	f.book.RecordSuccess(f.first, bodySize)
 	f.SetOthers(balance.NewSnapshot())
 	c.Check(len(w.Ready()), quicktest.Equals, 1)
 }
--- a/internal/balance/work.go
+++ b/internal/balance/work.go
@@ -81,7 +81,7 @@
 // Add adds another snapshot. Of what a target said, the last word counts; evidence is joined.
 func (s Snapshot) Add(o Snapshot) {
 	s.merge(o, 1)
-	suspect.Join(s.Suspects, o.Suspects)
+	suspect.Merge(s.Suspects, o.Suspects)
 	for k, said := range o.Statements {
 		s.Statements[k] = s.Statements[k].join(said)
 	}
@@ -110,7 +110,7 @@
 	defer b.mu.Unlock()
 	b.others = s
 	b.hearAll()
-	b.Suspects.Hear(s.Suspects)
+	b.Suspects.Merge(s.Suspects)
 	b.endGrants()
 	b.serveWaiting(true)
 }
@@ -129,7 +129,7 @@
 			s.Statements[state.key] = told
 		}
 	}
-	suspect.Join(s.Suspects, b.Suspects.Told())
+	suspect.Merge(s.Suspects, b.Suspects.GossipUpdate())
 	for service, d := range b.demands {
 		if rate := d.rate(now); rate != (Demand{}) {
 			s.Demands[KeyOf(service)] = rate
--- a/internal/front/deadly_test.go
+++ b/internal/front/deadly_test.go
@@ -137,17 +137,17 @@
 	none := func([]fleet.Target) []fleet.Target { return nil }
 	cases := map[string]struct {
 		act  func(f *fixture, m *mortal, c net.Conn) // act is what the target does instead of answering.
-		want suspect.Standing
+		want suspect.Status
 	}{
-		"it ends":                      {func(_ *fixture, m *mortal, _ net.Conn) { m.end() }, suspect.Alone},
-		"it closes the connection":     {func(_ *fixture, _ *mortal, c net.Conn) { c.Close() }, suspect.Free},
-		"it resets the connection":     {func(_ *fixture, _ *mortal, c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); c.Close() }, suspect.Free},
-		"it was about to leave":        {func(f *fixture, m *mortal, _ net.Conn) { f.change(drain); m.end() }, suspect.Free},
-		"it has left":                  {func(f *fixture, m *mortal, _ net.Conn) { f.change(none); m.end() }, suspect.Free},
-		"it answers what is no answer": {func(_ *fixture, _ *mortal, c net.Conn) { _, _ = io.WriteString(c, "zzz\r\n\r\n"); c.Close() }, suspect.Free},
+		"it ends":                      {func(_ *fixture, m *mortal, _ net.Conn) { m.end() }, suspect.Isolated},
+		"it closes the connection":     {func(_ *fixture, _ *mortal, c net.Conn) { c.Close() }, suspect.Allowed},
+		"it resets the connection":     {func(_ *fixture, _ *mortal, c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); c.Close() }, suspect.Allowed},
+		"it was about to leave":        {func(f *fixture, m *mortal, _ net.Conn) { f.change(drain); m.end() }, suspect.Allowed},
+		"it has left":                  {func(f *fixture, m *mortal, _ net.Conn) { f.change(none); m.end() }, suspect.Allowed},
+		"it answers what is no answer": {func(_ *fixture, _ *mortal, c net.Conn) { _, _ = io.WriteString(c, "zzz\r\n\r\n"); c.Close() }, suspect.Allowed},
 		"it fails": {func(_ *fixture, _ *mortal, c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 500 X\r\nId: r1\r\nSeal: s\r\nContent-Length: 0\r\n\r\n")
-		}, suspect.Free},
+		}, suspect.Allowed},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -161,9 +161,9 @@
 }
 
 // standing returns how a request of no account stands.
-func (f *fixture) standing(path, body string) suspect.Standing {
-	d := suspect.Request{Method: http.MethodPost, Host: "h", Target: path, Body: []byte(body)}.Digest()
-	s, _ := f.front.Balancer.Suspects.Standing(d)
+func (f *fixture) standing(path, body string) suspect.Status {
+	d := suspect.Request{Method: http.MethodPost, Host: "h", RequestURI: path, Body: []byte(body)}.Digest()
+	s, _ := f.front.Balancer.Suspects.Status(d)
 	return s
 }
 
@@ -187,9 +187,9 @@
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			f := newFixture(t, state{view: newView()}, whole(http.StatusOK, sealed, "good"))
-			d := suspect.Request{Account: "acme", Method: http.MethodPost, Host: "h", Target: "/keyed/", Body: []byte(deadly)}.Digest()
+			d := suspect.Request{Account: "acme", Method: http.MethodPost, Host: "h", RequestURI: "/keyed/", Body: []byte(deadly)}.Digest()
 			for key := range uint32(times) {
-				f.front.Balancer.Suspects.Ended(d, len(deadly), suspect.NewEnd(key, time.Now(), suspect.Lone))
+				f.front.Balancer.Suspects.RecordEnd(d, len(deadly), suspect.NewEnd(key, time.Now(), suspect.RanAlone))
 			}
 			got := f.ask(t, http.MethodPost, tc.path, tc.body, "Key", tc.key)
 			c.Check(got.status, quicktest.Equals, tc.status)
@@ -199,7 +199,7 @@
 			c.Check(f.target.count(), quicktest.Equals, 0)
 			again, err := time.ParseDuration(got.header.Get("Again"))
 			c.Check(err, quicktest.IsNil)
-			c.Check(again > suspect.Memory/2, quicktest.IsTrue)
+			c.Check(again > suspect.RefusalPeriod/2, quicktest.IsTrue)
 		})
 	}
 }
@@ -223,7 +223,7 @@
 	}
 	f.view.Route("h", "/giant/").MaxSends = 1
 	f.ask(t, http.MethodPost, "/giant/", deadly, "Prompt", "600")
-	c.Check(f.standing("/giant/", deadly), quicktest.Not(quicktest.Equals), suspect.Free)
+	c.Check(f.standing("/giant/", deadly), quicktest.Not(quicktest.Equals), suspect.Allowed)
 }
 
 // TestUnderWay checks that an attempt which is under way is ended once its request is refused,
@@ -246,12 +246,12 @@
 		return answer
 	}
 	refused, other := ask(deadly), ask("beadly")
-	d := suspect.Request{Method: http.MethodPost, Host: "h", Target: "/once/", Body: []byte(deadly)}.Digest()
+	d := suspect.Request{Method: http.MethodPost, Host: "h", RequestURI: "/once/", Body: []byte(deadly)}.Digest()
 	told := suspect.NewEvidence(len(deadly), nil, time.Time{}, time.Time{})
 	for key := range uint32(mostEnded) {
-		told = suspect.NewEvidence(len(deadly), append(told.Ends(), suspect.NewEnd(key, time.Now(), suspect.Lone)), time.Time{}, time.Time{})
+		told = suspect.NewEvidence(len(deadly), append(told.Ends(), suspect.NewEnd(key, time.Now(), suspect.RanAlone)), time.Time{}, time.Time{})
 	}
-	f.front.Balancer.Suspects.Hear(map[suspect.Digest]suspect.Evidence{d: told})
+	f.front.Balancer.Suspects.Merge(map[suspect.Digest]suspect.Evidence{d: told})
 	c.Check((<-refused).status, quicktest.Equals, http.StatusBadGateway)
 	c.Check(len(other), quicktest.Equals, 0)
 }
--- a/internal/front/fixture_test.go
+++ b/internal/front/fixture_test.go
@@ -309,7 +309,7 @@
 		Clock:         clk,
 		Protocol:      protocol{},
 		Configuration: s,
-		Balancer:      &balance.Balancer{Clock: clk, Targets: f.list, Suspects: &suspect.Book{Clock: clk}},
+		Balancer:      &balance.Balancer{Clock: clk, Targets: f.list, Suspects: &suspect.Registry{Clock: clk}},
 		Pool:          &conn.Pool{Clock: clk, DialTimeout: 10 * time.Second},
 		Budget:        spent,
 		Meter:         metric.Discard(),
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -61,7 +61,7 @@
 		log:      s.Log,
 		stop:     s.stop,
 	}
-	s.Balancer.Suspects.Watch(s.cutRefused)
+	s.Balancer.Suspects.NotifyRefused(s.cutRefused)
 	s.pipeline = Pipeline{
 		&route{configuration: s.Configuration},
 		&authenticate{freshness: &s.freshness},
--- a/internal/front/suspect.go
+++ b/internal/front/suspect.go
@@ -16,11 +16,11 @@
 func (x *Exchange) identity() suspect.Digest {
 	x.digest.Do(func() {
 		x.known = suspect.Request{
-			Account: x.account,
-			Method:  x.r.Method,
-			Host:    x.r.Host,
-			Target:  x.r.URL.RequestURI(),
-			Body:    x.body,
+			Account:    x.account,
+			Method:     x.r.Method,
+			Host:       x.r.Host,
+			RequestURI: x.r.URL.RequestURI(),
+			Body:       x.body,
 		}.Digest()
 	})
 	return x.known
@@ -40,15 +40,15 @@
 // balance.ErrRefused if it is to run no more.
 func (d *deliver) judge(x *Exchange, job *balance.Job) error {
 	book := d.balancer.Suspects
-	if !book.Concerns(len(x.body)) {
+	if !book.HasBodySize(len(x.body)) {
 		return nil
 	}
 	job.Suspect, job.EndedTargets = suspect.Digest{}, 0
-	switch standing, _ := book.Standing(x.identity()); standing {
+	switch standing, _ := book.Status(x.identity()); standing {
 	case suspect.Refused:
 		return balance.ErrSuspectRefused
-	case suspect.Alone:
-		job.Suspect, job.EndedTargets = x.identity(), len(book.Known(x.identity()).Ends())
+	case suspect.Isolated:
+		job.Suspect, job.EndedTargets = x.identity(), len(book.Evidence(x.identity()).Ends())
 	}
 	return nil
 }
@@ -56,7 +56,7 @@
 // endsTargets returns the refusal of a request under which targets have ended. Who comes back
 // soon finds it refused still.
 func (d *deliver) endsTargets(x *Exchange, outcome barleystep.Outcome) *barleystep.Refusal {
-	_, left := d.balancer.Suspects.Standing(x.identity())
+	_, left := d.balancer.Suspects.Status(x.identity())
 	const message = "Targets have ended each time that they ran this request. It is not sent to others for now."
 	return barleystep.NewRefusal(barleystep.ReasonEndsTargets, outcome, message).WithRetryAfter(left)
 }
@@ -64,16 +64,16 @@
 // clear notes that a target has run the request and lives.
 func (t *try) clear() {
 	x := t.exchange
-	if book := t.stage.balancer.Suspects; book.Concerns(len(x.body)) {
-		book.Clear(x.identity(), len(x.body))
+	if book := t.stage.balancer.Suspects; book.HasBodySize(len(x.body)) {
+		book.RecordSuccess(x.identity(), len(x.body))
 	}
 }
 
 // showBegun notes that a target has begun its answer to the request and lives.
 func (t *try) showBegun() {
 	x := t.exchange
-	if book := t.stage.balancer.Suspects; book.Concerns(len(x.body)) {
-		book.Begin(x.identity(), len(x.body))
+	if book := t.stage.balancer.Suspects; book.HasBodySize(len(x.body)) {
+		book.RecordAnswerStart(x.identity(), len(x.body))
 	}
 }
 
@@ -87,20 +87,20 @@
 	marks := t.marks()
 	for _, target := range t.ended(ctx, res) {
 		t.stage.log.Warn().Str("request", x.call.RequestID).Str("digest", x.identity().String()).Str("account", x.account).
-			Str("target", string(target.ID)).Bool("unread", marks&suspect.Unread != 0).
-			Bool("alone", marks&suspect.Lone != 0).Msg(logPrefix + "A target has ended while it had the request.")
+			Str("target", string(target.ID)).Bool("unread", marks&suspect.BeforeFirstEvent != 0).
+			Bool("alone", marks&suspect.RanAlone != 0).Msg(logPrefix + "A target has ended while it had the request.")
 		end := suspect.NewEnd(uint32(balance.KeyOfTarget(target)), t.stage.clock.Now(), marks)
-		book.Ended(x.identity(), len(x.body), end)
+		book.RecordEnd(x.identity(), len(x.body), end)
 	}
 }
 
 // marks tells how the request ran at the target.
-func (t *try) marks() (marks suspect.Mark) {
+func (t *try) marks() (marks suspect.EndFlags) {
 	if t.first == 0 {
-		marks |= suspect.Unread
+		marks |= suspect.BeforeFirstEvent
 	}
 	if t.alone {
-		marks |= suspect.Lone
+		marks |= suspect.RanAlone
 	}
 	return marks
 }
--- a/internal/gossip/bench_internal_test.go
+++ b/internal/gossip/bench_internal_test.go
@@ -90,10 +90,10 @@
 		b.Run(fmt.Sprintf("suspects=%d/ends=%d/limits=%d", tc.suspects, tc.ends, tc.limits), func(b *testing.B) {
 			s := balance.NewSnapshot()
 			for i := range tc.suspects {
-				digest := suspect.Request{Target: fmt.Sprint(i)}.Digest()
+				digest := suspect.Request{RequestURI: fmt.Sprint(i)}.Digest()
 				var ends []suspect.End
 				for k := range tc.ends {
-					ends = append(ends, suspect.NewEnd(1<<30+uint32(k), now.Add(-9*time.Second), suspect.Unread|suspect.Lone))
+					ends = append(ends, suspect.NewEnd(1<<30+uint32(k), now.Add(-9*time.Second), suspect.BeforeFirstEvent|suspect.RanAlone))
 				}
 				s.Suspects[digest] = suspect.NewEvidence(20_000, ends, time.Time{}, now.Add(-time.Second))
 			}
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -89,19 +89,19 @@
 // fillSuspects writes what is known of suspects into a datagram.
 func fillSuspects(d *datagram, known map[suspect.Digest]suspect.Evidence, now time.Time) {
 	for digest, e := range known {
-		s := &gossipv1.Suspect{Digest: digest[:], Size: int64(e.Size())}
-		if !e.Cleared().IsZero() {
-			s.Cleared, s.ClearedAgeUs = true, now.Sub(e.Cleared()).Microseconds()
+		s := &gossipv1.Suspect{Digest: digest[:], Size: int64(e.BodySize())}
+		if !e.LastSuccess().IsZero() {
+			s.Cleared, s.ClearedAgeUs = true, now.Sub(e.LastSuccess()).Microseconds()
 		}
-		if !e.Begun().IsZero() {
-			s.Begun, s.BegunAgeUs = true, now.Sub(e.Begun()).Microseconds()
+		if !e.LastAnswerStart().IsZero() {
+			s.Begun, s.BegunAgeUs = true, now.Sub(e.LastAnswerStart()).Microseconds()
 		}
 		for _, end := range e.Ends() {
 			s.Ends = append(s.Ends, &gossipv1.TargetEnd{
 				Target: end.Key(),
 				AgeUs:  now.Sub(end.At()).Microseconds(),
-				Unread: end.Has(suspect.Unread),
-				Lone:   end.Has(suspect.Lone),
+				Unread: end.Has(suspect.BeforeFirstEvent),
+				Lone:   end.Has(suspect.RanAlone),
 			})
 		}
 		d.Suspects = append(d.Suspects, s)
@@ -112,7 +112,7 @@
 func suspectsOf(d *datagram, now time.Time) map[suspect.Digest]suspect.Evidence {
 	known := make(map[suspect.Digest]suspect.Evidence)
 	for _, s := range d.GetSuspects() {
-		digest, ok := suspect.DigestFrom(s.GetDigest())
+		digest, ok := suspect.DigestFromBytes(s.GetDigest())
 		if !ok {
 			continue // The sender is of a later version.
 		}
@@ -133,12 +133,12 @@
 }
 
 // marksOf reads how a request ran at a target that ended.
-func marksOf(end *gossipv1.TargetEnd) (marks suspect.Mark) {
+func marksOf(end *gossipv1.TargetEnd) (marks suspect.EndFlags) {
 	if end.GetUnread() {
-		marks |= suspect.Unread
+		marks |= suspect.BeforeFirstEvent
 	}
 	if end.GetLone() {
-		marks |= suspect.Lone
+		marks |= suspect.RanAlone
 	}
 	return marks
 }
--- a/internal/lead/wire.go
+++ b/internal/lead/wire.go
@@ -28,7 +28,7 @@
 	if s := view.Service(j.Service); s != nil {
 		j.Cost = s.Cost
 	}
-	j.Suspect, _ = suspect.DigestFrom(m.GetSuspect())
+	j.Suspect, _ = suspect.DigestFromBytes(m.GetSuspect())
 	j.EndedTargets = int(m.GetEnded())
 	for _, id := range m.GetAvoid() {
 		j.Avoid = append(j.Avoid, barleystep.TargetID(id))
--- a/internal/plane/box_test.go
+++ b/internal/plane/box_test.go
@@ -112,7 +112,7 @@
 		Hall:     barleystep.HallID(b.hall),
 		Targets:  b.day.scene.work.targets,
 		Rand:     rand.New(rand.NewPCG(b.day.scene.seed, uint64(b.index))),
-		Suspects: &suspect.Book{Clock: b},
+		Suspects: &suspect.Registry{Clock: b},
 	}
 	server := &lead.Server{Clock: b, Balancer: l.balancer, View: func() *fleet.View { return workView }}
 	return server.Handler()
--- a/internal/plane/plane.go
+++ b/internal/plane/plane.go
@@ -34,7 +34,7 @@
 	Targets       follow.Handler
 	Balancer      gossip.Balancer
 	// Suspects is what the box knows of requests that end targets.
-	Suspects *suspect.Book
+	Suspects *suspect.Registry
 	Log      *log.Logger
 
 	node      *gossip.Node
@@ -62,8 +62,8 @@
 	p.archive = &suspect.Archive{
 		Clock:     p.Clock,
 		Catalogue: p.Catalogue,
-		Book:      p.Suspects,
-		Leads:     p.node.Leads,
+		Registry:  p.Suspects,
+		IsLead:    p.node.Leads,
 		Log:       p.Log,
 	}
 }
--- a/internal/plane/suspect_test.go
+++ b/internal/plane/suspect_test.go
@@ -164,14 +164,14 @@
 	}
 	whole, counts := false, d.elapsed() < d.scene.length-patience-streamTime // Others may be cut by the scene's end.
 	for sends, dials := 0, 0; sends < sendsEach && dials < dialsEach; {
-		standing, _ := l.balancer.Suspects.Standing(digest)
+		standing, _ := l.balancer.Suspects.Status(digest)
 		if standing == suspect.Refused {
 			w.count(body, &w.refused)
 			break
 		}
 		j.Suspect, j.EndedTargets = suspect.Digest{}, 0
-		if standing == suspect.Alone {
-			j.Suspect, j.EndedTargets = digest, len(l.balancer.Suspects.Known(digest).Ends())
+		if standing == suspect.Isolated {
+			j.Suspect, j.EndedTargets = digest, len(l.balancer.Suspects.Evidence(digest).Ends())
 		}
 		p, err := l.balancer.Place(ctx, j)
 		if err != nil {
@@ -220,25 +220,25 @@
 	}
 	first := time.NewTimer(firstEvent)
 	done := time.NewTimer(streamTime)
-	unread := suspect.Unread
+	unread := suspect.BeforeFirstEvent
 	for {
 		select {
 		case <-m.over:
 			p.NoteUnreachable(p.Target.ID)
 			marks := unread
 			if alone {
-				marks |= suspect.Lone
+				marks |= suspect.RanAlone
 			}
 			end := suspect.NewEnd(uint32(balance.KeyOfTarget(m.target)), time.Now(), marks)
-			l.balancer.Suspects.Ended(digest, len(body), end)
+			l.balancer.Suspects.RecordEnd(digest, len(body), end)
 			return true, false
 		case <-first.C:
 			if body != deadlyBody {
 				unread = 0
-				l.balancer.Suspects.Begin(digest, len(body))
+				l.balancer.Suspects.RecordAnswerStart(digest, len(body))
 			}
 		case <-done.C:
-			l.balancer.Suspects.Clear(digest, len(body))
+			l.balancer.Suspects.RecordSuccess(digest, len(body))
 			return true, true
 		case <-l.ctx.Done():
 			return true, false
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -107,7 +107,7 @@
 		Hall:     barleystep.HallID(s.Box.Hall),
 		Targets:  r.targets.List,
 		Log:      r.Log,
-		Suspects: &suspect.Book{Clock: r.Clock, Log: r.Log},
+		Suspects: &suspect.Registry{Clock: r.Clock, Log: r.Log},
 	}
 	r.balancer.MaxRest = time.Duration(s.Limits.MaxRest)
 	r.plane = &plane.Plane{
--- a/internal/suspect/archive.go
+++ b/internal/suspect/archive.go
@@ -18,10 +18,10 @@
 type Archive struct {
 	Clock     barleystep.Clock
 	Catalogue barleystep.Catalogue
-	Book      *Book
+	Registry  *Registry
 	// Leads reports whether this box reads and writes for all.
-	Leads func() bool
-	Log   *log.Logger
+	IsLead func() bool
+	Log    *log.Logger
 
 	// kept is what the store holds, by the sum of the ends' keys; nil until it was read.
 	kept map[Digest]uint64
@@ -55,7 +55,7 @@
 
 // step reads the archive if this box has become the lead, and writes what has changed.
 func (a *Archive) step(ctx context.Context) (err error) {
-	if !a.Leads() {
+	if !a.IsLead() {
 		a.kept = nil
 		return nil
 	}
@@ -87,7 +87,7 @@
 		}
 		known[d], kept[d] = e, e.sum()
 	}
-	a.Book.Hear(known)
+	a.Registry.Merge(known)
 	a.kept = kept
 	if len(known) > 0 {
 		a.Log.Info().Int("requests", len(known)).Msg(logPrefix + "The archive was read.")
@@ -99,7 +99,7 @@
 
 // write puts in the store what it lacks, and removes what counts no more.
 func (a *Archive) write(ctx context.Context) (err error) {
-	proven := a.Book.proven()
+	proven := a.Registry.proven()
 	for d, e := range proven {
 		if a.kept[d] == e.sum() {
 			continue
--- a/internal/suspect/archive_test.go
+++ b/internal/suspect/archive_test.go
@@ -84,16 +84,16 @@
 
 // keeper is a box's book with its archive.
 type keeper struct {
-	book  *suspect.Book
+	book  *suspect.Registry
 	clock *clock.Manual
 }
 
 // keep starts the archive of a box that leads or not.
 func keep(t *testing.T, s *shelf, leads bool) *keeper {
 	clk := clock.NewManual(time.Unix(1000, 0))
-	k := &keeper{book: &suspect.Book{Clock: clk}, clock: clk}
+	k := &keeper{book: &suspect.Registry{Clock: clk}, clock: clk}
 	a := &suspect.Archive{
-		Clock: clk, Catalogue: s, Book: k.book, Leads: func() bool { return leads },
+		Clock: clk, Catalogue: s, Registry: k.book, IsLead: func() bool { return leads },
 		Log: &log.Logger{Level: log.PanicLevel},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -125,12 +125,12 @@
 // condemn has three targets end under the request.
 func (k *keeper) condemn() {
 	for key := range uint32(3) {
-		k.book.Ended(digest, size, suspect.NewEnd(key+1, k.clock.Now(), suspect.Unread|suspect.Lone))
+		k.book.RecordEnd(digest, size, suspect.NewEnd(key+1, k.clock.Now(), suspect.BeforeFirstEvent|suspect.RanAlone))
 	}
 }
 
-func (k *keeper) standing() suspect.Standing {
-	s, _ := k.book.Standing(digest)
+func (k *keeper) standing() suspect.Status {
+	s, _ := k.book.Status(digest)
 	return s
 }
 
@@ -140,7 +140,7 @@
 	c := quicktest.New(t)
 	s := &shelf{}
 	first := keep(t, s, true)
-	first.book.Ended(digest, size, suspect.NewEnd(9, first.clock.Now(), suspect.Unread))
+	first.book.RecordEnd(digest, size, suspect.NewEnd(9, first.clock.Now(), suspect.BeforeFirstEvent))
 	first.condemn()
 	first.until(t, func() bool { return len(s.keys()) == 1 })
 	c.Check(s.keys(), quicktest.DeepEquals, []string{digest.String()})
@@ -155,15 +155,15 @@
 	}
 	second := keep(t, s, true)
 	second.until(t, func() bool { return second.standing() == suspect.Refused })
-	c.Check(second.book.Known(digest).Ends(), quicktest.HasLen, 4)
-	c.Check(second.book.Counts()[suspect.Alone], quicktest.Equals, 0)
+	c.Check(second.book.Evidence(digest).Ends(), quicktest.HasLen, 4)
+	c.Check(second.book.Counts()[suspect.Isolated], quicktest.Equals, 0)
 }
 
 // TestArchiveCleared checks that what a whole run has cleared is removed, and what is too old.
 func TestArchiveCleared(t *testing.T) {
 	cases := map[string]func(k *keeper){
-		"whole": func(k *keeper) { k.book.Clear(digest, size) },
-		"old":   func(k *keeper) { k.clock.Advance(3 * suspect.Memory) },
+		"whole": func(k *keeper) { k.book.RecordSuccess(digest, size) },
+		"old":   func(k *keeper) { k.clock.Advance(3 * suspect.RefusalPeriod) },
 	}
 	for name, end := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/suspect/bench_test.go
+++ b/internal/suspect/bench_test.go
@@ -9,7 +9,7 @@
 // BenchmarkCapacityDigest measures the digest of a request with a body of a MB.
 func BenchmarkCapacityDigest(b *testing.B) {
 	const size = 1 << 20
-	r := suspect.Request{Account: "acme", Method: "POST", Host: "h", Target: "/a/b", Body: make([]byte, size)}
+	r := suspect.Request{Account: "acme", Method: "POST", Host: "h", RequestURI: "/a/b", Body: make([]byte, size)}
 	b.SetBytes(size)
 	for b.Loop() {
 		r.Digest()
--- a/internal/suspect/book.go
+++ b/internal/suspect/book.go
@@ -16,7 +16,7 @@
 
 // Book is what a box knows of suspects. Its exported fields are set before use; it is safe for
 // concurrent use, and a nil book knows and takes in nothing.
-type Book struct {
+type Registry struct {
 	Clock barleystep.Clock
 	Log   *log.Logger
 
@@ -30,7 +30,7 @@
 
 // Watch has f called, by a goroutine of its own, for each request that is refused from then on.
 // It is called once.
-func (b *Book) Watch(f func(d Digest, size int)) {
+func (b *Registry) NotifyRefused(f func(d Digest, size int)) {
 	if b == nil {
 		return
 	}
@@ -40,7 +40,7 @@
 }
 
 // Concerns reports whether anything is known of a request with a body of the size.
-func (b *Book) Concerns(size int) bool {
+func (b *Registry) HasBodySize(size int) bool {
 	if b == nil {
 		return false
 	}
@@ -55,9 +55,9 @@
 }
 
 // Standing returns how a request may run, and for how long that holds if it is refused.
-func (b *Book) Standing(d Digest) (s Standing, left time.Duration) {
+func (b *Registry) Status(d Digest) (s Status, left time.Duration) {
 	if b == nil {
-		return Free, 0
+		return Allowed, 0
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -67,7 +67,7 @@
 }
 
 // Known returns what is known of a request.
-func (b *Book) Known(d Digest) Evidence {
+func (b *Registry) Evidence(d Digest) Evidence {
 	if b == nil {
 		return Evidence{}
 	}
@@ -77,32 +77,32 @@
 }
 
 // Ended notes that a target's lifetime has ended while it had the request.
-func (b *Book) Ended(d Digest, size int, end End) {
+func (b *Registry) RecordEnd(d Digest, size int, end End) {
 	b.learn(d, Evidence{size: size, ends: []End{end}})
 }
 
 // Clear notes that a run of the request was whole.
-func (b *Book) Clear(d Digest, size int) {
-	if b != nil && b.Concerns(size) {
+func (b *Registry) RecordSuccess(d Digest, size int) {
+	if b != nil && b.HasBodySize(size) {
 		b.learn(d, Evidence{size: size, cleared: b.Clock.Now()})
 	}
 }
 
 // Begin notes that an answer to the request has begun.
-func (b *Book) Begin(d Digest, size int) {
-	if b != nil && b.Concerns(size) {
+func (b *Registry) RecordAnswerStart(d Digest, size int) {
+	if b != nil && b.HasBodySize(size) {
 		b.learn(d, Evidence{size: size, begun: b.Clock.Now()})
 	}
 }
 
 // Hear takes in what other boxes know.
-func (b *Book) Hear(told map[Digest]Evidence) {
+func (b *Registry) Merge(told map[Digest]Evidence) {
 	for d, e := range told {
 		b.learn(d, e)
 	}
 }
 
-func (b *Book) learn(d Digest, e Evidence) {
+func (b *Registry) learn(d Digest, e Evidence) {
 	if b == nil {
 		return
 	}
@@ -130,7 +130,7 @@
 }
 
 // forget drops what is too old to count, and what exceeds the bound.
-func (b *Book) forget() {
+func (b *Registry) forget() {
 	now := b.Clock.Now()
 	maps.DeleteFunc(b.known, func(_ Digest, e Evidence) bool { return now.Sub(e.last()) > 2*e.memory() })
 	for len(b.known) > mostKnown {
@@ -144,7 +144,7 @@
 
 // Told returns what is told to the other boxes now: of the requests of which something was
 // learnt last. What is not new is told now and then, to those that have started since.
-func (b *Book) Told() map[Digest]Evidence {
+func (b *Registry) GossipUpdate() map[Digest]Evidence {
 	if b == nil {
 		return nil
 	}
@@ -179,7 +179,7 @@
 }
 
 // proven returns the requests that are refused, or were, and are tried alone.
-func (b *Book) proven() map[Digest]Evidence {
+func (b *Registry) proven() map[Digest]Evidence {
 	if b == nil {
 		return nil
 	}
@@ -196,8 +196,8 @@
 }
 
 // Counts returns how many requests stand how.
-func (b *Book) Counts() map[Standing]int {
-	counts := map[Standing]int{Free: 0, Alone: 0, Refused: 0}
+func (b *Registry) Counts() map[Status]int {
+	counts := map[Status]int{Allowed: 0, Isolated: 0, Refused: 0}
 	if b == nil {
 		return counts
 	}
@@ -211,7 +211,7 @@
 }
 
 // logChange tells of a change of belief, and of what it rests on.
-func (b *Book) logChange(d Digest, e Evidence, from, to Standing) {
+func (b *Registry) logChange(d Digest, e Evidence, from, to Status) {
 	if b.Log == nil {
 		return
 	}
@@ -225,7 +225,7 @@
 }
 
 // Join adds evidence to a set of it.
-func Join(set, more map[Digest]Evidence) {
+func Merge(set, more map[Digest]Evidence) {
 	for d, e := range more {
 		set[d] = set[d].join(e)
 	}
--- a/internal/suspect/book_test.go
+++ b/internal/suspect/book_test.go
@@ -14,19 +14,19 @@
 
 const size = 100
 
-var digest = suspect.Request{Account: "acme", Method: "POST", Host: "h", Target: "/a", Body: make([]byte, size)}.Digest()
+var digest = suspect.Request{Account: "acme", Method: "POST", Host: "h", RequestURI: "/a", Body: make([]byte, size)}.Digest()
 
 // TestDigest checks what tells two requests apart, and that parts do not run into each other.
 func TestDigest(t *testing.T) {
-	base := suspect.Request{Account: "acme", Method: "POST", Host: "h", Target: "/a", Body: []byte("x")}
+	base := suspect.Request{Account: "acme", Method: "POST", Host: "h", RequestURI: "/a", Body: []byte("x")}
 	cases := map[string]func(r *suspect.Request){
 		"account": func(r *suspect.Request) { r.Account = "other" },
 		"method":  func(r *suspect.Request) { r.Method = "PUT" },
 		"host":    func(r *suspect.Request) { r.Host = "g" },
-		"path":    func(r *suspect.Request) { r.Target = "/b" },
-		"query":   func(r *suspect.Request) { r.Target = "/a?b" },
+		"path":    func(r *suspect.Request) { r.RequestURI = "/b" },
+		"query":   func(r *suspect.Request) { r.RequestURI = "/a?b" },
 		"body":    func(r *suspect.Request) { r.Body = []byte("y") },
-		"moved":   func(r *suspect.Request) { r.Host, r.Target = "h/", "a" },
+		"moved":   func(r *suspect.Request) { r.Host, r.RequestURI = "h/", "a" },
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -42,69 +42,69 @@
 // TestStanding checks how a request may run by what happened to targets that had it, a second
 // after the last of it.
 func TestStanding(t *testing.T) {
-	type step func(b *suspect.Book, clk *clock.Manual)
-	end := func(key uint32, marks suspect.Mark) step {
-		return func(b *suspect.Book, clk *clock.Manual) {
-			b.Ended(digest, size, suspect.NewEnd(key, clk.Now(), marks))
+	type step func(b *suspect.Registry, clk *clock.Manual)
+	end := func(key uint32, marks suspect.EndFlags) step {
+		return func(b *suspect.Registry, clk *clock.Manual) {
+			b.RecordEnd(digest, size, suspect.NewEnd(key, clk.Now(), marks))
 		}
 	}
 	const (
-		writing = suspect.Mark(0)
-		unread  = suspect.Unread
-		lone    = suspect.Unread | suspect.Lone
+		writing = suspect.EndFlags(0)
+		unread  = suspect.BeforeFirstEvent
+		lone    = suspect.BeforeFirstEvent | suspect.RanAlone
 	)
-	whole := func(b *suspect.Book, _ *clock.Manual) { b.Clear(digest, size) }
-	begins := func(b *suspect.Book, _ *clock.Manual) { b.Begin(digest, size) }
+	whole := func(b *suspect.Registry, _ *clock.Manual) { b.RecordSuccess(digest, size) }
+	begins := func(b *suspect.Registry, _ *clock.Manual) { b.RecordAnswerStart(digest, size) }
 	wait := func(d time.Duration) step {
-		return func(_ *suspect.Book, clk *clock.Manual) { clk.Advance(d) }
+		return func(_ *suspect.Registry, clk *clock.Manual) { clk.Advance(d) }
 	}
-	told := func(b *suspect.Book, clk *clock.Manual) {
+	told := func(b *suspect.Registry, clk *clock.Manual) {
 		late := suspect.NewEvidence(size, []suspect.End{suspect.NewEnd(1, clk.Now().Add(-2*time.Second), unread)}, time.Time{}, time.Time{})
-		b.Hear(map[suspect.Digest]suspect.Evidence{digest: late})
+		b.Merge(map[suspect.Digest]suspect.Evidence{digest: late})
 	}
 	three := []step{end(1, unread), end(2, lone), end(3, lone)}
 	certain := []step{end(1, unread), end(2, lone), end(3, lone), end(4, lone), end(5, lone), end(6, lone)}
 	cases := map[string]struct {
 		steps []step
-		want  suspect.Standing
+		want  suspect.Status
 	}{
-		"nothing":                                     {nil, suspect.Free},
-		"one end amid its stream":                     {[]step{end(1, writing)}, suspect.Free},
-		"one end before its stream":                   {[]step{end(1, unread)}, suspect.Alone},
-		"the same end twice":                          {[]step{end(1, writing), end(1, writing)}, suspect.Free},
-		"two ends amid its streams":                   {[]step{end(1, writing), end(2, writing)}, suspect.Alone},
-		"three ends beside others":                    {[]step{end(1, unread), end(2, unread), end(3, unread)}, suspect.Alone},
-		"four ends beside others":                     {[]step{end(1, unread), end(2, unread), end(3, unread), end(4, unread)}, suspect.Alone},
+		"nothing":                                     {nil, suspect.Allowed},
+		"one end amid its stream":                     {[]step{end(1, writing)}, suspect.Allowed},
+		"one end before its stream":                   {[]step{end(1, unread)}, suspect.Isolated},
+		"the same end twice":                          {[]step{end(1, writing), end(1, writing)}, suspect.Allowed},
+		"two ends amid its streams":                   {[]step{end(1, writing), end(2, writing)}, suspect.Isolated},
+		"three ends beside others":                    {[]step{end(1, unread), end(2, unread), end(3, unread)}, suspect.Isolated},
+		"four ends beside others":                     {[]step{end(1, unread), end(2, unread), end(3, unread), end(4, unread)}, suspect.Isolated},
 		"three ends, one of them alone":               {[]step{end(1, unread), end(2, writing), end(3, lone)}, suspect.Refused},
-		"two ends alone":                              {[]step{end(1, lone), end(2, lone)}, suspect.Alone},
-		"an end, then whole":                          {[]step{end(1, unread), whole}, suspect.Free},
-		"an end, then begun elsewhere":                {[]step{end(1, unread), begins}, suspect.Free},
-		"begun elsewhere, then an end":                {[]step{end(1, unread), begins, end(2, unread)}, suspect.Alone},
-		"two ends, then begun elsewhere":              {[]step{end(1, unread), end(2, unread), begins}, suspect.Alone},
-		"refused, then whole":                         {append(three[:3:3], whole), suspect.Free},
-		"whole, then an end":                          {[]step{end(1, unread), whole, end(2, unread)}, suspect.Alone},
-		"whole between ends":                          {[]step{end(1, unread), end(2, unread), whole, end(3, writing)}, suspect.Free},
-		"refused for a minute":                        {append(three[:3:3], wait(suspect.Memory-3*time.Second)), suspect.Refused},
-		"alone after a minute":                        {append(three[:3:3], wait(suspect.Memory)), suspect.Alone},
-		"an end after a minute":                       {append(three[:3:3], wait(suspect.Memory), end(4, lone)), suspect.Refused},
-		"again an end after a minute":                 {append(three[:3:3], wait(suspect.Memory), end(4, lone), wait(suspect.Memory), end(5, lone)), suspect.Refused},
-		"certain, after a minute":                     {append(certain[:6:6], wait(suspect.Memory)), suspect.Refused},
-		"certain, after an hour":                      {append(certain[:6:6], wait(suspect.CertainMemory)), suspect.Alone},
-		"certain, then whole":                         {append(certain[:6:6], whole), suspect.Free},
-		"six ends, two of them alone, after a minute": {[]step{end(1, unread), end(2, unread), end(3, unread), end(4, unread), end(5, lone), end(6, lone), wait(suspect.Memory)}, suspect.Alone},
-		"forgotten":                                   {append(three[:3:3], wait(2*suspect.Memory), func(b *suspect.Book, _ *clock.Manual) { b.Told() }), suspect.Free},
-		"an end is told after it was whole":           {[]step{end(1, unread), whole, told}, suspect.Free},
-		"an end that many saw, of some unread":        {[]step{end(1, writing), end(1, unread)}, suspect.Alone},
+		"two ends alone":                              {[]step{end(1, lone), end(2, lone)}, suspect.Isolated},
+		"an end, then whole":                          {[]step{end(1, unread), whole}, suspect.Allowed},
+		"an end, then begun elsewhere":                {[]step{end(1, unread), begins}, suspect.Allowed},
+		"begun elsewhere, then an end":                {[]step{end(1, unread), begins, end(2, unread)}, suspect.Isolated},
+		"two ends, then begun elsewhere":              {[]step{end(1, unread), end(2, unread), begins}, suspect.Isolated},
+		"refused, then whole":                         {append(three[:3:3], whole), suspect.Allowed},
+		"whole, then an end":                          {[]step{end(1, unread), whole, end(2, unread)}, suspect.Isolated},
+		"whole between ends":                          {[]step{end(1, unread), end(2, unread), whole, end(3, writing)}, suspect.Allowed},
+		"refused for a minute":                        {append(three[:3:3], wait(suspect.RefusalPeriod-3*time.Second)), suspect.Refused},
+		"alone after a minute":                        {append(three[:3:3], wait(suspect.RefusalPeriod)), suspect.Isolated},
+		"an end after a minute":                       {append(three[:3:3], wait(suspect.RefusalPeriod), end(4, lone)), suspect.Refused},
+		"again an end after a minute":                 {append(three[:3:3], wait(suspect.RefusalPeriod), end(4, lone), wait(suspect.RefusalPeriod), end(5, lone)), suspect.Refused},
+		"certain, after a minute":                     {append(certain[:6:6], wait(suspect.RefusalPeriod)), suspect.Refused},
+		"certain, after an hour":                      {append(certain[:6:6], wait(suspect.CertainRefusalPeriod)), suspect.Isolated},
+		"certain, then whole":                         {append(certain[:6:6], whole), suspect.Allowed},
+		"six ends, two of them alone, after a minute": {[]step{end(1, unread), end(2, unread), end(3, unread), end(4, unread), end(5, lone), end(6, lone), wait(suspect.RefusalPeriod)}, suspect.Isolated},
+		"forgotten":                                   {append(three[:3:3], wait(2*suspect.RefusalPeriod), func(b *suspect.Registry, _ *clock.Manual) { b.GossipUpdate() }), suspect.Allowed},
+		"an end is told after it was whole":           {[]step{end(1, unread), whole, told}, suspect.Allowed},
+		"an end that many saw, of some unread":        {[]step{end(1, writing), end(1, unread)}, suspect.Isolated},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			clk := clock.NewManual(time.Unix(1000, 0))
-			b := &suspect.Book{Clock: clk}
+			b := &suspect.Registry{Clock: clk}
 			for _, do := range tc.steps {
 				do(b, clk)
 				clk.Advance(time.Second)
 			}
-			got, _ := b.Standing(digest)
+			got, _ := b.Status(digest)
 			quicktest.Check(t, got, quicktest.Equals, tc.want)
 		})
 	}
@@ -116,19 +116,19 @@
 func TestTargetsCrashTogether(t *testing.T) {
 	c := quicktest.New(t)
 	clk := clock.NewManual(time.Unix(1000, 0))
-	b := &suspect.Book{Clock: clk}
+	b := &suspect.Registry{Clock: clk}
 	refused := make(chan struct{}, 1)
-	b.Watch(func(suspect.Digest, int) { refused <- struct{}{} })
+	b.NotifyRefused(func(suspect.Digest, int) { refused <- struct{}{} })
 	for wave := range uint32(5) {
 		for key := range uint32(6) {
-			b.Ended(digest, size, suspect.NewEnd(10*wave+key, clk.Now(), suspect.Unread))
-			s, _ := b.Standing(digest)
+			b.RecordEnd(digest, size, suspect.NewEnd(10*wave+key, clk.Now(), suspect.BeforeFirstEvent))
+			s, _ := b.Status(digest)
 			c.Check(s, quicktest.Not(quicktest.Equals), suspect.Refused)
 		}
 		clk.Advance(100 * time.Millisecond)
-		b.Clear(digest, size)
-		s, _ := b.Standing(digest)
-		c.Check(s, quicktest.Equals, suspect.Free)
+		b.RecordSuccess(digest, size)
+		s, _ := b.Status(digest)
+		c.Check(s, quicktest.Equals, suspect.Allowed)
 		clk.Advance(100 * time.Millisecond)
 	}
 	c.Check(len(refused), quicktest.Equals, 0)
@@ -154,14 +154,14 @@
 				continue
 			}
 			key := rapid.IntRange(0, len(ends)-1).Draw(r, "target")
-			end := suspect.NewEnd(uint32(key), ends[key], suspect.Unread)
+			end := suspect.NewEnd(uint32(key), ends[key], suspect.BeforeFirstEvent)
 			told = append(told, suspect.NewEvidence(size, []suspect.End{end}, time.Time{}, time.Time{}))
 		}
 		clk.Advance(30 * time.Second)
 		belief := func(words []suspect.Evidence) int {
 			sum := make(map[suspect.Digest]suspect.Evidence)
 			for _, e := range words {
-				suspect.Join(sum, map[suspect.Digest]suspect.Evidence{digest: e})
+				suspect.Merge(sum, map[suspect.Digest]suspect.Evidence{digest: e})
 			}
 			return len(sum[digest].Ends())
 		}
@@ -187,20 +187,20 @@
 		mostAll = 3 + 3
 	)
 	clk := clock.NewManual(time.Unix(1000, 0))
-	b := &suspect.Book{Clock: clk}
+	b := &suspect.Registry{Clock: clk}
 	ended := uint32(0)
 	for range int(length / time.Second) {
 		clk.Advance(time.Second)
-		standing, _ := b.Standing(digest)
+		standing, _ := b.Status(digest)
 		if standing == suspect.Refused {
 			continue
 		}
-		marks := suspect.Unread
-		if standing == suspect.Alone {
-			marks |= suspect.Lone
+		marks := suspect.BeforeFirstEvent
+		if standing == suspect.Isolated {
+			marks |= suspect.RanAlone
 		}
 		ended++
-		b.Ended(digest, size, suspect.NewEnd(ended, clk.Now(), marks))
+		b.RecordEnd(digest, size, suspect.NewEnd(ended, clk.Now(), marks))
 	}
 	quicktest.Check(t, ended <= mostAll, quicktest.IsTrue, quicktest.Commentf("%d ended", ended))
 }
@@ -210,22 +210,22 @@
 func TestBounds(t *testing.T) {
 	c := quicktest.New(t)
 	clk := clock.NewManual(time.Unix(1000, 0))
-	b := &suspect.Book{Clock: clk}
+	b := &suspect.Registry{Clock: clk}
 	for key := range uint32(3) {
-		b.Ended(digest, size, suspect.NewEnd(key, clk.Now(), suspect.Unread|suspect.Lone))
+		b.RecordEnd(digest, size, suspect.NewEnd(key, clk.Now(), suspect.BeforeFirstEvent|suspect.RanAlone))
 	}
 	for i := range 1000 {
 		clk.Advance(time.Millisecond)
-		d := suspect.Request{Target: "/" + string(rune(i)), Method: "GET"}.Digest()
-		b.Ended(d, 0, suspect.NewEnd(9, clk.Now(), suspect.Unread))
+		d := suspect.Request{RequestURI: "/" + string(rune(i)), Method: "GET"}.Digest()
+		b.RecordEnd(d, 0, suspect.NewEnd(9, clk.Now(), suspect.BeforeFirstEvent))
 	}
 	held := 0
 	for _, n := range b.Counts() {
 		held += n
 	}
 	c.Check(held, quicktest.Equals, 80)
-	c.Check(len(b.Told()), quicktest.Equals, 32)
-	standing, left := b.Standing(digest)
+	c.Check(len(b.GossipUpdate()), quicktest.Equals, 32)
+	standing, left := b.Status(digest)
 	c.Check(standing, quicktest.Equals, suspect.Refused)
 	c.Check(left > 50*time.Second, quicktest.IsTrue)
 }
@@ -233,13 +233,13 @@
 // TestToldOf checks that what is new is told each time, and all else once a second.
 func TestToldOf(t *testing.T) {
 	clk := clock.NewManual(time.Unix(1000, 0))
-	b := &suspect.Book{Clock: clk}
-	b.Ended(digest, size, suspect.NewEnd(1, clk.Now(), suspect.Unread))
+	b := &suspect.Registry{Clock: clk}
+	b.RecordEnd(digest, size, suspect.NewEnd(1, clk.Now(), suspect.BeforeFirstEvent))
 	count := func(span time.Duration) (told int) {
 		const tick = 50 * time.Millisecond
 		for range span / tick {
 			clk.Advance(tick)
-			told += len(b.Told())
+			told += len(b.GossipUpdate())
 		}
 		return told
 	}
@@ -251,11 +251,11 @@
 // TestNilBook checks that a box without a book suspects nobody.
 func TestNilBook(t *testing.T) {
 	c := quicktest.New(t)
-	var b *suspect.Book
-	b.Ended(digest, size, suspect.NewEnd(1, time.Time{}, suspect.Unread))
-	b.Clear(digest, size)
-	standing, _ := b.Standing(digest)
-	c.Check(standing, quicktest.Equals, suspect.Free)
-	c.Check(b.Concerns(size), quicktest.IsFalse)
-	c.Check(b.Told(), quicktest.HasLen, 0)
+	var b *suspect.Registry
+	b.RecordEnd(digest, size, suspect.NewEnd(1, time.Time{}, suspect.BeforeFirstEvent))
+	b.RecordSuccess(digest, size)
+	standing, _ := b.Status(digest)
+	c.Check(standing, quicktest.Equals, suspect.Allowed)
+	c.Check(b.HasBodySize(size), quicktest.IsFalse)
+	c.Check(b.GossipUpdate(), quicktest.HasLen, 0)
 }
--- a/internal/suspect/digest.go
+++ b/internal/suspect/digest.go
@@ -23,15 +23,15 @@
 	Method  string
 	Host    string
 	// Target is the path with its query.
-	Target string
-	Body   []byte
+	RequestURI string
+	Body       []byte
 }
 
 // Digest returns the request's digest. It costs 0.8 ms a MB (BenchmarkCapacityDigest),
 // and is taken of a request only while there are suspects with a body of its length.
 func (r Request) Digest() (d Digest) {
 	h := sha256.New()
-	for _, part := range []string{r.Account, r.Method, r.Host, r.Target} {
+	for _, part := range []string{r.Account, r.Method, r.Host, r.RequestURI} {
 		writeLength(h, len(part))
 		_, _ = io.WriteString(h, part)
 	}
@@ -51,6 +51,6 @@
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
 // DigestFrom reads a digest as it travels; ok is false for any other bytes.
-func DigestFrom(data []byte) (d Digest, ok bool) {
+func DigestFromBytes(data []byte) (d Digest, ok bool) {
 	return d, copy(d[:], data) == digestBytes && len(data) == digestBytes
 }
--- a/internal/suspect/evidence.go
+++ b/internal/suspect/evidence.go
@@ -13,22 +13,22 @@
 	// key names the lifetime between boxes.
 	key   uint32
 	at    time.Time
-	marks Mark
+	marks EndFlags
 }
 
 // Mark tells how a request ran at a target that ended. Marks are joined with |.
-type Mark uint8
+type EndFlags uint8
 
 const (
 	// Unread means that the request had no event or answer of the target yet: what ends a
 	// target mostly does so at once.
-	Unread Mark = 1 << iota
+	BeforeFirstEvent EndFlags = 1 << iota
 	// Lone means that the request ran alone there: hardly anything else can have ended it.
-	Lone
+	RanAlone
 )
 
 // NewEnd returns the end of the lifetime with the key.
-func NewEnd(key uint32, at time.Time, marks Mark) End { return End{key: key, at: at, marks: marks} }
+func NewEnd(key uint32, at time.Time, marks EndFlags) End { return End{key: key, at: at, marks: marks} }
 
 // Key returns the key of the lifetime.
 func (e End) Key() uint32 { return e.key }
@@ -37,10 +37,10 @@
 func (e End) At() time.Time { return e.at }
 
 // Marks returns how the request ran there.
-func (e End) Marks() Mark { return e.marks }
+func (e End) Flags() EndFlags { return e.marks }
 
 // Has reports whether the end has the mark.
-func (e End) Has(m Mark) bool { return e.marks&m != 0 }
+func (e End) Has(m EndFlags) bool { return e.marks&m != 0 }
 
 // Evidence is what is known of one request. Evidence of several boxes is joined in any order
 // and any number of times with the same outcome.
@@ -61,16 +61,16 @@
 }
 
 // Size returns the length of the request's body.
-func (e Evidence) Size() int { return e.size }
+func (e Evidence) BodySize() int { return e.size }
 
 // Ends returns the lifetimes that ended under the request since it was last cleared.
 func (e Evidence) Ends() []End { return e.ends }
 
 // Cleared returns when a run of the request was last whole, zero if none was.
-func (e Evidence) Cleared() time.Time { return e.cleared }
+func (e Evidence) LastSuccess() time.Time { return e.cleared }
 
 // Begun returns when an answer to the request last began, zero if none did.
-func (e Evidence) Begun() time.Time { return e.begun }
+func (e Evidence) LastAnswerStart() time.Time { return e.begun }
 
 // mostEnds is how many ends are kept of a request: one more than it takes to refuse it beyond
 // doubt, as some may come at the same time.
@@ -129,7 +129,7 @@
 func (e Evidence) lone() int {
 	n := 0
 	for _, end := range e.ends {
-		if end.Has(Lone) {
+		if end.Has(RanAlone) {
 			n++
 		}
 	}
@@ -150,25 +150,25 @@
 // memory returns for how long what was learnt last refuses the request.
 func (e Evidence) memory() time.Duration {
 	if len(e.ends) >= certainFrom && e.lone() >= certainLone {
-		return CertainMemory
+		return CertainRefusalPeriod
 	}
-	return Memory
+	return RefusalPeriod
 }
 
 // standing returns how the request stands.
-func (e Evidence) standing(now time.Time) Standing {
+func (e Evidence) standing(now time.Time) Status {
 	if len(e.ends) == 0 {
-		return Free
+		return Allowed
 	}
 	// Once it was read elsewhere without harm, reading it is not what ended the target.
-	unread := func(end End) bool { return end.Has(Unread) && end.at.After(e.begun) }
+	unread := func(end End) bool { return end.Has(BeforeFirstEvent) && end.at.After(e.begun) }
 	young := now.Sub(e.last()) < e.memory()
 	switch {
 	case e.proven() && young:
 		return Refused
 	case len(e.ends) >= aloneFrom, slices.ContainsFunc(e.ends, unread):
-		return Alone
+		return Isolated
 	default:
-		return Free
+		return Allowed
 	}
 }
--- a/internal/suspect/record.go
+++ b/internal/suspect/record.go
@@ -46,7 +46,7 @@
 	w := record{Size: e.size}
 	for _, end := range e.ends {
 		at := m.day.Add(end.at.Sub(m.now))
-		w.Ends = append(w.Ends, recordEnd{Target: end.key, AtMS: at.UnixMilli(), Unread: end.Has(Unread), Lone: end.Has(Lone)})
+		w.Ends = append(w.Ends, recordEnd{Target: end.key, AtMS: at.UnixMilli(), Unread: end.Has(BeforeFirstEvent), Lone: end.Has(RanAlone)})
 	}
 	value, err := json.Marshal(w)
 	if err != nil {
@@ -59,7 +59,7 @@
 // to box: what lies ahead is now.
 func decodeRecord(r barleystep.Record, m moment) (d Digest, e Evidence, err error) {
 	key, err := hex.DecodeString(r.Key())
-	d, ok := DigestFrom(key)
+	d, ok := DigestFromBytes(key)
 	if err != nil || !ok {
 		return Digest{}, Evidence{}, strict.Errorf(strict.FlawValue, "the key is no digest")
 	}
@@ -81,13 +81,13 @@
 		target = 0 // No lifetime's key that a box has seen is likely to be it.
 	}
 	age := max(m.day.UnixMilli()-o.Whole(fieldAt), 0)
-	age = min(age, (2 * CertainMemory).Milliseconds())
-	var marks Mark
+	age = min(age, (2 * CertainRefusalPeriod).Milliseconds())
+	var marks EndFlags
 	if o.Flag(fieldUnread) {
-		marks |= Unread
+		marks |= BeforeFirstEvent
 	}
 	if o.Flag(fieldLone) {
-		marks |= Lone
+		marks |= RanAlone
 	}
 	return NewEnd(uint32(target), m.now.Add(-time.Duration(age)*time.Millisecond), marks)
 }
--- a/internal/suspect/standing.go
+++ b/internal/suspect/standing.go
@@ -3,16 +3,16 @@
 import "time"
 
 // Standing is how a request may run.
-type Standing uint8
+type Status uint8
 
 // The standings. What ended a target is not known at first: all that it had are suspects, and
 // targets end by themselves too.
 const (
 	// Free requests run as any other.
-	Free Standing = iota
+	Allowed Status = iota
 	// Alone means that the request runs on a target on which nothing else is lost with it,
 	// and on one at a time over all boxes.
-	Alone
+	Isolated
 	// Refused requests are sent to no target.
 	Refused
 )
@@ -32,10 +32,10 @@
 	certainLone = 3
 	// Memory is for how long a request is refused after a target has last ended under it.
 	// Then one attempt shows, alone, whether it still does harm.
-	Memory = time.Minute
+	RefusalPeriod = time.Minute
 	// CertainMemory is the same of one that ends targets beyond doubt. Were it tried each
 	// minute, a request that keeps coming would end all targets in their turn.
-	CertainMemory = time.Hour
+	CertainRefusalPeriod = time.Hour
 	// mostKnown bounds the requests of which something is known: those that four targets have
 	// at the same time, with some twenty requests each. Those of which least is known, and the
 	// oldest of these, are forgotten first.
@@ -56,4 +56,4 @@
 var standingNames = [...]string{"free", "alone", "refused"}
 
 // String returns the standing's name for logs.
-func (s Standing) String() string { return standingNames[s] }
+func (s Status) String() string { return standingNames[s] }
