--- a/internal/balance/assignment.go
+++ b/internal/balance/assignment.go
@@ -71,7 +71,7 @@
 
 // bestAssignment returns the choice that costs callers the least.
 func (b *Balancer) bestAssignment(j Job, engines []fleet.Target) assignment {
-	read := j.Cost.Read(j.PromptTokens)
+	read := j.Cost.Prefill(j.PromptTokens)
 	r := b.divide(j, engines)
 	writers := r.writers
 	if len(writers) == 0 || giant(j) {
@@ -103,7 +103,7 @@
 			return g, false
 		}
 	}
-	share := j.Cost.Read(j.PromptTokens) / time.Duration(len(helpers)+1)
+	share := j.Cost.Prefill(j.PromptTokens) / time.Duration(len(helpers)+1)
 	g.passing = b.harm(j, first, share)
 	g.harm = g.passing
 	for i, t := range helpers {
@@ -123,7 +123,7 @@
 // an equal part. Each helper sets so much memory aside; without any, the first
 // engine holds all of it.
 func (b *Balancer) placement(j Job, first fleet.Target, helpers []fleet.Target, memory int, expected time.Duration) *Placement {
-	read := j.Cost.Read(j.PromptTokens)
+	read := j.Cost.Prefill(j.PromptTokens)
 	share := read / time.Duration(len(helpers)+1)
 	p := &Placement{Target: first, expected: expected}
 	own := Work{Long: 1, PendingPrefills: 1}
@@ -187,7 +187,7 @@
 	for i, t := range pool {
 		w := b.work(t.ID)
 		score := w.Backlog.Seconds() + b.errorWait(t).Seconds() + float64(w.Long)*writerCost.Seconds() + float64(w.Short)*lightHarm.Seconds() + b.chance()/perMilli
-		if lack := need - (j.Cost.Memory - w.KVTokens); lack > 0 {
+		if lack := need - (j.Cost.KVTokens - w.KVTokens); lack > 0 {
 			score += noRoom + float64(lack)
 		}
 		if score < least {
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -18,8 +18,8 @@
 )
 
 var cost = &fleet.CostModel{
-	Slots: 4, Memory: 450_000, Stride: 46, Step: 925 * time.Microsecond, PerWriter: 5 * time.Microsecond,
-	ReadRate: 256_000, PerPairs: 92 * time.Microsecond, Chunk: 2048, UsualPrompt: 13_000,
+	Slots: 4, KVTokens: 450_000, Stride: 46, Step: 925 * time.Microsecond, PerStream: 5 * time.Microsecond,
+	PrefillRate: 256_000, PerMillionPairs: 92 * time.Microsecond, PrefillChunk: 2048, MeanPromptTokens: 13_000,
 }
 
 const (
--- a/internal/balance/blame_test.go
+++ b/internal/balance/blame_test.go
@@ -61,8 +61,8 @@
 	const engines = 4
 	f := newFixture(engines)
 	small := *cost
-	small.Memory = 20_000
-	all := job(int(0.89*float64((engines-1)*small.Memory)) - 100)
+	small.KVTokens = 20_000
+	all := job(int(0.89*float64((engines-1)*small.KVTokens)) - 100)
 	all.Cost = &small
 	p := f.placeNow(t, all)
 	blamed := p.Helpers[0].ID
--- a/internal/balance/cost.go
+++ b/internal/balance/cost.go
@@ -78,7 +78,7 @@
 
 // worthOf is what a prompt in time counts for.
 func worthOf(j Job) float64 {
-	return usualWeight * math.Pow(float64(j.PromptTokens)/max(float64(j.Cost.UsualPrompt), 1), weightPower)
+	return usualWeight * math.Pow(float64(j.PromptTokens)/max(float64(j.Cost.MeanPromptTokens), 1), weightPower)
 }
 
 // ramp returns how far x is on its way between two values, 0 to 1.
--- a/internal/balance/demand.go
+++ b/internal/balance/demand.go
@@ -73,7 +73,7 @@
 	if !IsLongPrompt(j) || giant(j) {
 		return
 	}
-	b.note(j, j.Cost.Read(j.PromptTokens), true)
+	b.note(j, j.Cost.Prefill(j.PromptTokens), true)
 }
 
 // demand returns the demand of all boxes for the service.
--- a/internal/balance/giant.go
+++ b/internal/balance/giant.go
@@ -8,14 +8,14 @@
 
 // giant reports whether a long prompt is longer than an engine's memory.
 func giant(j Job) bool {
-	return IsLongPrompt(j) && float64(j.PromptTokens+j.OutputTokens) > memoryPart*float64(j.Cost.Memory)
+	return IsLongPrompt(j) && float64(j.PromptTokens+j.OutputTokens) > memoryPart*float64(j.Cost.KVTokens)
 }
 
 // fits reports whether so many engines have the memory for a giant: one writes, and the
 // others hold it.
 func fits(j Job, engines int) bool {
 	helpers := min(engines-1, maxHelpers)
-	return float64(j.PromptTokens+j.OutputTokens) <= memoryPart*float64(helpers*j.Cost.Memory)
+	return float64(j.PromptTokens+j.OutputTokens) <= memoryPart*float64(helpers*j.Cost.KVTokens)
 }
 
 // placeGiant places a prompt that is longer than an engine's memory: its memory is
@@ -33,7 +33,7 @@
 	case g.harm > gain:
 		return nil, holdStreams
 	}
-	b.note(j, j.Cost.Read(j.PromptTokens), true)
+	b.note(j, j.Cost.Prefill(j.PromptTokens), true)
 	return b.assign(j, g), holdNone
 }
 
@@ -45,7 +45,7 @@
 	}
 	each := (j.PromptTokens+j.OutputTokens)/len(helpers) + 1
 	for _, t := range helpers {
-		if float64(b.work(t.ID).KVTokens+each) > memoryPart*float64(j.Cost.Memory) {
+		if float64(b.work(t.ID).KVTokens+each) > memoryPart*float64(j.Cost.KVTokens) {
 			return 0, false
 		}
 	}
--- a/internal/balance/giant_test.go
+++ b/internal/balance/giant_test.go
@@ -53,7 +53,7 @@
 // by the second.
 func TestOverMemoryWait(t *testing.T) {
 	const objective = 8 * time.Second
-	least := cost.Read(overMemory)/17 + cost.Pass()
+	least := cost.Prefill(overMemory)/17 + cost.Pass()
 	cases := map[string]struct {
 		earlier time.Duration // earlier is how long ago the first try was that was refused.
 		taken   time.Duration // taken is for how long the box has had the request.
--- a/internal/balance/lifetime.go
+++ b/internal/balance/lifetime.go
@@ -42,12 +42,12 @@
 	if renewed {
 		s = b.restart(s, t.ID)
 	}
-	if t.Born != s.said {
-		s.key, s.said = KeyOfTarget(t), t.Born
+	if t.StartMS != s.said {
+		s.key, s.said = KeyOfTarget(t), t.StartMS
 		b.hear(t.ID, s)
 	}
-	if t.Born != 0 {
-		s.born = t.Born
+	if t.StartMS != 0 {
+		s.born = t.StartMS
 	}
 	return s, renewed
 }
--- a/internal/balance/lifetime_test.go
+++ b/internal/balance/lifetime_test.go
@@ -17,13 +17,13 @@
 
 // say has a target say when it started.
 func (f *fixture) say(i int, born int64) {
-	f.targets[i].Born = born
+	f.targets[i].StartMS = born
 	f.DetectRestarts()
 }
 
 // other returns what a box that takes a target to be of a lifetime tells of it.
 func other(t fleet.Target, born int64, w balance.Work) balance.Snapshot {
-	t.Born = born
+	t.StartMS = born
 	s := balance.NewSnapshot()
 	s.Work[balance.KeyOfTarget(t)] = w
 	return s
@@ -69,7 +69,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			f := newFixture(1)
-			f.targets[0].Born = tc.first
+			f.targets[0].StartMS = tc.first
 			p := f.place(t, job(shortPrompt))
 			f.clock.Advance(tc.wait)
 			f.say(0, tc.second)
@@ -91,7 +91,7 @@
 // entry between them did not say.
 func TestRestartOverSilence(t *testing.T) {
 	f := newFixture(1)
-	f.targets[0].Born = 100
+	f.targets[0].StartMS = 100
 	p := f.place(t, job(shortPrompt))
 	f.clock.Advance(settled)
 	f.say(0, 0)
@@ -126,7 +126,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(2)
-			f.targets[0].Born = 100
+			f.targets[0].StartMS = 100
 			f.place(t, only(0, f)).Done(balance.Report{})
 			f.clock.Advance(settled)
 			for _, step := range tc.steps {
@@ -140,7 +140,7 @@
 // TestRestartForgivesErrors checks that a new lifetime gets its share of the work at once.
 func TestRestartForgivesErrors(t *testing.T) {
 	f := newFixture(2)
-	f.targets[0].Born = 100
+	f.targets[0].StartMS = 100
 	for range 20 {
 		f.place(t, only(0, f)).Done(balance.Report{Error: true})
 	}
@@ -159,7 +159,7 @@
 // new one.
 func TestLateAnswer(t *testing.T) {
 	f := newFixture(2)
-	f.targets[0].Born = 100
+	f.targets[0].StartMS = 100
 	p := f.place(t, only(0, f))
 	f.clock.Advance(settled)
 	f.say(0, 200)
@@ -187,7 +187,7 @@
 			c := quicktest.New(t)
 			f := newFixture(12)
 			for i := range f.targets {
-				f.targets[i].Born = 100
+				f.targets[i].StartMS = 100
 			}
 			j := job(tc.prompt)
 			j.Objective = 8 * time.Second
@@ -216,7 +216,7 @@
 	c := quicktest.New(t)
 	f := newFixture(12)
 	for i := range f.targets {
-		f.targets[i].Born = 100
+		f.targets[i].StartMS = 100
 	}
 	j := job(longPrompt)
 	j.Objective = 8 * time.Second
@@ -249,7 +249,7 @@
 func TestRestartFreesRoom(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(1)
-	f.targets[0].Born = 100
+	f.targets[0].StartMS = 100
 	for range 4 {
 		f.place(t, job(shortPrompt))
 	}
--- a/internal/balance/light.go
+++ b/internal/balance/light.go
@@ -39,7 +39,7 @@
 // demand by which the engines are divided is that of the last seconds. It returns
 // nothing if all that it looked at are full.
 func (b *Balancer) placeLight(j Job, engines []fleet.Target) *Placement {
-	read := j.Cost.Read(j.PromptTokens)
+	read := j.Cost.Prefill(j.PromptTokens)
 	r := b.divide(j, engines)
 	best, score, least := b.bestOfHalls(j, r.light)
 	if others := r.heavy(); len(others) > 0 {
@@ -56,7 +56,7 @@
 
 // lightPlacement returns the placement of a short prompt at an engine.
 func lightPlacement(j Job, t fleet.Target, expected time.Duration) *Placement {
-	work := Work{Short: 1, Backlog: j.Cost.Read(j.PromptTokens), KVTokens: j.PromptTokens + j.OutputTokens}
+	work := Work{Short: 1, Backlog: j.Cost.Prefill(j.PromptTokens), KVTokens: j.PromptTokens + j.OutputTokens}
 	return &Placement{Target: t, expected: expected, parts: []*part{{target: t.ID, work: work}}}
 }
 
--- a/internal/balance/limit_test.go
+++ b/internal/balance/limit_test.go
@@ -171,7 +171,7 @@
 			f.SetOthers(news(barleystep.NewRateLimit(2), f.clock.Now()))
 		}, true},
 		"a new lifetime": {func(f *fixture, _ *balance.Placement) {
-			f.targets[0].Born = 7
+			f.targets[0].StartMS = 7
 			f.DetectRestarts()
 		}, false},
 	}
@@ -179,7 +179,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			f := newFixture(2)
-			f.targets[0].Born = 1
+			f.targets[0].StartMS = 1
 			p := f.place(t, f.only("i-00"))
 			p.NoteStatement(p.Target.ID, barleystep.Statement{Limit: barleystep.NewRateLimit(1)}, f.clock.Now())
 			f.clock.Advance(2 * time.Second)
@@ -195,7 +195,7 @@
 	s := balance.NewSnapshot()
 	for _, born := range []int64{1, 7} {
 		t := newFixture(1).targets[0]
-		t.Born = born
+		t.StartMS = born
 		s.Statements[balance.KeyOfTarget(t)] = balance.TimedStatement{Limit: balance.Timed[barleystep.RateLimit]{Value: limit, At: at}}
 	}
 	return s
@@ -264,7 +264,7 @@
 	c := quicktest.New(t)
 	for name, born := range map[string]int64{"said when it started": 7, "never said": 0} {
 		f := newFixture(2)
-		f.targets[0].Born = born
+		f.targets[0].StartMS = born
 		others := balance.NewSnapshot()
 		others.Statements[balance.KeyOfTarget(f.targets[0])] = balance.TimedStatement{Limit: balance.Timed[barleystep.RateLimit]{Value: barleystep.NewRateLimit(1), At: f.clock.Now()}}
 		f.SetOthers(others)
--- a/internal/balance/split.go
+++ b/internal/balance/split.go
@@ -53,7 +53,7 @@
 	if j.Cost == nil || j.MaxPause <= 0 {
 		return false
 	}
-	return float64(j.Cost.Read(j.PromptTokens)) > heavyPart*float64(j.MaxPause)
+	return float64(j.Cost.Prefill(j.PromptTokens)) > heavyPart*float64(j.MaxPause)
 }
 
 // divide orders the engines in the same way on every box and divides them by
--- a/internal/balance/trial.go
+++ b/internal/balance/trial.go
@@ -84,9 +84,9 @@
 	case j.Cost == nil:
 		return plainPlacement(t)
 	case IsLongPrompt(j):
-		return b.placement(j, t, nil, 0, j.Cost.Read(j.PromptTokens)+j.Cost.Pass())
+		return b.placement(j, t, nil, 0, j.Cost.Prefill(j.PromptTokens)+j.Cost.Pass())
 	default:
-		return lightPlacement(j, t, j.Cost.Read(j.PromptTokens)+j.Cost.Pass())
+		return lightPlacement(j, t, j.Cost.Prefill(j.PromptTokens)+j.Cost.Pass())
 	}
 }
 
--- a/internal/balance/turn.go
+++ b/internal/balance/turn.go
@@ -37,7 +37,7 @@
 
 // sizeOf returns the size of a long prompt.
 func sizeOf(j Job) int {
-	doublings := math.Ilogb(j.Cost.Read(j.PromptTokens).Seconds() / leastSize.Seconds())
+	doublings := math.Ilogb(j.Cost.Prefill(j.PromptTokens).Seconds() / leastSize.Seconds())
 	return min(max(doublings+1, 0), turnSizes-1)
 }
 
--- a/internal/balance/waiting.go
+++ b/internal/balance/waiting.go
@@ -191,9 +191,9 @@
 	case j.Cost == nil:
 		return 0
 	case !IsLongPrompt(j):
-		return j.Cost.Read(j.PromptTokens) + j.Cost.Pass()
+		return j.Cost.Prefill(j.PromptTokens) + j.Cost.Pass()
 	default:
-		return j.Cost.Read(j.PromptTokens)/(maxHelpers+1) + j.Cost.Pass()
+		return j.Cost.Prefill(j.PromptTokens)/(maxHelpers+1) + j.Cost.Pass()
 	}
 }
 
@@ -203,7 +203,7 @@
 	if j.Cost == nil {
 		return 0
 	}
-	return j.Cost.Write()
+	return j.Cost.Decode()
 }
 
 // LeastWhole is about how long the job takes to its last event where all engines that may
@@ -383,6 +383,6 @@
 
 // hopeful reports whether a long prompt that is placed now can be in time.
 func (w *QueuedJob) hopeful(now time.Time) bool {
-	read := w.job.Cost.Read(w.job.PromptTokens) / maxHelpers
+	read := w.job.Cost.Prefill(w.job.PromptTokens) / maxHelpers
 	return now.Add(read + w.job.Cost.Pass()).Before(w.job.first().Add(w.job.Objective))
 }
--- a/internal/balance/waiting_test.go
+++ b/internal/balance/waiting_test.go
@@ -152,7 +152,7 @@
 // TestTimeLeft checks that a long prompt whose caller would be gone before an answer is
 // refused at once, and that one that waits is placed, or refused, while there is time.
 func TestTimeLeft(t *testing.T) {
-	read := cost.Read(longPrompt)
+	read := cost.Prefill(longPrompt)
 	cases := map[string]struct {
 		left   time.Duration
 		busy   time.Duration // busy is for how long the one engine reads something else.
--- a/internal/balance/work.go
+++ b/internal/balance/work.go
@@ -52,10 +52,10 @@
 // KeyOfTarget returns the key of a target's lifetime. What boxes tell each other of an earlier
 // one has another key: it counts nowhere, however late it comes.
 func KeyOfTarget(t fleet.Target) Key {
-	if t.Born == 0 {
+	if t.StartMS == 0 {
 		return KeyOf(string(t.ID))
 	}
-	return KeyOf(string(t.ID) + "@" + strconv.FormatInt(t.Born, 10))
+	return KeyOf(string(t.ID) + "@" + strconv.FormatInt(t.StartMS, 10))
 }
 
 // Snapshot is the work and the demand of one box, or of many.
--- a/internal/conn/owner.go
+++ b/internal/conn/owner.go
@@ -67,8 +67,8 @@
 		}
 	}
 	renewed = known && (t.ID != old.id || t.Restarted(old.born))
-	next := owner{t.ID, t.Born}
-	if t.ID == old.id && t.Born == 0 {
+	next := owner{t.ID, t.StartMS}
+	if t.ID == old.id && t.StartMS == 0 {
 		next.born = old.born
 	}
 	p.owners[addr] = next
--- a/internal/conn/owner_test.go
+++ b/internal/conn/owner_test.go
@@ -17,7 +17,9 @@
 // TestOwner checks that a kept connection is used only as long as its address belongs to the
 // lifetime of the target to which it was made.
 func TestOwner(t *testing.T) {
-	at := func(id string, born int64) fleet.Target { return fleet.Target{ID: barleystep.TargetID(id), Born: born} }
+	at := func(id string, born int64) fleet.Target {
+		return fleet.Target{ID: barleystep.TargetID(id), StartMS: born}
+	}
 	list := func(targets ...fleet.Target) []fleet.Target { return targets }
 	cases := map[string]struct {
 		lists  [][]fleet.Target
@@ -68,10 +70,10 @@
 	c := quicktest.New(t)
 	s := newTarget(t, answer("1", "a"))
 	p := newPool()
-	tell(p, s.addr(), []fleet.Target{{ID: "i", Born: 100}})
+	tell(p, s.addr(), []fleet.Target{{ID: "i", StartMS: 100}})
 	k, err := p.Get(context.Background(), s.addr())
 	c.Assert(err, quicktest.IsNil)
-	tell(p, s.addr(), []fleet.Target{{ID: "i", Born: 200}})
+	tell(p, s.addr(), []fleet.Target{{ID: "i", StartMS: 200}})
 	req := &http.Request{Method: http.MethodGet, URL: &url.URL{Opaque: "/x"}, Host: "h", Header: http.Header{}}
 	resp, err := k.Send(context.Background(), req, nil, func(h http.Header) bool { return h.Get("Id") == "1" })
 	c.Assert(err, quicktest.IsNil)
--- a/internal/fleet/configuration.go
+++ b/internal/fleet/configuration.go
@@ -55,7 +55,7 @@
 	// Split shares the route's requests between services by weight.
 	Split []Share
 	// MaxSends is the largest number of targets that one request is sent to.
-	MaxSends int
+	MaxTries int
 	// Public routes need no key.
 	Public bool
 	// Resumable streams may go on at another target.
@@ -86,7 +86,7 @@
 	BodyBytes     int64
 	HeaderTimeout time.Duration
 	// Idle is how long a connection may rest between requests.
-	Idle time.Duration
+	IdleTimeout time.Duration
 }
 
 // Account is a client account with its keys.
@@ -111,11 +111,11 @@
 	// Born is when the target started by its own clock, in Unix milliseconds; zero if it
 	// does not say. It tells the lifetimes under one id apart and does not order them: a
 	// clock may step.
-	Born int64
+	StartMS int64
 }
 
 // Restarted reports whether the target lives anew under its id since it was known to be born
 // at the given time. Where either is zero, nothing says so.
 func (t Target) Restarted(born int64) bool {
-	return born != 0 && t.Born != 0 && t.Born != born
+	return born != 0 && t.StartMS != 0 && t.StartMS != born
 }
--- a/internal/fleet/cost.go
+++ b/internal/fleet/cost.go
@@ -8,27 +8,27 @@
 type CostModel struct {
 	Slots int
 	// Memory is the KV memory of an engine, in tokens.
-	Memory int
+	KVTokens int
 	// Stride is the number of token steps in a pass with writers.
 	Stride int
 	// Step is the time of a token step; each writer adds PerWriter, and
 	// PerContext for each 1,000 tokens of its context.
 	Step       time.Duration
-	PerWriter  time.Duration
+	PerStream  time.Duration
 	PerContext time.Duration
 	// ReadRate is the number of prompt tokens read in a second.
-	ReadRate float64
+	PrefillRate float64
 	// PerPairs is the time for a million pairs of a token and one before it.
-	PerPairs time.Duration
+	PerMillionPairs time.Duration
 	// Chunk is the most prompt tokens read in one step.
-	Chunk int
+	PrefillChunk int
 	// ReportLag is the age of an engine's report.
 	ReportLag time.Duration
 	// Hop is what a step costs more when a prompt lies on several engines.
 	Hop time.Duration
 	// UsualPrompt and UsualOutput are mean lengths in tokens.
-	UsualPrompt int
-	UsualOutput int
+	MeanPromptTokens int
+	MeanOutputTokens int
 }
 
 const (
@@ -37,22 +37,22 @@
 )
 
 // Read returns how long one engine reads a prompt with nothing else to do.
-func (m CostModel) Read(tokens int) time.Duration {
-	if m.ReadRate <= 0 {
+func (m CostModel) Prefill(tokens int) time.Duration {
+	if m.PrefillRate <= 0 {
 		return 0
 	}
 	n := float64(tokens)
-	linear := n / m.ReadRate * float64(time.Second)
-	pairs := n * n / pairsHalf / million * float64(m.PerPairs)
+	linear := n / m.PrefillRate * float64(time.Second)
+	pairs := n * n / pairsHalf / million * float64(m.PerMillionPairs)
 	return time.Duration(linear + pairs)
 }
 
 // Write returns how long one engine writes the usual answer with nothing else to do.
-func (m CostModel) Write() time.Duration {
-	return time.Duration(m.UsualOutput) * (m.Step + m.PerWriter)
+func (m CostModel) Decode() time.Duration {
+	return time.Duration(m.MeanOutputTokens) * (m.Step + m.PerStream)
 }
 
 // Pass returns how long a pass with one writer takes.
 func (m CostModel) Pass() time.Duration {
-	return time.Duration(m.Stride) * (m.Step + m.PerWriter)
+	return time.Duration(m.Stride) * (m.Step + m.PerStream)
 }
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -67,7 +67,7 @@
 func (v *View) Service(name string) *Service { return v.services[name] }
 
 // NeedsKeys reports whether requests on routes that are not public need a key.
-func (v *View) NeedsKeys() bool { return len(v.configuration.Accounts) > 0 }
+func (v *View) RequiresKeys() bool { return len(v.configuration.Accounts) > 0 }
 
 // Account returns the account that holds the key, nil if there is none.
 func (v *View) Account(key string) *Account { return v.accounts[key] }
@@ -118,4 +118,4 @@
 
 // TightestPause returns the shortest pause between events that any stream of
 // the service may have, zero if it has no streams.
-func (v *View) TightestPause(service string) time.Duration { return v.pauses[service] }
+func (v *View) MaxPause(service string) time.Duration { return v.pauses[service] }
--- a/internal/follow/lifetime_internal_test.go
+++ b/internal/follow/lifetime_internal_test.go
@@ -18,7 +18,7 @@
 // decodeBorn reads a target whose record is the time of its start.
 func decodeBorn(r barleystep.Record) (fleet.Target, error) {
 	born, err := strconv.ParseInt(string(r.Value()), 10, 64)
-	return fleet.Target{ID: barleystep.TargetID(r.Key()), Born: born}, eris.Wrap(err, "decode")
+	return fleet.Target{ID: barleystep.TargetID(r.Key()), StartMS: born}, eris.Wrap(err, "decode")
 }
 
 func bornRecord(born int64) barleystep.Record {
@@ -34,7 +34,7 @@
 // bornNow returns when the only target started, -1 without one.
 func bornNow(t *Targets) int64 {
 	if list := t.List(); len(list) == 1 {
-		return list[0].Born
+		return list[0].StartMS
 	}
 	return -1
 }
--- a/internal/follow/targets.go
+++ b/internal/follow/targets.go
@@ -132,9 +132,9 @@
 	if !t.known || silent {
 		return // The first reading has one line for all; what had no line needs none now.
 	}
-	if !had || old.Draining != target.Draining || old.Addr != target.Addr || target.Restarted(old.Born) {
+	if !had || old.Draining != target.Draining || old.Addr != target.Addr || target.Restarted(old.StartMS) {
 		t.Log.Info().Str("target", r.Key()).Str("service", target.Service).Str("addr", target.Addr).
-			Bool("draining", target.Draining).Int64("born", target.Born).Msg(logPrefix + "A target is announced.")
+			Bool("draining", target.Draining).Int64("born", target.StartMS).Msg(logPrefix + "A target is announced.")
 	}
 }
 
--- a/internal/front/authenticate.go
+++ b/internal/front/authenticate.go
@@ -19,7 +19,7 @@
 // proved to be still valid. It is the caller's sending that counts, which was
 // before now, so a proof that is new enough now is new enough.
 func (s *authenticate) Run(ctx context.Context, x *Exchange, next Next) error {
-	if x.route.Public || !x.view.NeedsKeys() {
+	if x.route.Public || !x.view.RequiresKeys() {
 		return next(ctx, x)
 	}
 	account := x.view.Account(x.call.APIKey)
--- a/internal/front/deadly_test.go
+++ b/internal/front/deadly_test.go
@@ -221,7 +221,7 @@
 			conn.Close()
 		}
 	}
-	f.view.Route("h", "/giant/").MaxSends = 1
+	f.view.Route("h", "/giant/").MaxTries = 1
 	f.ask(t, http.MethodPost, "/giant/", deadly, "Prompt", "600")
 	c.Check(f.standing("/giant/", deadly), quicktest.Not(quicktest.Equals), suspect.Allowed)
 }
--- a/internal/front/deliver.go
+++ b/internal/front/deliver.go
@@ -185,7 +185,7 @@
 	}
 	if s := x.view.Service(x.service); s != nil {
 		j.Cost = s.Cost
-		j.MaxPause = x.view.TightestPause(x.service)
+		j.MaxPause = x.view.MaxPause(x.service)
 	}
 	return j
 }
@@ -199,7 +199,7 @@
 	if res == resultNotSent && dials < maxDials {
 		return true
 	}
-	if x.sends >= x.route.MaxSends {
+	if x.sends >= x.route.MaxTries {
 		return false
 	}
 	if x.ran && !x.route.Repeatable() {
--- a/internal/front/fixture_test.go
+++ b/internal/front/fixture_test.go
@@ -222,7 +222,7 @@
 
 func newView() *fleet.View {
 	share := []fleet.Share{{Service: "s", Weight: 1}}
-	base := fleet.Route{Host: "h", Timeout: 20 * time.Second, Objective: objective, MaxPause: objective, MaxSends: 2, Split: share}
+	base := fleet.Route{Host: "h", Timeout: 20 * time.Second, Objective: objective, MaxPause: objective, MaxTries: 2, Split: share}
 	route := func(prefix string, kind fleet.Kind, resumable, public bool) fleet.Route {
 		r := base
 		r.Name, r.Prefix, r.Kind, r.Resumable, r.Public = prefix, prefix, kind, resumable, public
@@ -260,7 +260,7 @@
 
 // engineCost is that of engines with memory for 1,000 tokens, which read a token
 // in a millisecond.
-var engineCost = &fleet.CostModel{Slots: 4, Memory: 1000, Stride: 1, Step: time.Millisecond, ReadRate: 1000, UsualPrompt: 100}
+var engineCost = &fleet.CostModel{Slots: 4, KVTokens: 1000, Stride: 1, Step: time.Millisecond, PrefillRate: 1000, MeanPromptTokens: 100}
 
 // fixture is a front before some targets.
 type fixture struct {
--- a/internal/front/limit_test.go
+++ b/internal/front/limit_test.go
@@ -41,7 +41,7 @@
 // sentOn asks once, for an answer with the status, and five times more, and returns how many of
 // these went to the target that got the first.
 func sentOn(t *testing.T, f *fixture, path string, status int) (count int) {
-	f.view.Route("h", path).MaxSends = 1
+	f.view.Route("h", path).MaxTries = 1
 	quicktest.Check(t, f.ask(t, http.MethodPost, path, "").status, quicktest.Equals, status)
 	for range 5 {
 		f.ask(t, http.MethodPost, "/once/", "")
--- a/internal/front/reserve_test.go
+++ b/internal/front/reserve_test.go
@@ -40,7 +40,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			view := newView()
-			view.Route("h", "/giant/").MaxSends = 1
+			view.Route("h", "/giant/").MaxTries = 1
 			f := newFixture(t, state{view: view}, tc.steps...)
 			f.target.orders = tc.order
 			got := f.ask(t, http.MethodPost, "/giant/", "", "Prompt", "1200")
@@ -119,7 +119,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			view := newView()
-			view.Route("h", "/giant/").MaxSends = 1
+			view.Route("h", "/giant/").MaxTries = 1
 			var used sync.Map
 			var together sync.WaitGroup // It keeps a connection for each of the two helpers.
 			together.Add(2)
--- a/internal/front/restart.go
+++ b/internal/front/restart.go
@@ -34,5 +34,5 @@
 // movable reports whether the request may be sent once more after the send that comes.
 func (t *try) movable() bool {
 	x := t.exchange
-	return x.route.Repeatable() && x.sends+1 < x.route.MaxSends
+	return x.route.Repeatable() && x.sends+1 < x.route.MaxTries
 }
--- a/internal/front/restart_test.go
+++ b/internal/front/restart_test.go
@@ -37,7 +37,7 @@
 	defer l.mu.Unlock()
 	for i := range l.targets {
 		if id == "" || l.targets[i].ID == id {
-			l.targets[i].Born = born
+			l.targets[i].StartMS = born
 		}
 	}
 }
@@ -91,7 +91,7 @@
 			}
 			view := newView()
 			f, lives, manual := newLives(t, state{view: view}, stall, tc.second)
-			view.Route("h", tc.path).MaxSends = tc.sends
+			view.Route("h", tc.path).MaxTries = tc.sends
 			answer := make(chan reply, 1)
 			go func() { answer <- f.ask(t, http.MethodPost, tc.path, "") }()
 			id := barleystep.TargetID(<-sent)
@@ -130,7 +130,7 @@
 		return false
 	}
 	f, lives, manual := newLives(t, state{view: view}, stall)
-	view.Route("h", "/giant/").MaxSends = 1 // The request stays where it is.
+	view.Route("h", "/giant/").MaxTries = 1 // The request stays where it is.
 	f.target.orders = []step{whole(http.StatusOK, "", "")}
 	answer := make(chan reply, 1)
 	go func() { answer <- f.ask(t, http.MethodPost, "/giant/", "", "Prompt", "1200") }()
@@ -165,7 +165,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			view := newView()
-			view.Route("h", "/giant/").MaxSends = 1
+			view.Route("h", "/giant/").MaxTries = 1
 			var asked string
 			refuse := func(k net.Conn, r *http.Request) bool {
 				asked = r.Header.Get("Instance")
--- a/internal/front/stop_test.go
+++ b/internal/front/stop_test.go
@@ -289,7 +289,7 @@
 			route := f.view.Route("h", "/giant/")
 			route.Objective, route.Resumable = objective, true
 			cost := *engineCost
-			cost.UsualOutput = int(writing / cost.Step)
+			cost.MeanOutputTokens = int(writing / cost.Step)
 			f.view.Service("engines").Cost = &cost
 			head, answer := f.askOpen(t)
 			<-head
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -113,7 +113,7 @@
 	}
 	if l.Births {
 		for _, e := range d.engines {
-			e.target.Born = 1
+			e.target.StartMS = 1
 		}
 	}
 	d.begin(seed)
--- a/internal/lab/engine.go
+++ b/internal/lab/engine.go
@@ -127,7 +127,7 @@
 func (e *engine) admit() {
 	var left []*run
 	for _, r := range e.waiting {
-		if e.running() >= e.cost.Slots || e.memory+r.tokens > e.cost.Memory {
+		if e.running() >= e.cost.Slots || e.memory+r.tokens > e.cost.KVTokens {
 			left = append(left, r)
 			continue
 		}
@@ -153,7 +153,7 @@
 	}
 	count := len(r.helpers) + 1
 	r.unread = count
-	perToken := e.cost.Read(prompt) / time.Duration(max(prompt, 1))
+	perToken := e.cost.Prefill(prompt) / time.Duration(max(prompt, 1))
 	share := (prompt + count - 1) / count
 	e.prompts = append(e.prompts, &reading{run: r, left: share, perToken: perToken})
 	for _, h := range r.helpers {
@@ -169,7 +169,7 @@
 		steps = e.cost.Stride
 	}
 	p.took = time.Duration(steps) * e.stepTime()
-	budget := steps * e.cost.Chunk
+	budget := steps * e.cost.PrefillChunk
 	var done []*reading
 	read := func(r *reading) {
 		tokens := min(budget, r.left)
@@ -196,7 +196,7 @@
 	d := e.cost.Step
 	for _, w := range e.writers {
 		context := float64(w.request.prompt) / perThousand
-		d += e.cost.PerWriter + time.Duration(context*float64(e.cost.PerContext))
+		d += e.cost.PerStream + time.Duration(context*float64(e.cost.PerContext))
 	}
 	return d
 }
@@ -211,14 +211,14 @@
 		return time.Duration(tokens) * r.perToken
 	}
 	prompt := r.run.request.prompt
-	return cost.Read(prompt-r.left) - cost.Read(prompt-before)
+	return cost.Prefill(prompt-r.left) - cost.Prefill(prompt-before)
 }
 
 func (p *pass) note(r *reading, cost *fleet.CostModel, took time.Duration) {
 	switch {
 	case !r.whole:
 		p.parts += took
-	case cost.Read(r.run.request.prompt) > r.run.request.tightest/2:
+	case cost.Prefill(r.run.request.prompt) > r.run.request.tightest/2:
 		p.long += took
 	default:
 		p.short += took
--- a/internal/lab/engine_internal_test.go
+++ b/internal/lab/engine_internal_test.go
@@ -13,8 +13,8 @@
 // testCost has round figures: a chunk is read in 10 ms, a pass with a writer takes
 // 40 ms.
 var testCost = &fleet.CostModel{
-	Slots: 2, Memory: 100_000, Stride: 20, Step: 2 * time.Millisecond,
-	ReadRate: 200_000, Chunk: 2000,
+	Slots: 2, KVTokens: 100_000, Stride: 20, Step: 2 * time.Millisecond,
+	PrefillRate: 200_000, PrefillChunk: 2000,
 }
 
 // bench is some engines and the runs at them.
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -128,15 +128,15 @@
 func draw(rng *rand.Rand, engines int) Load {
 	l := Load{Engines: engines, Boxes: max(engines/boxesOf, 1), Span: span}
 	l.Cost = fleet.CostModel{
-		Slots:       []int{8, 12, 16, 24}[rng.IntN(4)],
-		Memory:      int(between(rng, 350e3, 500e3)),
-		Step:        millis(between(rng, 0.8, 1.4)),
-		PerWriter:   millis(between(rng, 0.001, 0.005)),
-		PerContext:  millis(0.0023),
-		ReadRate:    between(rng, 140e3, 280e3),
-		PerPairs:    millis(between(rng, 0.08, 0.17)),
-		Chunk:       2048,
-		UsualOutput: 1200,
+		Slots:            []int{8, 12, 16, 24}[rng.IntN(4)],
+		KVTokens:         int(between(rng, 350e3, 500e3)),
+		Step:             millis(between(rng, 0.8, 1.4)),
+		PerStream:        millis(between(rng, 0.001, 0.005)),
+		PerContext:       millis(0.0023),
+		PrefillRate:      between(rng, 140e3, 280e3),
+		PerMillionPairs:  millis(between(rng, 0.08, 0.17)),
+		PrefillChunk:     2048,
+		MeanOutputTokens: 1200,
 	}
 	l.Cost.Stride = int(45 / (l.Cost.Step.Seconds() * perThousand))
 	l.Kinds = []Kind{
@@ -150,7 +150,7 @@
 	for i := range l.Kinds {
 		l.Kinds[i].Rate = needs[i] * float64(engines) / l.Kinds[i].need(&l.Cost)
 	}
-	l.Cost.UsualPrompt = l.usualPrompt()
+	l.Cost.MeanPromptTokens = l.usualPrompt()
 	return l
 }
 
@@ -179,7 +179,7 @@
 	l.Kinds[1].Prompt, l.Kinds[2].Prompt = 45e3, 300e3
 	l.Kinds[2].Objective = 4 * time.Second
 	l.Kinds[0].Rate, l.Kinds[1].Rate, l.Kinds[2].Rate = 217, 23, 5.3
-	l.Cost.UsualPrompt = l.usualPrompt()
+	l.Cost.MeanPromptTokens = l.usualPrompt()
 	return l
 }
 
@@ -191,15 +191,15 @@
 	l := turns(rng, 60, 8, 11)
 	l.Boxes, l.Halls = 85, 3
 	l.Cost = fleet.CostModel{
-		Slots: 12, Memory: 344_250, Step: millis(1.31), PerWriter: millis(0.000917), PerContext: millis(0.00213),
-		ReadRate: 154e3, PerPairs: millis(0.162), Chunk: 2048, Stride: 38, UsualOutput: 1200,
+		Slots: 12, KVTokens: 344_250, Step: millis(1.31), PerStream: millis(0.000917), PerContext: millis(0.00213),
+		PrefillRate: 154e3, PerMillionPairs: millis(0.162), PrefillChunk: 2048, Stride: 38, MeanOutputTokens: 1200,
 	}
 	l.Kinds = []Kind{
 		{Name: kindShort, Rate: 71.2, Prompt: 5e3, Events: 36, Spread: 0.8, Objective: 300 * time.Millisecond, Pause: millis(250), Deadline: 10 * time.Second, Worth: 1.3, Late: 0.34},
 		{Name: kindMiddling, Rate: 8.67, Prompt: 45e3, Events: 21, Spread: 0.5, Objective: 1500 * time.Millisecond, Pause: millis(600), Deadline: 10 * time.Second, Worth: 3.3, Late: 0.82},
 		{Name: kindLong, Rate: 1.62, Prompt: 260e3, Events: 18, Spread: 0.55, Objective: 4 * time.Second, Pause: millis(1000), Deadline: 15 * time.Second, Worth: 34, Late: 8.6},
 	}
-	l.Cost.UsualPrompt = l.usualPrompt()
+	l.Cost.MeanPromptTokens = l.usualPrompt()
 	return l
 }
 
@@ -210,8 +210,8 @@
 	l := turns(rng, 150, 8, 11)
 	l.Boxes, l.Halls, l.Told, l.Delay = 295, 5, 100*time.Millisecond, 50*time.Millisecond
 	l.Cost = fleet.CostModel{
-		Slots: 10, Memory: 450_000, Step: millis(0.925), PerWriter: millis(0.00483), PerContext: millis(0.00254),
-		ReadRate: 256e3, PerPairs: millis(0.0917), Chunk: 2048, Stride: 73, UsualOutput: 1300,
+		Slots: 10, KVTokens: 450_000, Step: millis(0.925), PerStream: millis(0.00483), PerContext: millis(0.00254),
+		PrefillRate: 256e3, PerMillionPairs: millis(0.0917), PrefillChunk: 2048, Stride: 73, MeanOutputTokens: 1300,
 	}
 	l.Kinds = []Kind{
 		{Name: kindShort, Rate: 217, Prompt: 4960, Events: 24, Spread: 0.8, Objective: 300 * time.Millisecond, Pause: millis(250), Deadline: 10 * time.Second, Worth: 1.4, Late: 0.34},
@@ -219,7 +219,7 @@
 		{Name: kindLong, Rate: 5.32, Prompt: 300e3, Events: 12, Spread: 0.55, Objective: 4 * time.Second, Pause: millis(1000), Deadline: 15 * time.Second, Worth: 26, Late: 6.6},
 	}
 	l.Deaths = 30
-	l.Cost.UsualPrompt = l.usualPrompt()
+	l.Cost.MeanPromptTokens = l.usualPrompt()
 	return l
 }
 
@@ -230,7 +230,7 @@
 func (k Kind) need(c *fleet.CostModel) float64 {
 	stream := k.Events * 1.2 * c.Pass().Seconds() / float64(c.Slots)
 	// The square of the length counts, which varies more than the length.
-	read := c.Read(int(k.Prompt * math.Sqrt(1+k.Spread*k.Spread))).Seconds()
+	read := c.Prefill(int(k.Prompt * math.Sqrt(1+k.Spread*k.Spread))).Seconds()
 	return max(stream, read)
 }
 
--- a/internal/lab/rebirth.go
+++ b/internal/lab/rebirth.go
@@ -42,7 +42,7 @@
 	if !d.load.Births {
 		return
 	}
-	e.target.Born = d.timeline.Elapsed().Milliseconds()
+	e.target.StartMS = d.timeline.Elapsed().Milliseconds()
 	for _, b := range d.boxes {
 		b.balancer.DetectRestarts()
 		d.poll(b)
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -186,13 +186,13 @@
 	order := slices.Clone(d.list)
 	density := func(r *request) float64 {
 		k := d.load.Kinds[r.kind]
-		return (k.Worth - k.Late) * r.size / d.load.Cost.Read(r.prompt).Seconds()
+		return (k.Worth - k.Late) * r.size / d.load.Cost.Prefill(r.prompt).Seconds()
 	}
 	slices.SortStableFunc(order, func(a, b *request) int { return cmp.Compare(density(b), density(a)) })
 	p := newSchedule(int((d.load.Span+after)/slot)+1, float64(d.load.Engines)*slot.Seconds())
 	for _, r := range order {
 		k := d.load.Kinds[r.kind]
-		read := d.load.Cost.Read(r.prompt).Seconds()
+		read := d.load.Cost.Prefill(r.prompt).Seconds()
 		from := int(r.at / slot)
 		until := int((r.at + k.Objective) / slot)
 		part := p.fit(from, until, read) / read
--- a/internal/lead/lead_test.go
+++ b/internal/lead/lead_test.go
@@ -21,8 +21,8 @@
 )
 
 var cost = &fleet.CostModel{
-	Slots: 16, Memory: 450_000, Stride: 46, Step: 925 * time.Microsecond,
-	ReadRate: 256_000, PerPairs: 92 * time.Microsecond, UsualPrompt: 13_000,
+	Slots: 16, KVTokens: 450_000, Stride: 46, Step: 925 * time.Microsecond,
+	PrefillRate: 256_000, PerMillionPairs: 92 * time.Microsecond, MeanPromptTokens: 13_000,
 }
 
 const pause = 200 * time.Millisecond
--- a/internal/lead/wire.go
+++ b/internal/lead/wire.go
@@ -18,7 +18,7 @@
 		PromptTokens: int(m.GetPrompt()),
 		OutputTokens: int(m.GetOutput()),
 		Objective:    time.Duration(m.GetObjectiveMs()) * time.Millisecond,
-		MaxPause:     view.TightestPause(m.GetService()),
+		MaxPause:     view.MaxPause(m.GetService()),
 		Priority:     int(m.GetRank()),
 		NoHelpers:    m.GetAlone(),
 		LocalHelpers: m.GetNear(),
--- a/internal/plane/box_test.go
+++ b/internal/plane/box_test.go
@@ -262,7 +262,7 @@
 func decodeTarget(r barleystep.Record) (fleet.Target, error) {
 	t := fleet.Target{ID: barleystep.TargetID(r.Key())}
 	if len(r.Value()) == bornBytes {
-		t.Born = int64(binary.LittleEndian.Uint64(r.Value()))
+		t.StartMS = int64(binary.LittleEndian.Uint64(r.Value()))
 	}
 	return t, nil
 }
--- a/internal/plane/limit_test.go
+++ b/internal/plane/limit_test.go
@@ -35,8 +35,8 @@
 )
 
 var engineModel = &fleet.CostModel{
-	Slots: 64, Memory: 450_000, Stride: 46, Step: 925 * time.Microsecond,
-	ReadRate: 256_000, PerPairs: 92 * time.Microsecond, UsualPrompt: 5_000,
+	Slots: 64, KVTokens: 450_000, Stride: 46, Step: 925 * time.Microsecond,
+	PrefillRate: 256_000, PerMillionPairs: 92 * time.Microsecond, MeanPromptTokens: 5_000,
 }
 
 // workView is the configuration by which the lead places requests of workloads.
--- a/internal/plane/restart_test.go
+++ b/internal/plane/restart_test.go
@@ -61,7 +61,7 @@
 			l.births = make(map[barleystep.TargetID]int)
 		}
 		for _, t := range l.targets.List() {
-			number := slices.Index(d.births[t.ID], t.Born) + 1
+			number := slices.Index(d.births[t.ID], t.StartMS) + 1
 			if number < l.births[t.ID] {
 				d.result.backward++
 			}
@@ -80,7 +80,7 @@
 		}
 		old := slices.ContainsFunc(l.targets.List(), func(t fleet.Target) bool {
 			births := d.births[t.ID]
-			return len(births) > 0 && births[len(births)-1] != t.Born
+			return len(births) > 0 && births[len(births)-1] != t.StartMS
 		})
 		if old {
 			n++
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -202,7 +202,7 @@
 
 func (r *Router) idle() time.Duration {
 	if v := r.configuration.View(); v != nil {
-		return v.Limits().Idle
+		return v.Limits().IdleTimeout
 	}
 	return 0
 }
