--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -65,7 +65,7 @@
 
 // queued waits until a job is in the queue.
 func (f *fixture) queued() {
-	for f.clock.Timers() == 0 {
+	for f.clock.PendingTimers() == 0 {
 		runtime.Gosched()
 	}
 }
--- a/internal/balance/waiting_test.go
+++ b/internal/balance/waiting_test.go
@@ -74,7 +74,7 @@
 						served <- w.name
 					}
 				}()
-				for f.clock.Timers() != i+1 {
+				for f.clock.PendingTimers() != i+1 {
 					runtime.Gosched()
 				}
 			}
--- a/internal/clock/deadline.go
+++ b/internal/clock/deadline.go
@@ -46,6 +46,6 @@
 
 // Wall converts a time of clk into one of the operating system's clock, which
 // sockets need for their deadlines.
-func Wall(clk barleystep.Clock, t time.Time) time.Time {
+func WallTime(clk barleystep.Clock, t time.Time) time.Time {
 	return time.Now().Add(t.Sub(clk.Now()))
 }
--- a/internal/clock/manual.go
+++ b/internal/clock/manual.go
@@ -49,7 +49,7 @@
 }
 
 // Timers returns how many timers wait to fire.
-func (m *Manual) Timers() int {
+func (m *Manual) PendingTimers() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.timers)
--- a/internal/front/stop_test.go
+++ b/internal/front/stop_test.go
@@ -87,7 +87,7 @@
 
 // untilTimers waits until so many timers run.
 func untilTimers(clk *clock.Manual, n int) {
-	for clk.Timers() != n {
+	for clk.PendingTimers() != n {
 		runtime.Gosched()
 	}
 }
@@ -299,7 +299,7 @@
 			untilTimers(manual, timers)
 			for range 30 { // Three seconds in all; a target is left after half of that.
 				manual.Advance(100 * time.Millisecond)
-				for manual.Timers() != timers && f.target.count() < 2 {
+				for manual.PendingTimers() != timers && f.target.count() < 2 {
 					runtime.Gosched() // The silence is being looked at.
 				}
 			}
--- a/internal/gate/answer.go
+++ b/internal/gate/answer.go
@@ -45,7 +45,7 @@
 
 // limit keeps a caller that reads slowly from holding the request for ever.
 func (a *answer) limit(clk barleystep.Clock, deadline time.Time) {
-	_ = a.control.SetWriteDeadline(clock.Wall(clk, deadline)) // Recorders in tests have no deadline.
+	_ = a.control.SetWriteDeadline(clock.WallTime(clk, deadline)) // Recorders in tests have no deadline.
 }
 
 func (a *answer) begin(status int, contentType string, stream bool) {
--- a/internal/lead/client_test.go
+++ b/internal/lead/client_test.go
@@ -74,7 +74,7 @@
 				_, err := box.Place(context.Background(), job(tc.prompt))
 				placed <- err
 			}()
-			for clk.Timers() == 0 {
+			for clk.PendingTimers() == 0 {
 				runtime.Gosched()
 			}
 			clk.Advance(tc.most)
--- a/internal/router/leave_internal_test.go
+++ b/internal/router/leave_internal_test.go
@@ -55,7 +55,7 @@
 			left := make(chan struct{})
 			go func() { r.leave(context.Background()); close(left) }()
 			const timers = 2 // Those of the end and of the notice.
-			for clk.Timers() < timers {
+			for clk.PendingTimers() < timers {
 				runtime.Gosched()
 			}
 			clk.Advance(grace * 19 / 20)
--- a/internal/suspect/archive_test.go
+++ b/internal/suspect/archive_test.go
@@ -114,7 +114,7 @@
 		if holds() {
 			return
 		}
-		for k.clock.Timers() == 0 && !holds() {
+		for k.clock.PendingTimers() == 0 && !holds() {
 			clock.Sleep(t.Context(), clock.System{}, time.Millisecond)
 		}
 		k.clock.Advance(50 * time.Millisecond)
