--- a/box.go
+++ b/box.go
@@ -91,12 +91,12 @@
 		}
 	}()
 	if r.Key() == "" {
-		return Box{}, strict.Errorf(strict.FlawMissing, "the name is missing")
+		return Box{}, strict.Errorf(strict.ReasonMissing, "the name is missing")
 	}
 	o := strict.Parse(r.Value())
-	b = NewBox(BoxID(r.Key()), HallID(o.Name(fieldHall)), o.Address(fieldAddr), false)
+	b = NewBox(BoxID(r.Key()), HallID(o.NonEmptyText(fieldHall)), o.AddrPort(fieldAddr), false)
 	if o.Has(fieldLeaving) {
-		b.leaving = o.Flag(fieldLeaving)
+		b.leaving = o.Bool(fieldLeaving)
 	}
 	if err = o.Err(); err != nil {
 		return Box{}, err
--- a/internal/follow/configuration.go
+++ b/internal/follow/configuration.go
@@ -114,7 +114,7 @@
 }
 
 // errRemoved is why there is no configuration to read.
-var errRemoved = strict.Errorf(strict.FlawMissing, "the record was removed")
+var errRemoved = strict.Errorf(strict.ReasonMissing, "the record was removed")
 
 func (c *Configuration) removed() {
 	c.mu.Lock()
--- a/internal/follow/refusals.go
+++ b/internal/follow/refusals.go
@@ -27,7 +27,7 @@
 // was. Its zero value holds none.
 type refusals struct {
 	now    map[string]refusal
-	counts [len(strict.Flaws)]int64
+	counts [len(strict.Reasons)]int64
 
 	window   time.Time // window is when the lines began to be counted.
 	lines    int
@@ -37,7 +37,7 @@
 // add notes that a record is refused, and returns the line to be written about it, nil
 // if its reason is the same as before or there were too many lines.
 func (r *refusals) add(key string, err error, now time.Time, l *log.Logger) *log.Entry {
-	flaw := strict.FlawOf(err)
+	flaw := strict.ReasonOf(err)
 	r.counts[flaw]++
 	if old, had := r.now[key]; had && old.text == err.Error() {
 		return nil
@@ -77,7 +77,7 @@
 
 // Refused is how many records were refused for a reason.
 type Refused struct {
-	Flaw  strict.Flaw
+	Flaw  strict.Reason
 	Count int64
 }
 
@@ -85,7 +85,7 @@
 func (r *refusals) list() []Refused {
 	list := make([]Refused, 0, len(r.counts))
 	for flaw, n := range r.counts {
-		list = append(list, Refused{Flaw: strict.Flaw(flaw), Count: n})
+		list = append(list, Refused{Flaw: strict.Reason(flaw), Count: n})
 	}
 	return list
 }
--- a/internal/follow/refusals_test.go
+++ b/internal/follow/refusals_test.go
@@ -60,7 +60,7 @@
 			}
 			c.Check(strings.Count(out.String(), refusedLine), quicktest.Equals, tc.refused)
 			c.Check(strings.Count(out.String(), announcedLine), quicktest.Equals, tc.announced)
-			c.Check(refusedFor(s.Refused(), strict.FlawMissing), quicktest.Equals, tc.countMissing)
+			c.Check(refusedFor(s.Refused(), strict.ReasonMissing), quicktest.Equals, tc.countMissing)
 			c.Check(sum(s.Refused()), quicktest.Equals, tc.count)
 
 			out.Reset()
@@ -72,7 +72,7 @@
 	}
 }
 
-func refusedFor(list []follow.Refused, f strict.Flaw) int64 {
+func refusedFor(list []follow.Refused, f strict.Reason) int64 {
 	for _, r := range list {
 		if r.Flaw == f {
 			return r.Count
--- a/internal/gossip/registry.go
+++ b/internal/gossip/registry.go
@@ -109,7 +109,7 @@
 		n.add(b.ID(), b.Hall(), addr)
 	}
 	if refused > 0 {
-		n.Log.Warn().Int("records", refused).Str("reason", strict.FlawOf(first).String()).Err(first).
+		n.Log.Warn().Int("records", refused).Str("reason", strict.ReasonOf(first).String()).Err(first).
 			Msg(logPrefix + "Records of the registry name no box.")
 	}
 	return others
--- a/internal/strict/flaw.go
+++ b/internal/strict/flaw.go
@@ -7,52 +7,52 @@
 )
 
 // Flaw is what is wrong with a record.
-type Flaw uint8
+type Reason uint8
 
 // The flaws.
 const (
 	// FlawUnreadable marks bytes that are no object in JSON.
-	FlawUnreadable Flaw = iota
+	ReasonUnreadable Reason = iota
 	// FlawMissing marks a field that is not there.
-	FlawMissing
+	ReasonMissing
 	// FlawType marks a field of another type.
-	FlawType
+	ReasonWrongType
 	// FlawUnnamed marks a field whose value is none of those that it may have.
-	FlawUnnamed
+	ReasonUnknownValue
 	// FlawValue marks a field whose type is right and whose value cannot be.
-	FlawValue
+	ReasonInvalidValue
 )
 
 // Flaws are all flaws.
-var Flaws = [...]Flaw{FlawUnreadable, FlawMissing, FlawType, FlawUnnamed, FlawValue}
+var Reasons = [...]Reason{ReasonUnreadable, ReasonMissing, ReasonWrongType, ReasonUnknownValue, ReasonInvalidValue}
 
 // String returns the flaw's name for logs and metric attributes.
-func (f Flaw) String() string {
+func (f Reason) String() string {
 	return [...]string{"unreadable", "missing", "type", "unnamed", "value"}[f]
 }
 
 // Error says why a record was refused.
 type Error struct {
-	flaw Flaw
+	flaw Reason
 	text string
 }
 
 // Errorf returns the error of a flaw with its description.
-func Errorf(f Flaw, format string, args ...any) *Error {
+func Errorf(f Reason, format string, args ...any) *Error {
 	return &Error{flaw: f, text: fmt.Sprintf(format, args...)}
 }
 
 // Flaw returns what is wrong.
-func (e *Error) Flaw() Flaw { return e.flaw }
+func (e *Error) Reason() Reason { return e.flaw }
 
 // Error describes the flaw.
 func (e *Error) Error() string { return e.text }
 
 // FlawOf returns what is wrong according to the error: FlawUnreadable if it does not say.
-func FlawOf(err error) Flaw {
+func ReasonOf(err error) Reason {
 	var e *Error
 	if eris.As(err, &e) {
 		return e.flaw
 	}
-	return FlawUnreadable
+	return ReasonUnreadable
 }
--- a/internal/strict/object.go
+++ b/internal/strict/object.go
@@ -22,11 +22,11 @@
 func Parse(data []byte) *Object {
 	o := &Object{}
 	if !utf8.Valid(data) {
-		o.fail(Errorf(FlawUnreadable, "the bytes are no UTF-8"))
+		o.fail(Errorf(ReasonUnreadable, "the bytes are no UTF-8"))
 		return o
 	}
 	if err := json.Unmarshal(data, &o.fields); err != nil || o.fields == nil {
-		o.fail(Errorf(FlawUnreadable, "the bytes are no JSON object"))
+		o.fail(Errorf(ReasonUnreadable, "the bytes are no JSON object"))
 	}
 	return o
 }
@@ -51,11 +51,11 @@
 func (o *Object) into(name string, out any) bool {
 	raw, ok := o.fields[name]
 	if !ok {
-		o.fail(Errorf(FlawMissing, "field %q is missing", name))
+		o.fail(Errorf(ReasonMissing, "field %q is missing", name))
 		return false
 	}
 	if string(raw) == "null" || json.Unmarshal(raw, out) != nil {
-		o.fail(Errorf(FlawType, "field %q is of another type", name))
+		o.fail(Errorf(ReasonWrongType, "field %q is of another type", name))
 		return false
 	}
 	return true
@@ -68,9 +68,9 @@
 }
 
 // Name returns a text that is not empty.
-func (o *Object) Name(name string) (s string) {
+func (o *Object) NonEmptyText(name string) (s string) {
 	if o.into(name, &s) && s == "" {
-		o.fail(Errorf(FlawValue, "field %q is empty", name))
+		o.fail(Errorf(ReasonInvalidValue, "field %q is empty", name))
 	}
 	return s
 }
@@ -78,53 +78,53 @@
 // OneOf returns a text, which must be one of those given.
 func (o *Object) OneOf(name string, known ...string) (s string) {
 	if o.into(name, &s) && !slices.Contains(known, s) {
-		o.fail(Errorf(FlawUnnamed, "field %q is none of %q", name, known))
+		o.fail(Errorf(ReasonUnknownValue, "field %q is none of %q", name, known))
 	}
 	return s
 }
 
 // Address returns a text, which must be the IP and port of somebody.
-func (o *Object) Address(name string) (s string) {
+func (o *Object) AddrPort(name string) (s string) {
 	if !o.into(name, &s) {
 		return ""
 	}
 	a, err := netip.ParseAddrPort(s)
 	if err != nil || a.Port() == 0 || a.Addr().IsUnspecified() {
-		o.fail(Errorf(FlawValue, "field %q is no IP and port", name))
+		o.fail(Errorf(ReasonInvalidValue, "field %q is no IP and port", name))
 	}
 	return s
 }
 
 // Whole returns a whole number.
-func (o *Object) Whole(name string) (n int64) {
+func (o *Object) Int(name string) (n int64) {
 	o.into(name, &n)
 	return n
 }
 
 // Count returns a whole number above 0.
-func (o *Object) Count(name string) int {
-	n := o.Whole(name)
+func (o *Object) PositiveInt(name string) int {
+	n := o.Int(name)
 	if n <= 0 || n > math.MaxInt32 {
-		o.fail(Errorf(FlawValue, "field %q is no count", name))
+		o.fail(Errorf(ReasonInvalidValue, "field %q is no count", name))
 		return 0
 	}
 	return int(n)
 }
 
 // Number returns a number.
-func (o *Object) Number(name string) (f float64) {
+func (o *Object) Float(name string) (f float64) {
 	o.into(name, &f)
 	return f
 }
 
 // Flag returns true or false.
-func (o *Object) Flag(name string) (b bool) {
+func (o *Object) Bool(name string) (b bool) {
 	o.into(name, &b)
 	return b
 }
 
 // List returns the objects of a list.
-func (o *Object) List(name string) []*Object {
+func (o *Object) Objects(name string) []*Object {
 	var raw []json.RawMessage
 	if !o.into(name, &raw) {
 		return nil
@@ -133,7 +133,7 @@
 	for i, r := range raw {
 		list[i] = Parse(r)
 		if list[i].err != nil {
-			o.fail(Errorf(FlawType, "field %q is of another type", name))
+			o.fail(Errorf(ReasonWrongType, "field %q is of another type", name))
 		}
 	}
 	return list
--- a/internal/strict/object_test.go
+++ b/internal/strict/object_test.go
@@ -20,28 +20,28 @@
 		"empty text":         {`{"f":""}`, func(o *strict.Object) { o.Text("f") }, ""},
 		"text missing":       {`{"F":"a"}`, func(o *strict.Object) { o.Text("f") }, `field "f" is missing`},
 		"text is null":       {`{"f":null}`, func(o *strict.Object) { o.Text("f") }, `field "f" is of another type`},
-		"name":               {`{"f":"a"}`, func(o *strict.Object) { o.Name("f") }, ""},
-		"empty name":         {`{"f":""}`, func(o *strict.Object) { o.Name("f") }, `field "f" is empty`},
+		"name":               {`{"f":"a"}`, func(o *strict.Object) { o.NonEmptyText("f") }, ""},
+		"empty name":         {`{"f":""}`, func(o *strict.Object) { o.NonEmptyText("f") }, `field "f" is empty`},
 		"one of two":         {`{"f":"b"}`, func(o *strict.Object) { o.OneOf("f", "a", "b") }, ""},
 		"none of two":        {`{"f":"c"}`, func(o *strict.Object) { o.OneOf("f", "a", "b") }, `field "f" is none of \["a" "b"\]`},
-		"address":            {`{"f":"10.0.0.1:80"}`, func(o *strict.Object) { o.Address("f") }, ""},
-		"address of six":     {`{"f":"[fd00::1]:80"}`, func(o *strict.Object) { o.Address("f") }, ""},
-		"address of nobody":  {`{"f":"[::]:80"}`, func(o *strict.Object) { o.Address("f") }, `field "f" is no IP and port`},
-		"address of a name":  {`{"f":"a.example:80"}`, func(o *strict.Object) { o.Address("f") }, `field "f" is no IP and port`},
-		"address missing":    {`{}`, func(o *strict.Object) { o.Address("f") }, `field "f" is missing`},
-		"whole number":       {`{"f":-3}`, func(o *strict.Object) { o.Whole("f") }, ""},
-		"part of a number":   {`{"f":0.5}`, func(o *strict.Object) { o.Whole("f") }, `field "f" is of another type`},
-		"number beyond 64":   {`{"f":9223372036854775808}`, func(o *strict.Object) { o.Whole("f") }, `field "f" is of another type`},
-		"count":              {`{"f":1}`, func(o *strict.Object) { o.Count("f") }, ""},
-		"count of 0":         {`{"f":0}`, func(o *strict.Object) { o.Count("f") }, `field "f" is no count`},
-		"count beyond 32":    {`{"f":2147483648}`, func(o *strict.Object) { o.Count("f") }, `field "f" is no count`},
-		"number":             {`{"f":0.5}`, func(o *strict.Object) { o.Number("f") }, ""},
-		"number as a text":   {`{"f":"0.5"}`, func(o *strict.Object) { o.Number("f") }, `field "f" is of another type`},
-		"flag":               {`{"f":false}`, func(o *strict.Object) { o.Flag("f") }, ""},
-		"flag as a number":   {`{"f":0}`, func(o *strict.Object) { o.Flag("f") }, `field "f" is of another type`},
-		"list":               {`{"f":[{},{"a":1}]}`, func(o *strict.Object) { o.List("f") }, ""},
-		"list of texts":      {`{"f":["a"]}`, func(o *strict.Object) { o.List("f") }, `field "f" is of another type`},
-		"list with a null":   {`{"f":[null]}`, func(o *strict.Object) { o.List("f") }, `field "f" is of another type`},
+		"address":            {`{"f":"10.0.0.1:80"}`, func(o *strict.Object) { o.AddrPort("f") }, ""},
+		"address of six":     {`{"f":"[fd00::1]:80"}`, func(o *strict.Object) { o.AddrPort("f") }, ""},
+		"address of nobody":  {`{"f":"[::]:80"}`, func(o *strict.Object) { o.AddrPort("f") }, `field "f" is no IP and port`},
+		"address of a name":  {`{"f":"a.example:80"}`, func(o *strict.Object) { o.AddrPort("f") }, `field "f" is no IP and port`},
+		"address missing":    {`{}`, func(o *strict.Object) { o.AddrPort("f") }, `field "f" is missing`},
+		"whole number":       {`{"f":-3}`, func(o *strict.Object) { o.Int("f") }, ""},
+		"part of a number":   {`{"f":0.5}`, func(o *strict.Object) { o.Int("f") }, `field "f" is of another type`},
+		"number beyond 64":   {`{"f":9223372036854775808}`, func(o *strict.Object) { o.Int("f") }, `field "f" is of another type`},
+		"count":              {`{"f":1}`, func(o *strict.Object) { o.PositiveInt("f") }, ""},
+		"count of 0":         {`{"f":0}`, func(o *strict.Object) { o.PositiveInt("f") }, `field "f" is no count`},
+		"count beyond 32":    {`{"f":2147483648}`, func(o *strict.Object) { o.PositiveInt("f") }, `field "f" is no count`},
+		"number":             {`{"f":0.5}`, func(o *strict.Object) { o.Float("f") }, ""},
+		"number as a text":   {`{"f":"0.5"}`, func(o *strict.Object) { o.Float("f") }, `field "f" is of another type`},
+		"flag":               {`{"f":false}`, func(o *strict.Object) { o.Bool("f") }, ""},
+		"flag as a number":   {`{"f":0}`, func(o *strict.Object) { o.Bool("f") }, `field "f" is of another type`},
+		"list":               {`{"f":[{},{"a":1}]}`, func(o *strict.Object) { o.Objects("f") }, ""},
+		"list of texts":      {`{"f":["a"]}`, func(o *strict.Object) { o.Objects("f") }, `field "f" is of another type`},
+		"list with a null":   {`{"f":[null]}`, func(o *strict.Object) { o.Objects("f") }, `field "f" is of another type`},
 		"the first error":    {`{"f":1}`, func(o *strict.Object) { o.Text("f"); o.Text("g") }, `field "f" is of another type`},
 		"null for an object": {`null`, func(*strict.Object) {}, "the bytes are no JSON object"},
 		"list for an object": {`[]`, func(*strict.Object) {}, "the bytes are no JSON object"},
@@ -63,10 +63,10 @@
 }
 
 func TestFlawOf(t *testing.T) {
-	wrapped := eris.Wrap(strict.Errorf(strict.FlawType, "t"), "outer")
-	quicktest.Check(t, strict.FlawOf(wrapped), quicktest.Equals, strict.FlawType)
-	quicktest.Check(t, strict.FlawOf(eris.New("other")), quicktest.Equals, strict.FlawUnreadable)
-	for i, f := range strict.Flaws {
+	wrapped := eris.Wrap(strict.Errorf(strict.ReasonWrongType, "t"), "outer")
+	quicktest.Check(t, strict.ReasonOf(wrapped), quicktest.Equals, strict.ReasonWrongType)
+	quicktest.Check(t, strict.ReasonOf(eris.New("other")), quicktest.Equals, strict.ReasonUnreadable)
+	for i, f := range strict.Reasons {
 		quicktest.Check(t, int(f), quicktest.Equals, i)
 		quicktest.Check(t, f.String(), quicktest.Not(quicktest.Equals), "")
 	}
--- a/internal/suspect/archive.go
+++ b/internal/suspect/archive.go
@@ -81,7 +81,7 @@
 	for _, r := range batch.Records() {
 		d, e, err := decodeRecord(r, now)
 		if err != nil {
-			a.Log.Warn().Str("record", r.Key()).Str("reason", strict.FlawOf(err).String()).Err(err).
+			a.Log.Warn().Str("record", r.Key()).Str("reason", strict.ReasonOf(err).String()).Err(err).
 				Msg(logPrefix + "A record of the archive names no request.")
 			continue
 		}
--- a/internal/suspect/record.go
+++ b/internal/suspect/record.go
@@ -61,11 +61,11 @@
 	key, err := hex.DecodeString(r.Key())
 	d, ok := DigestFromBytes(key)
 	if err != nil || !ok {
-		return Digest{}, Evidence{}, strict.Errorf(strict.FlawValue, "the key is no digest")
+		return Digest{}, Evidence{}, strict.Errorf(strict.ReasonInvalidValue, "the key is no digest")
 	}
 	o := strict.Parse(r.Value())
-	e.size = int(o.Whole(fieldSize))
-	for _, end := range o.List(fieldEnds) {
+	e.size = int(o.Int(fieldSize))
+	for _, end := range o.Objects(fieldEnds) {
 		e.add(decodeEnd(end, m))
 		if err = end.Err(); err != nil {
 			return Digest{}, Evidence{}, err
@@ -76,17 +76,17 @@
 
 // decodeEnd reads one end of a record.
 func decodeEnd(o *strict.Object, m moment) End {
-	target := o.Whole(fieldTarget)
+	target := o.Int(fieldTarget)
 	if target < 0 || target > math.MaxUint32 {
 		target = 0 // No lifetime's key that a box has seen is likely to be it.
 	}
-	age := max(m.day.UnixMilli()-o.Whole(fieldAt), 0)
+	age := max(m.day.UnixMilli()-o.Int(fieldAt), 0)
 	age = min(age, (2 * CertainRefusalPeriod).Milliseconds())
 	var marks EndFlags
-	if o.Flag(fieldUnread) {
+	if o.Bool(fieldUnread) {
 		marks |= BeforeFirstEvent
 	}
-	if o.Flag(fieldLone) {
+	if o.Bool(fieldLone) {
 		marks |= RanAlone
 	}
 	return NewEnd(uint32(target), m.now.Add(-time.Duration(age)*time.Millisecond), marks)
