--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -92,7 +92,7 @@
 	}
 	d.faults()
 	d.limits()
-	d.timeline.Run(l.Span + after)
+	d.timeline.RunUntil(l.Span + after)
 	return d.measure()
 }
 
--- a/internal/lab/engine_internal_test.go
+++ b/internal/lab/engine_internal_test.go
@@ -89,7 +89,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := newBench(2)
 			r := tc.start(b)
-			b.timeline.Run(5 * time.Second)
+			b.timeline.RunUntil(5 * time.Second)
 			quicktest.Check(t, b.events[r], quicktest.DeepEquals, tc.want)
 		})
 	}
@@ -106,7 +106,7 @@
 		r.unhelped = r.failed
 	}
 	b.timeline.After(300*time.Millisecond, b.engines[0].die)
-	b.timeline.Run(5 * time.Second)
+	b.timeline.RunUntil(5 * time.Second)
 	c.Check(failed, quicktest.Equals, 3)
 	for _, e := range b.engines {
 		c.Check(len(e.parts)+len(e.prompts)+len(e.writers)+len(e.waiting)+e.memory, quicktest.Equals, 0)
@@ -138,7 +138,7 @@
 	})
 	var fresh *run
 	b.timeline.After(100*time.Millisecond, func() { fresh = b.run(2000, 2) })
-	b.timeline.Run(time.Second)
+	b.timeline.RunUntil(time.Second)
 	c.Check(b.events[old], quicktest.DeepEquals, ms(52, 92))
 	c.Check(b.events[fresh], quicktest.DeepEquals, ms(152, 192))
 	c.Check(e.memory, quicktest.Equals, 0)
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -43,7 +43,7 @@
 }
 
 // Run runs what is due until the given time.
-func (t *Timeline) Run(until time.Duration) {
+func (t *Timeline) RunUntil(until time.Duration) {
 	for len(t.events) > 0 && t.events[0].at <= until {
 		e := heap.Pop(&t.events).(event)
 		t.now = e.at
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -104,7 +104,7 @@
 		s.After(r.at, func() { f.dispatch.submit(r) })
 	}
 	c.fault(s, f)
-	s.Run(span + tail)
+	s.RunUntil(span + tail)
 	return measure(c, f, list)
 }
 
