--- a/internal/conn/conn_test.go
+++ b/internal/conn/conn_test.go
@@ -106,7 +106,7 @@
 		_, err := exchange(t, p, s.addr(), http.MethodGet, id, nil)
 		c.Assert(err, quicktest.IsNil)
 	}
-	c.Check(p.Open(s.addr()), quicktest.Equals, 1)
+	c.Check(p.OpenConns(s.addr()), quicktest.Equals, 1)
 }
 
 // TestNeverRepeated checks that a request is written once, whatever becomes of
@@ -123,7 +123,7 @@
 			c.Check(err, quicktest.IsNotNil)
 			c.Check(eris.Is(err, barleystep.ErrNotStarted), quicktest.IsFalse)
 			c.Check(s.requests, quicktest.HasLen, 2)
-			c.Check(p.Open(s.addr()), quicktest.Equals, 0)
+			c.Check(p.OpenConns(s.addr()), quicktest.Equals, 0)
 		})
 	}
 }
@@ -150,7 +150,7 @@
 			body, err := exchange(t, p, s.addr(), http.MethodPost, "1", []byte("b"))
 			c.Assert(err, quicktest.IsNil)
 			c.Check(body, quicktest.Equals, tc.body)
-			c.Check(p.Open(s.addr()), quicktest.Equals, tc.open)
+			c.Check(p.OpenConns(s.addr()), quicktest.Equals, tc.open)
 		})
 	}
 }
@@ -184,7 +184,7 @@
 			}
 			k.Release(resp)
 			c.Check(err, quicktest.IsNotNil)
-			c.Check(p.Open(s.addr()), quicktest.Equals, 0)
+			c.Check(p.OpenConns(s.addr()), quicktest.Equals, 0)
 		})
 	}
 }
@@ -223,7 +223,7 @@
 			_, err := exchange(t, p, s.addr(), http.MethodGet, "1", nil)
 			c.Assert(err, quicktest.IsNil)
 			manual.Advance(tc.rest)
-			p.Sweep()
+			p.CloseExpired()
 			first, err := p.Get(context.Background(), s.addr())
 			c.Assert(err, quicktest.IsNil)
 			c.Check(first.Reused(), quicktest.Equals, tc.reused)
--- a/internal/conn/owner.go
+++ b/internal/conn/owner.go
@@ -15,7 +15,7 @@
 // Renew tells which targets have which addresses now. Connections to an address that were made
 // to another target, or to an earlier lifetime of one, are not used again: a request that is
 // written to them may be taken to have run.
-func (p *Pool) Renew(targets []fleet.Target) {
+func (p *Pool) SetTargets(targets []fleet.Target) {
 	for _, c := range p.outlived(targets) {
 		p.discard(c)
 	}
--- a/internal/conn/owner_test.go
+++ b/internal/conn/owner_test.go
@@ -58,7 +58,7 @@
 			k, err := p.Get(context.Background(), s.addr())
 			c.Assert(err, quicktest.IsNil)
 			c.Check(k.Reused(), quicktest.Equals, tc.reused)
-			c.Check(p.Open(s.addr()), quicktest.Equals, 1)
+			c.Check(p.OpenConns(s.addr()), quicktest.Equals, 1)
 			k.Discard()
 		})
 	}
@@ -82,7 +82,7 @@
 	c.Check(string(body), quicktest.Equals, "a")
 	resp.Body.Close()
 	k.Release(resp)
-	c.Check(p.Open(s.addr()), quicktest.Equals, 0)
+	c.Check(p.OpenConns(s.addr()), quicktest.Equals, 0)
 }
 
 // tell tells the pool of targets that all have the address.
@@ -92,5 +92,5 @@
 		t.Addr = addr
 		list[i] = t
 	}
-	p.Renew(list)
+	p.SetTargets(list)
 }
--- a/internal/conn/pool.go
+++ b/internal/conn/pool.go
@@ -63,7 +63,7 @@
 
 // Reach makes sure that the address can be reached: by a connection that rests, or by a
 // new one, which is kept. Its errors are those of Get.
-func (p *Pool) Reach(ctx context.Context, addr string) (err error) {
+func (p *Pool) EnsureConn(ctx context.Context, addr string) (err error) {
 	c, err := p.Get(ctx, addr)
 	if err != nil {
 		return err
@@ -127,7 +127,7 @@
 
 // Refuses reports whether the machine with the address says that nobody listens there. A
 // machine that says nothing does not.
-func (p *Pool) Refuses(ctx context.Context, addr string) bool {
+func (p *Pool) ConnRefused(ctx context.Context, addr string) bool {
 	raw, err := p.connect(ctx, addr)
 	if err == nil {
 		_ = raw.Close() // It has said what was asked.
@@ -182,7 +182,7 @@
 }
 
 // Open returns how many connections to the address are open.
-func (p *Pool) Open(addr string) int {
+func (p *Pool) OpenConns(addr string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open[addr]
@@ -190,7 +190,7 @@
 
 // Sweep closes the connections that have rested too long. It is called now and
 // then.
-func (p *Pool) Sweep() {
+func (p *Pool) CloseExpired() {
 	for _, c := range p.stale() {
 		p.discard(c)
 	}
--- a/internal/front/helper.go
+++ b/internal/front/helper.go
@@ -52,7 +52,7 @@
 	var wait sync.WaitGroup
 	for i, h := range helpers {
 		wait.Go(func() {
-			reached[i] = t.stage.pool.Reach(asking, h.Addr) == nil
+			reached[i] = t.stage.pool.EnsureConn(asking, h.Addr) == nil
 			if !reached[i] && asking.Err() == nil {
 				t.placement.NoteUnreachable(h.ID)
 			}
--- a/internal/front/suspect.go
+++ b/internal/front/suspect.go
@@ -116,7 +116,7 @@
 	var wait sync.WaitGroup
 	for i, target := range asked {
 		wait.Go(func() {
-			refuses := t.stage.pool.Refuses(asking, target.Addr)
+			refuses := t.stage.pool.ConnRefused(asking, target.Addr)
 			if refuses {
 				t.placement.NoteUnreachable(target.ID)
 			}
--- a/internal/router/renew.go
+++ b/internal/router/renew.go
@@ -4,5 +4,5 @@
 // list has changed.
 func (r *Router) renew() {
 	r.balancer.DetectRestarts()
-	r.pool.Renew(r.targets.List())
+	r.pool.SetTargets(r.targets.List())
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -286,7 +286,7 @@
 func (t tender) Serve(ctx context.Context) error {
 	return clock.Repeat(ctx, t.router.Clock, tendEvery, func(context.Context) {
 		t.router.targets.Expire()
-		t.router.pool.Sweep()
+		t.router.pool.CloseExpired()
 		t.router.balancer.Prune()
 	})
 }
