--- a/internal/front/deliver.go
+++ b/internal/front/deliver.go
@@ -118,7 +118,7 @@
 	if err := d.judge(x, job); err != nil {
 		return nil, err
 	}
-	if x.answer.Begun() {
+	if x.answer.HeadSent() {
 		return d.ask(ctx, x, *job)
 	}
 	least := job.MinTotalTime()
@@ -205,7 +205,7 @@
 	if x.ran && !x.route.Repeatable() {
 		return false
 	}
-	if x.answer.Begun() && (x.last == "" || !x.route.Resumable) {
+	if x.answer.HeadSent() && (x.last == "" || !x.route.Resumable) {
 		return false
 	}
 	return t.paid.Load() || d.budget.Retry(x.service)
@@ -225,7 +225,7 @@
 	switch {
 	case end == endCaller:
 		return barleystep.NewRefusal(barleystep.ReasonCallerGone, outcome, "The caller went away.")
-	case failed != nil && !x.answer.Begun():
+	case failed != nil && !x.answer.HeadSent():
 		failed.pass(failed.failure)
 		return nil
 	case end == endTime:
@@ -298,7 +298,7 @@
 func (d *deliver) note(x *Exchange, t *try, res result, err error) {
 	e := d.log.Warn().Str("request", x.call.RequestID).Str("target", string(t.placement.Target.ID)).
 		Str("result", res.String()).Str("blamed", string(t.blamed)).Int("send", x.sends).Int("status", t.head.Status()).
-		Bool("sealed", t.head.Sealed()).Int("skipped", t.skipped).Bool("begun", x.answer.Begun()).Str("last_event", x.last)
+		Bool("sealed", t.head.Sealed()).Int("skipped", t.skipped).Bool("begun", x.answer.HeadSent()).Str("last_event", x.last)
 	if err != nil {
 		e.Str("error", err.Error())
 	}
--- a/internal/front/relay.go
+++ b/internal/front/relay.go
@@ -56,7 +56,7 @@
 func (t *try) mayBeEmpty(resp *http.Response) bool {
 	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 	x := t.exchange
-	return framed || x.answer.Begun() || x.call.LastEventID != ""
+	return framed || x.answer.HeadSent() || x.call.LastEventID != ""
 }
 
 // forward sends the whole events of data and returns what is left.
@@ -101,12 +101,12 @@
 		t.placement.NoteFirstEvent()
 		t.showBegun()
 	}
-	if x.answer.Begun() {
+	if x.answer.HeadSent() {
 		return
 	}
 	x.first = t.stage.clock.Now().Sub(x.started)
 	t.stage.meter.FirstToken(x.route.Kind.String(), x.first)
-	x.answer.Begin(t.head)
+	x.answer.WriteHead(t.head)
 }
 
 // notePause notes that events go out now.
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -92,7 +92,7 @@
 	clock.Sleep(context.Background(), s.Clock, end.Sub(s.Clock.Now()))
 	for _, x := range s.running.oldest(math.MaxInt) {
 		if phase, _, _ := x.progress.look(); phase == PhaseReading {
-			x.answer.EndBody()
+			x.answer.AbortRequestBody()
 		}
 	}
 }
@@ -135,7 +135,7 @@
 	s.running.add(x)
 	defer s.running.remove(x)
 	if s.leaving.Load() {
-		x.answer.CloseAfter()
+		x.answer.SetConnectionClose()
 	}
 	if s.closed.Load() {
 		s.end(x, stopping())
@@ -152,7 +152,7 @@
 	}
 	r := barleystep.AsRefusal(err)
 	s.Meter.RequestRefused(string(r.Reason()), r.Outcome().String())
-	begun := x.answer.Begun()
+	begun := x.answer.HeadSent()
 	if !begun && r.Reason() != barleystep.ReasonCallerGone {
 		s.refuse(x, r)
 	}
@@ -167,7 +167,7 @@
 	h := make(http.Header)
 	s.Protocol.SetResponseHeaders(h, x.call.RequestID, r.RetryAfter())
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	x.answer.Whole(reply.Own(statusOf(r), h), []byte(r.Error()+"\n"))
+	x.answer.WriteFull(reply.FromBox(statusOf(r), h), []byte(r.Error()+"\n"))
 }
 
 // statusOf returns the HTTP status for a refusal. Statuses that promise that a
--- a/internal/front/try.go
+++ b/internal/front/try.go
@@ -172,7 +172,7 @@
 		target = x.r.URL.RequestURI()
 	}
 	h := x.r.Header.Clone()
-	reply.RemoveHop(h)
+	reply.RemoveHopByHop(h)
 	if _, ok := h["User-Agent"]; !ok {
 		h.Set("User-Agent", "") // An empty one is not sent.
 	}
@@ -285,7 +285,7 @@
 func (t *try) pass(body []byte) {
 	x := t.exchange
 	x.first = t.stage.clock.Now().Sub(x.started)
-	x.answer.Whole(t.head, body)
+	x.answer.WriteFull(t.head, body)
 }
 
 // report tells the balancer what was learnt of the target.
--- a/internal/reply/head.go
+++ b/internal/reply/head.go
@@ -18,7 +18,7 @@
 }
 
 // Own returns the head of an answer that the box itself gives.
-func Own(status int, header http.Header) Head {
+func FromBox(status int, header http.Header) Head {
 	return Head{status: status, header: header}
 }
 
@@ -29,7 +29,7 @@
 	if header == nil {
 		header = make(http.Header)
 	}
-	RemoveHop(header)
+	RemoveHopByHop(header)
 	header.Del("Content-Length") // It is set anew where the body is known.
 	if _, ok := header["Date"]; !ok {
 		header["Date"] = nil // The server of the box would add its own.
@@ -53,7 +53,7 @@
 }
 
 // RemoveHop removes the header fields that belong to one connection only.
-func RemoveHop(h http.Header) {
+func RemoveHopByHop(h http.Header) {
 	for _, list := range h["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
 			h.Del(strings.TrimSpace(name))
--- a/internal/reply/writer.go
+++ b/internal/reply/writer.go
@@ -24,10 +24,10 @@
 
 // CloseAfter has the answer end the caller's connection. It has no effect once the
 // answer has begun.
-func (w *Writer) CloseAfter() { w.closing = true }
+func (w *Writer) SetConnectionClose() { w.closing = true }
 
 // Begun reports whether the head went out, after which no other can.
-func (w *Writer) Begun() bool { return w.begun }
+func (w *Writer) HeadSent() bool { return w.begun }
 
 // Head returns the head that went out.
 func (w *Writer) Head() Head { return w.head }
@@ -39,25 +39,25 @@
 }
 
 // Whole sends a whole answer. It does nothing if one has begun.
-func (w *Writer) Whole(h Head, body []byte) {
+func (w *Writer) WriteFull(h Head, body []byte) {
 	if w.begun {
 		return
 	}
 	h.header = maps.Clone(h.header)
 	h.header.Set("Content-Length", strconv.Itoa(len(body)))
-	w.Begin(h)
+	w.WriteHead(h)
 	_, _ = w.w.Write(body) // The caller may have gone away.
 }
 
 // EndBody has the reading of the caller's body fail from now on; the answer can still be
 // sent. Other goroutines may call it.
-func (w *Writer) EndBody() {
+func (w *Writer) AbortRequestBody() {
 	_ = http.NewResponseController(w.w).SetReadDeadline(time.Unix(1, 0)) // Recorders in tests have none.
 }
 
 // Begin sends the head of an answer whose body follows in parts. Only the first head
 // is sent: a stream that another target goes on with keeps its own.
-func (w *Writer) Begin(h Head) {
+func (w *Writer) WriteHead(h Head) {
 	if w.begun {
 		return
 	}
--- a/internal/reply/writer_test.go
+++ b/internal/reply/writer_test.go
@@ -23,7 +23,7 @@
 }
 
 func own(status int) reply.Head {
-	return reply.Own(status, http.Header{"Content-Type": {"text/plain"}})
+	return reply.FromBox(status, http.Header{"Content-Type": {"text/plain"}})
 }
 
 // TestWriter checks that an answer has the fields of its first head and no other.
@@ -35,32 +35,32 @@
 		body   string
 	}{
 		"own": {
-			func(w *reply.Writer) { w.Whole(own(503), []byte("no")) },
+			func(w *reply.Writer) { w.WriteFull(own(503), []byte("no")) },
 			503, http.Header{"Content-Type": {"text/plain"}, "Content-Length": {"2"}}, "no",
 		},
 		"a target's, whole": {
-			func(w *reply.Writer) { w.Whole(target("A", 500), []byte("bad")) },
+			func(w *reply.Writer) { w.WriteFull(target("A", 500), []byte("bad")) },
 			500, http.Header{"Mark": {"A"}, "Only-A": {"1"}, "Date": nil, "Content-Length": {"3"}}, "bad",
 		},
 		"a target's head, then another's": {
 			func(w *reply.Writer) {
-				w.Begin(target("A", 200))
-				w.Begin(target("B", 206))
+				w.WriteHead(target("A", 200))
+				w.WriteHead(target("B", 206))
 			},
 			200, http.Header{"Mark": {"A"}, "Only-A": {"1"}, "Date": nil}, "",
 		},
 		"a refusal after the head is not sent": {
 			func(w *reply.Writer) {
-				w.Begin(target("A", 200))
+				w.WriteHead(target("A", 200))
 				_ = w.Write([]byte("part")) // A recorder takes all.
-				w.Whole(own(502), []byte("no"))
+				w.WriteFull(own(502), []byte("no"))
 			},
 			200, http.Header{"Mark": {"A"}, "Only-A": {"1"}, "Date": nil}, "part",
 		},
 		"closing": {
 			func(w *reply.Writer) {
-				w.CloseAfter()
-				w.Whole(own(200), nil)
+				w.SetConnectionClose()
+				w.WriteFull(own(200), nil)
 			},
 			200, http.Header{"Content-Type": {"text/plain"}, "Content-Length": {"0"}, "Connection": {"close"}}, "",
 		},
@@ -86,9 +86,9 @@
 	head := reply.FromTarget("t", answer, false)
 	answer.Header.Set("Mark", "B")
 	first := httptest.NewRecorder()
-	reply.NewWriter(first).Whole(head, []byte("x"))
+	reply.NewWriter(first).WriteFull(head, []byte("x"))
 	c.Check(first.Header().Get("Mark"), quicktest.Equals, "A")
 	second := httptest.NewRecorder()
-	reply.NewWriter(second).Begin(head)
+	reply.NewWriter(second).WriteHead(head)
 	c.Check(second.Header().Get("Content-Length"), quicktest.Equals, "")
 }
