--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -17,7 +17,7 @@
 	// Window is the time in which requests and retries are counted.
 	Window time.Duration
 	// Boxes returns how many boxes share the budget.
-	Boxes func() int
+	BoxCount func() int
 
 	mu       sync.Mutex
 	origin   time.Time
@@ -98,22 +98,22 @@
 
 // Set sets the retries allowed for each request of a service in Window, over all
 // boxes, and those allowed besides.
-func (b *Budget) Set(ratio, extra float64) {
+func (b *Budget) SetLimits(ratio, extra float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ratio, b.extra = ratio, extra
 }
 
 // Request counts a request for the service.
-func (b *Budget) Request(service string) {
+func (b *Budget) CountRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.account(service).requests.add(b.slot())
 }
 
 // Retry reports whether a request may be sent once more, and counts it if so.
-func (b *Budget) Retry(service string) bool {
-	boxes := max(b.Boxes(), 1)
+func (b *Budget) AllowRetry(service string) bool {
+	boxes := max(b.BoxCount(), 1)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a := b.account(service)
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -15,8 +15,8 @@
 
 func newBudget(boxes int) (*budget.Budget, *clock.Manual) {
 	manual := clock.NewManual(time.Unix(1000, 0))
-	b := &budget.Budget{Clock: manual, Window: window, Boxes: func() int { return boxes }}
-	b.Set(0.2, 100)
+	b := &budget.Budget{Clock: manual, Window: window, BoxCount: func() int { return boxes }}
+	b.SetLimits(0.2, 100)
 	return b, manual
 }
 
@@ -36,15 +36,15 @@
 		t.Run(name, func(t *testing.T) {
 			b, manual := newBudget(tc.boxes)
 			for range tc.requests {
-				b.Request("s")
+				b.CountRequest("s")
 			}
 			manual.Advance(tc.wait)
 			got := 0
-			for b.Retry("s") {
+			for b.AllowRetry("s") {
 				got++
 			}
 			quicktest.Check(t, got, quicktest.Equals, tc.want)
-			quicktest.Check(t, b.Retry("other") == (tc.boxes < 40), quicktest.IsTrue)
+			quicktest.Check(t, b.AllowRetry("other") == (tc.boxes < 40), quicktest.IsTrue)
 		})
 	}
 }
@@ -76,9 +76,9 @@
 		now += step
 		retry := rapid.Bool().Draw(t, "retry")
 		if !retry {
-			b.Request("s")
+			b.CountRequest("s")
 		}
-		if !retry || b.Retry("s") {
+		if !retry || b.AllowRetry("s") {
 			events = append(events, event{now, retry})
 		}
 	}
--- a/internal/front/deliver.go
+++ b/internal/front/deliver.go
@@ -74,7 +74,7 @@
 	defer release()
 	ctx, x.cut = context.WithCancelCause(ctx)
 	defer x.cut(nil)
-	d.budget.Request(x.service)
+	d.budget.CountRequest(x.service)
 	x.firstTry = d.habit.firstTry(d.clock, x)
 	job := d.job(x)
 	var failed *try // failed is the last try whose target gave a whole failure of its own.
@@ -208,7 +208,7 @@
 	if x.answer.HeadSent() && (x.last == "" || !x.route.Resumable) {
 		return false
 	}
-	return t.paid.Load() || d.budget.Retry(x.service)
+	return t.paid.Load() || d.budget.AllowRetry(x.service)
 }
 
 // ended ends a request for which nothing more is tried. A whole failure of a target's own is
--- a/internal/front/fixture_test.go
+++ b/internal/front/fixture_test.go
@@ -302,8 +302,8 @@
 	for _, id := range []barleystep.TargetID{"x", "y", "z", "w"} {
 		f.targets = append(f.targets, fleet.Target{ID: id, Service: "engines", Addr: addr, Slots: 4})
 	}
-	spent := &budget.Budget{Clock: clk, Window: 10 * time.Second, Boxes: func() int { return 1 }}
-	spent.Set(1, 10)
+	spent := &budget.Budget{Clock: clk, Window: 10 * time.Second, BoxCount: func() int { return 1 }}
+	spent.SetLimits(1, 10)
 	quiet := &log.Logger{Level: log.PanicLevel}
 	f.front = &front.Server{
 		Clock:         clk,
--- a/internal/front/silence_test.go
+++ b/internal/front/silence_test.go
@@ -32,7 +32,7 @@
 			view.Route("h", "/stream/").Timeout = 24 * time.Hour
 			f := newFixtureAt(t, manual, state{view: view}, stall, events(2, 3, false))
 			if !budgeted {
-				f.front.Budget.Set(0, 0)
+				f.front.Budget.SetLimits(0, 0)
 			}
 			answer := make(chan reply, 1)
 			go func() { answer <- f.ask(t, http.MethodPost, "/stream/", "") }()
--- a/internal/front/source_test.go
+++ b/internal/front/source_test.go
@@ -247,7 +247,7 @@
 	"another is silent":           {second: endings["head, then silence"]},
 	"another answers for a third": {second: endings["foreign one only"]},
 	"no other":                    {prepare: func(f *fixture) { f.targets = f.targets[:1] }},
-	"no retry is left":            {prepare: func(f *fixture) { f.front.Budget.Set(0, 0) }},
+	"no retry is left":            {prepare: func(f *fixture) { f.front.Budget.SetLimits(0, 0) }},
 	"another is unreachable":      {prepare: func(f *fixture) { f.targets[1].Addr = "127.0.0.1:1" }},
 }
 
--- a/internal/front/watch.go
+++ b/internal/front/watch.go
@@ -130,7 +130,7 @@
 		return false
 	}
 	job.Avoid = append(job.Avoid, t.placement.Target.ID)
-	if !t.stage.balancer.HasFreeSlot(job) || !t.stage.budget.Retry(t.exchange.service) {
+	if !t.stage.balancer.HasFreeSlot(job) || !t.stage.budget.AllowRetry(t.exchange.service) {
 		return false
 	}
 	t.paid.Store(true)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -135,7 +135,7 @@
 	}
 	r.pool = &conn.Pool{Clock: r.Clock, DialTimeout: dialTimeout}
 	r.targets.Changed = r.renew
-	r.budget = &budget.Budget{Clock: r.Clock, Window: s.Retries.Window.Or(defaultWindow), Boxes: r.plane.Node().Boxes}
+	r.budget = &budget.Budget{Clock: r.Clock, Window: s.Retries.Window.Or(defaultWindow), BoxCount: r.plane.Node().Boxes}
 	r.front = &front.Server{
 		Clock:         r.Clock,
 		Protocol:      r.Protocol,
@@ -162,7 +162,7 @@
 func (r *Router) apply(s settings.Settings) {
 	r.freshness.Store(int64(s.Keys.Freshness))
 	r.front.SetKeyFreshness(time.Duration(s.Keys.Freshness))
-	r.budget.Set(s.Retries.Ratio, s.Retries.Extra)
+	r.budget.SetLimits(s.Retries.Ratio, s.Retries.Extra)
 	r.grace.Store(int64(s.Limits.Grace.Or(defaultGrace)))
 }
 
