--- a/internal/plane/box_test.go
+++ b/internal/plane/box_test.go
@@ -79,7 +79,7 @@
 		Catalogue:     &client{store: b.day.store, box: b},
 		Network:       b,
 		Strength:      b.strength,
-		Within:        within,
+		MaxDelay:      within,
 		HTTP:          &http.Client{Transport: b},
 		Configuration: l.configuration,
 		Targets:       l.targets,
--- a/internal/plane/plane.go
+++ b/internal/plane/plane.go
@@ -23,7 +23,7 @@
 	Seeds     []string
 	Catalogue barleystep.Catalogue
 	// Within is how soon a change must be in force; zero is the followers' default.
-	Within time.Duration
+	MaxDelay time.Duration
 	// Strength is how much this box can carry for others.
 	Strength uint32
 	// Network carries datagrams between boxes; nil is the operating system's.
@@ -75,7 +75,7 @@
 		Topic:     topic,
 		Handler:   h,
 		Log:       p.Log,
-		Within:    p.Within,
+		Within:    p.MaxDelay,
 		Duty:      p.duty,
 		Boxes:     p.node.HallBoxes,
 		Spread:    p.Box.Jitter(),
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -117,7 +117,7 @@
 		Addr:          s.Listen.Peers,
 		Seeds:         s.Peers.Seeds,
 		Catalogue:     r.Catalogue,
-		Within:        time.Duration(s.Platform.MaxDelay),
+		MaxDelay:      time.Duration(s.Platform.MaxDelay),
 		Strength:      s.Box.Strength(),
 		HTTP:          &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: peerConnections}},
 		Configuration: r.configuration,
