--- a/cmd/barleystep-soak/main.go
+++ b/cmd/barleystep-soak/main.go
@@ -36,7 +36,7 @@
 }
 
 func newCommand() *cobra.Command {
-	s := &soak.Soak{Clock: clock.System{}, Out: os.Stdout}
+	s := &soak.Runner{Clock: clock.System{}, Out: os.Stdout}
 	s.Profile = soak.ProfileUsual
 	root := &cobra.Command{
 		Use:          "barleystep-soak",
@@ -51,13 +51,13 @@
 	root.Flags().IntVar(&s.Targets, "targets", defaultTargets, "how many engines; there are half as many plain targets")
 	root.Flags().IntVar(&s.Callers, "callers", defaultCallers, "how many callers")
 	root.Flags().Var(&s.Profile, "profile", "the load on the boxes, usual or crowded")
-	root.PersistentFlags().StringVar(&s.Program, "router", "target/barleystep-router", "the box's program")
+	root.PersistentFlags().StringVar(&s.BoxProgram, "router", "target/barleystep-router", "the box's program")
 	root.AddCommand(regressionsCommand(s), targetCommand(), storeCommand())
 	return root
 }
 
-func run(cmd *cobra.Command, s *soak.Soak) (err error) {
-	if s.Self, err = os.Executable(); err != nil {
+func run(cmd *cobra.Command, s *soak.Runner) (err error) {
+	if s.StandInProgram, err = os.Executable(); err != nil {
 		return eris.Wrap(err, "soak: own program")
 	}
 	if s.Dir, err = soak.TempDir(s.Setup); err != nil {
@@ -79,7 +79,7 @@
 
 // regressionsCommand runs the seeds that have failed once. The root's flag for the box's
 // program holds for it too.
-func regressionsCommand(s *soak.Soak) *cobra.Command {
+func regressionsCommand(s *soak.Runner) *cobra.Command {
 	var ci bool
 	cmd := &cobra.Command{Use: "regressions", Short: "Run the seeds that have failed once", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 		list, err := soak.Regressions()
@@ -92,7 +92,7 @@
 				continue
 			}
 			fmt.Fprintf(s.Out, "seed %d: %s\n", r.Seed, r.Cause)
-			again := &soak.Soak{Setup: r.Setup(), Clock: s.Clock, Program: s.Program, Out: s.Out}
+			again := &soak.Runner{Setup: r.Setup(), Clock: s.Clock, BoxProgram: s.BoxProgram, Out: s.Out}
 			if err := run(cmd, again); err != nil {
 				fmt.Fprintln(s.Out, "Error:", err)
 				failed++
--- a/internal/soak/box.go
+++ b/internal/soak/box.go
@@ -119,7 +119,7 @@
 			started = nil
 		}
 		if err != nil {
-			b.history.Find("%s cannot be started: %v", b.id, err)
+			b.history.RecordFinding("%s cannot be started: %v", b.id, err)
 			return
 		}
 		_ = cmd.Wait() // How it ended is judged where it was ended.
@@ -137,7 +137,7 @@
 	_, stopping := b.history.stopping[life]
 	b.history.mu.Unlock()
 	if !killed && !stopping {
-		b.history.Find("%s ended by itself: %s", life, cmd.ProcessState)
+		b.history.RecordFinding("%s ended by itself: %s", life, cmd.ProcessState)
 	}
 }
 
@@ -153,15 +153,15 @@
 	defer b.mu.Unlock()
 	switch s {
 	case syscall.SIGKILL:
-		b.history.Killed(b.id, b.life, b.clock.Now())
+		b.history.RecordKill(b.id, b.life, b.clock.Now())
 	case syscall.SIGTERM:
-		b.history.Stopping(b.id, b.life, b.clock.Now())
+		b.history.RecordStop(b.id, b.life, b.clock.Now())
 	case syscall.SIGSTOP:
-		b.history.Frozen(b.id, b.life, b.clock.Now())
+		b.history.RecordFreeze(b.id, b.life, b.clock.Now())
 	}
 	_ = b.cmd.Process.Signal(s) // It may have ended just now.
 	if s == syscall.SIGCONT {
-		b.history.Thawed(b.id, b.life, b.clock.Now())
+		b.history.RecordThaw(b.id, b.life, b.clock.Now())
 	}
 }
 
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -69,7 +69,7 @@
 func (c *caller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		b := c.boxes[c.rand.IntN(len(c.boxes))]
-		c.history.Called(c.call(b, c.draw()))
+		c.history.RecordCall(c.call(b, c.draw()))
 		timer := c.clock.NewTimer(time.Duration(c.rand.ExpFloat64() * float64(thinkTime)))
 		select {
 		case <-ctx.Done():
@@ -84,24 +84,24 @@
 func (c *caller) draw() Call {
 	c.number++
 	x := Call{ID: fmt.Sprintf("%s-%d", c.name, c.number), Key: c.keys[c.rand.IntN(len(c.keys))], Body: "body of a request"}
-	x.Kind = []Kind{KindOnce, KindAgain, KindStream, KindPlain}[c.rand.IntN(4)]
+	x.Kind = []Kind{KindNonIdempotent, KindIdempotent, KindResumableStream, KindPlainStream}[c.rand.IntN(4)]
 	x.Path = "/" + string(x.Kind) + "/"
 	if n := c.routes(); n > 0 && c.rand.IntN(10) == 0 {
-		x.Kind, x.Path = KindAgain, fmt.Sprintf("/added%d/", 1+c.rand.IntN(n))
+		x.Kind, x.Path = KindIdempotent, fmt.Sprintf("/added%d/", 1+c.rand.IntN(n))
 	}
 	if c.rand.IntN(longEvery) == 0 {
 		x.Body = strings.Repeat("long body ", longBody/10)
 	}
 	if c.deadly() && c.deadlyRand.IntN(deadlyEvery) == 0 {
-		x.Kind, x.Path, x.Key, x.Body = KindAgain, "/again/", deadlyKey, platformtest.CrashBody
+		x.Kind, x.Path, x.Key, x.Body = KindIdempotent, "/again/", deadlyKey, platformtest.CrashBody
 	}
 	return x
 }
 
 // call sends one request and takes in the answer.
 func (c *caller) call(b *box, x Call) Call {
-	x.Box, x.Life, x.Limit, x.Started = b.id, b.currentLife(), c.load.timeLimit, c.clock.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), x.Limit)
+	x.Box, x.Incarnation, x.TimeLimit, x.Started = b.id, b.currentLife(), c.load.timeLimit, c.clock.Now()
+	ctx, cancel := context.WithTimeout(context.Background(), x.TimeLimit)
 	defer cancel()
 	connected := false
 	var sent atomic.Pointer[time.Time] // It is set by another goroutine, perhaps late.
@@ -109,7 +109,7 @@
 		GotConn: func(i httptrace.GotConnInfo) {
 			connected, x.Reused = true, i.Reused
 			if !i.Reused {
-				x.Life = b.currentLife() // It may have started since.
+				x.Incarnation = b.currentLife() // It may have started since.
 			}
 		},
 		WroteRequest: func(i httptrace.WroteRequestInfo) {
@@ -126,23 +126,23 @@
 	req.GetBody = nil // The transport must not send it again.
 	platformtest.SetCallerHeaders(req.Header, x.ID, x.Key)
 	prompt := shortPrompt
-	if x.Kind == KindStream && c.rand.IntN(c.load.giantEvery) == 0 {
+	if x.Kind == KindResumableStream && c.rand.IntN(c.load.giantEvery) == 0 {
 		prompt = giantPrompt
 	}
-	platformtest.SetPromptHeaders(req.Header, prompt, x.Limit)
+	platformtest.SetPromptHeaders(req.Header, prompt, x.TimeLimit)
 	resp, err := c.client.Do(req)
 	if err == nil {
 		defer resp.Body.Close()
 		x.Status, x.Header = resp.StatusCode, resp.Header
 		var data []byte
 		data, err = io.ReadAll(resp.Body)
-		x.Answer, x.Broken = string(data), err != nil
+		x.Answer, x.Truncated = string(data), err != nil
 	}
 	x.Ended = c.clock.Now()
 	if at := sent.Load(); at != nil {
 		x.Sent = *at
 	}
-	x.GaveUp = eris.Is(err, context.DeadlineExceeded)
-	x.Unsent = !connected
+	x.TimedOut = eris.Is(err, context.DeadlineExceeded)
+	x.ConnectFailed = !connected
 	return x
 }
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -68,13 +68,13 @@
 // call checks what one caller got.
 func (c *check) call(x *Call) {
 	c.once(x)
-	if took := x.Ended.Sub(x.Started); took > x.Limit+overtime && !c.frozen(x) {
+	if took := x.Ended.Sub(x.Started); took > x.TimeLimit+overtime && !c.frozen(x) {
 		c.find("time limit", x.ID, "it took %s", took)
 	}
 	switch {
 	case x.Status == 0:
 		c.unanswered(x)
-	case x.GaveUp:
+	case x.TimedOut:
 	default:
 		c.answer(x)
 	}
@@ -89,7 +89,7 @@
 			runs++
 		}
 	}
-	if runs > 1 && (x.Kind == KindOnce || x.Kind == KindPlain) {
+	if runs > 1 && (x.Kind == KindNonIdempotent || x.Kind == KindPlainStream) {
 		c.find("at most once", x.ID, "%s ran %d times", x.Kind, runs)
 	}
 	switch x.Status {
@@ -107,7 +107,7 @@
 	}
 	seal, sealed := platformtest.ReadDigest(x.Header)
 	switch {
-	case x.Broken && c.killed(x): // It was cut in the midst, and looks it.
+	case x.Truncated && c.killed(x): // It was cut in the midst, and looks it.
 	case !sealed && x.Status < http.StatusBadRequest:
 		c.find("own answer", x.ID, "a %d without a digest", x.Status)
 	case !sealed:
@@ -123,15 +123,15 @@
 
 // own checks an answer of the box itself: it holds nothing of a target's.
 func (c *check) own(x *Call) {
-	if strings.Contains(x.Answer, x.ID) || x.Broken {
-		c.find("own answer", x.ID, "the box's own %d has %q, broken: %t", x.Status, x.Answer, x.Broken)
+	if strings.Contains(x.Answer, x.ID) || x.Truncated {
+		c.find("own answer", x.ID, "the box's own %d has %q, broken: %t", x.Status, x.Answer, x.Truncated)
 	}
 }
 
 func (c *check) whole(x *Call, seal platformtest.Digest) {
 	want := strings.Join(platformtest.AnswerParts(x.ID, seal, x.Path, ""), "")
-	if x.Broken || x.Answer != want {
-		c.find("whole answer", x.ID, "broken: %t, %d of %d bytes", x.Broken, len(x.Answer), len(want))
+	if x.Truncated || x.Answer != want {
+		c.find("whole answer", x.ID, "broken: %t, %d of %d bytes", x.Truncated, len(x.Answer), len(want))
 	}
 }
 
@@ -146,7 +146,7 @@
 			return
 		}
 	}
-	if !x.Broken && len(events) != platformtest.StreamEvents {
+	if !x.Truncated && len(events) != platformtest.StreamEvents {
 		c.find("stream order", x.ID, "it looks whole with %d events", len(events))
 	}
 }
@@ -215,13 +215,13 @@
 func (c *check) routes() {
 	known := make(map[string]time.Time)
 	for _, x := range c.history.calls {
-		id := lifeOf(x.Box, x.Life) + x.Path
+		id := lifeOf(x.Box, x.Incarnation) + x.Path
 		if at, ok := known[id]; x.Status == http.StatusOK && (!ok || x.Ended.Before(at)) {
 			known[id] = x.Ended
 		}
 	}
 	for _, x := range c.history.calls {
-		at, ok := known[lifeOf(x.Box, x.Life)+x.Path]
+		at, ok := known[lifeOf(x.Box, x.Incarnation)+x.Path]
 		if ok && x.Status == http.StatusNotFound && x.Started.After(at) {
 			c.find("configuration never back", x.ID, "%s is not found after it was served", x.Path)
 		}
@@ -231,7 +231,7 @@
 // learnt returns when, at the latest, the call's box knows what stands in the store since
 // the given time: when the store has served, and the box run, for foreignBound on end.
 func (c *check) learnt(since time.Time, x *Call) time.Time {
-	breaks := slices.Concat(c.history.away, c.history.frozen[lifeOf(x.Box, x.Life)])
+	breaks := slices.Concat(c.history.away, c.history.frozen[lifeOf(x.Box, x.Incarnation)])
 	slices.SortFunc(breaks, func(a, b span) int { return a.from.Compare(b.from) })
 	for _, s := range breaks {
 		switch {
@@ -253,7 +253,7 @@
 	served, refused, cut := 0, 0, 0
 	for _, x := range h.calls {
 		switch {
-		case x.Status == http.StatusOK && !x.Broken:
+		case x.Status == http.StatusOK && !x.Truncated:
 			served++
 		case x.Status == http.StatusOK || x.Status == 0:
 			cut++
--- a/internal/soak/check_deadly.go
+++ b/internal/soak/check_deadly.go
@@ -63,7 +63,7 @@
 	killed := make(map[string][]time.Time)
 	for _, x := range c.history.calls {
 		times := killed[x.Box]
-		if at, ok := c.history.killed[lifeOf(x.Box, x.Life)]; ok && !slices.Contains(times, at) {
+		if at, ok := c.history.killed[lifeOf(x.Box, x.Incarnation)]; ok && !slices.Contains(times, at) {
 			times = append(times, at)
 		}
 		killed[x.Box] = times // A box that was never killed counts too.
@@ -91,10 +91,10 @@
 
 // livedSince reports whether the box's life that took the call had begun by the given time.
 func (c *check) livedSince(x *Call, since time.Time) bool {
-	if x.Life <= 1 {
+	if x.Incarnation <= 1 {
 		return true
 	}
-	before := lifeOf(x.Box, x.Life-1)
+	before := lifeOf(x.Box, x.Incarnation-1)
 	for _, ended := range []map[string]time.Time{c.history.killed, c.history.stopping} {
 		if at, ok := ended[before]; ok && at.Before(since) {
 			return true
@@ -106,7 +106,7 @@
 // heard returns when the box that took the call has heard at the latest of what happened at the
 // given time.
 func (c *check) heard(since time.Time, x *Call) time.Time {
-	for _, f := range c.history.frozen[lifeOf(x.Box, x.Life)] {
+	for _, f := range c.history.frozen[lifeOf(x.Box, x.Incarnation)] {
 		switch {
 		case f.to.IsZero():
 			return x.Ended
--- a/internal/soak/check_statement.go
+++ b/internal/soak/check_statement.go
@@ -40,7 +40,7 @@
 	passed := make(map[string]time.Time)
 	for _, a := range list {
 		x := calls[a.Request]
-		life := lifeOf(x.Box, x.Life)
+		life := lifeOf(x.Box, x.Incarnation)
 		at, told := passed[life]
 		if told && x.Started.After(at.Add(leaveBound)) && !c.stoodStill(x, at) {
 			c.find("leaving targets", a.Request, "%s got it, sent %s after its word was passed on", a.Target, x.Started.Sub(at))
@@ -63,7 +63,7 @@
 		for _, a := range list[i+1:] {
 			y := calls[a.Request]
 			since := a.At.Sub(asked.At)
-			same := lifeOf(x.Box, x.Life) == lifeOf(y.Box, y.Life)
+			same := lifeOf(x.Box, x.Incarnation) == lifeOf(y.Box, y.Incarnation)
 			if same && since > restSlack && since < asked.Rest && !c.stoodStill(y, asked.At) {
 				got++
 			}
@@ -76,5 +76,5 @@
 
 // stoodStill reports whether the call's box has stood still between the given time and its end.
 func (c *check) stoodStill(x *Call, since time.Time) bool {
-	return slices.ContainsFunc(c.history.frozen[lifeOf(x.Box, x.Life)], func(f span) bool { return f.meets(since, x.Ended) })
+	return slices.ContainsFunc(c.history.frozen[lifeOf(x.Box, x.Incarnation)], func(f span) bool { return f.meets(since, x.Ended) })
 }
--- a/internal/soak/check_stop.go
+++ b/internal/soak/check_stop.go
@@ -14,10 +14,10 @@
 // one that has not taken the request, leaves one so. A box has taken what it passed on,
 // and what came long before the close.
 func (c *check) unanswered(x *Call) {
-	if x.Unsent || x.GaveUp || c.killed(x) || c.frozen(x) {
+	if x.ConnectFailed || x.TimedOut || c.killed(x) || c.frozen(x) {
 		return
 	}
-	life := lifeOf(x.Box, x.Life)
+	life := lifeOf(x.Box, x.Incarnation)
 	_, stopping := c.history.stopping[life]
 	waited := x.Ended.Sub(x.Sent)
 	switch {
@@ -32,7 +32,7 @@
 
 // sinceStop tells how long after the box was told to stop the call began and ended.
 func (c *check) sinceStop(x *Call) string {
-	stopped, stopping := c.history.stopping[lifeOf(x.Box, x.Life)]
+	stopped, stopping := c.history.stopping[lifeOf(x.Box, x.Incarnation)]
 	if !stopping {
 		return ""
 	}
@@ -41,13 +41,13 @@
 
 // killed reports whether the call's box was killed before the call ended.
 func (c *check) killed(x *Call) bool {
-	at, killed := c.history.killed[lifeOf(x.Box, x.Life)]
+	at, killed := c.history.killed[lifeOf(x.Box, x.Incarnation)]
 	return killed && !at.After(x.Ended)
 }
 
 // frozen reports whether the call's box stood still during the call.
 func (c *check) frozen(x *Call) bool {
-	return slices.ContainsFunc(c.history.frozen[lifeOf(x.Box, x.Life)], func(f span) bool { return f.meets(x.Started, x.Ended) })
+	return slices.ContainsFunc(c.history.frozen[lifeOf(x.Box, x.Incarnation)], func(f span) bool { return f.meets(x.Started, x.Ended) })
 }
 
 // reopened checks that no life of a box takes new connections again after it has refused
@@ -58,13 +58,13 @@
 	accepted, closed := make(map[string]bool), make(map[string]time.Time)
 	for i := range calls {
 		x := &calls[i]
-		life := lifeOf(x.Box, x.Life)
+		life := lifeOf(x.Box, x.Incarnation)
 		at, refused := closed[life]
 		switch {
-		case x.Reused || x.GaveUp:
-		case x.Unsent && !refused && accepted[life] && c.stopping(x):
+		case x.Reused || x.TimedOut:
+		case x.ConnectFailed && !refused && accepted[life] && c.stopping(x):
 			closed[life] = x.Ended
-		case x.Unsent:
+		case x.ConnectFailed:
 		case refused && x.Started.After(at):
 			c.find("closed stays closed", x.ID, "%s took a new connection%s, having refused one", life, c.sinceStop(x))
 			return
@@ -77,6 +77,6 @@
 // stopping reports whether the call's box was told to stop before the call, and not killed
 // until its end.
 func (c *check) stopping(x *Call) bool {
-	at, stopping := c.history.stopping[lifeOf(x.Box, x.Life)]
+	at, stopping := c.history.stopping[lifeOf(x.Box, x.Incarnation)]
 	return stopping && x.Started.After(at) && !c.killed(x)
 }
--- a/internal/soak/check_targets_test.go
+++ b/internal/soak/check_targets_test.go
@@ -48,20 +48,20 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			h := soak.NewHistory(map[string]string{"k": "tenant"})
-			h.Killed("b2", 1, at(-time.Second))
-			h.Killed("b1", 1, at(4500*time.Millisecond))
+			h.RecordKill("b2", 1, at(-time.Second))
+			h.RecordKill("b1", 1, at(4500*time.Millisecond))
 			if tc.frozen {
-				h.Frozen("b1", 1, at(time.Second))
-				h.Thawed("b1", 1, at(6*time.Second))
+				h.RecordFreeze("b1", 1, at(time.Second))
+				h.RecordThaw("b1", 1, at(6*time.Second))
 			}
 			for i, s := range append(slices.Clone(first), tc.later...) {
-				x := change(refused(soak.KindAgain, http.StatusBadGateway), func(x *soak.Call) {
-					x.ID, x.Box, x.Life, x.Body = string(rune('a'+i)), s.box, s.life, platformtest.CrashBody
+				x := change(refused(soak.KindIdempotent, http.StatusBadGateway), func(x *soak.Call) {
+					x.ID, x.Box, x.Incarnation, x.Body = string(rune('a'+i)), s.box, s.life, platformtest.CrashBody
 					x.Started, x.Ended = at(s.at), at(s.at+time.Second)
 					x.Header = answered(x.ID, "")
 				})
-				h.Called(x)
-				h.Arrived(arrival(x, 1))
+				h.RecordCall(x)
+				h.RecordArrival(arrival(x, 1))
 			}
 			quicktest.Check(t, findings(h, "deadly requests"), quicktest.Equals, tc.found)
 		})
@@ -98,19 +98,19 @@
 		t.Run(name, func(t *testing.T) {
 			h := soak.NewHistory(map[string]string{"k": "tenant"})
 			if tc.frozen {
-				h.Frozen("b0", 1, at(second))
-				h.Thawed("b0", 1, at(6*second))
+				h.RecordFreeze("b0", 1, at(second))
+				h.RecordThaw("b0", 1, at(6*second))
 			}
 			for i, s := range append([]sent{{"b0", 1, 0}}, tc.later...) {
-				x := call(soak.KindAgain, s.at)
-				x.ID, x.Box, x.Life, x.Ended = string(rune('a'+i)), s.box, s.life, at(s.at+time.Millisecond)
+				x := call(soak.KindIdempotent, s.at)
+				x.ID, x.Box, x.Incarnation, x.Ended = string(rune('a'+i)), s.box, s.life, at(s.at+time.Millisecond)
 				x.Header = answered(x.ID, seal(http.StatusOK).String())
 				a := arrival(x, 1)
 				if i == 0 {
 					a.Leaving, a.Rest = tc.rest == 0, tc.rest
 				}
-				h.Called(x)
-				h.Arrived(a)
+				h.RecordCall(x)
+				h.RecordArrival(a)
 			}
 			quicktest.Check(t, findings(h, "leaving targets")+findings(h, "resting targets"), quicktest.Equals, tc.found)
 		})
@@ -133,19 +133,19 @@
 		t.Run(name, func(t *testing.T) {
 			h := soak.NewHistory(map[string]string{"k": "tenant"})
 			for i, b := range []string{"b0", "b1"} {
-				h.Killed(b, 1, at(20*second+time.Duration(i)*time.Millisecond))
+				h.RecordKill(b, 1, at(20*second+time.Duration(i)*time.Millisecond))
 			}
 			for i, when := range tc.ends {
-				x := change(refused(soak.KindAgain, http.StatusBadGateway), func(x *soak.Call) {
-					x.ID, x.Box, x.Life, x.Body = string(rune('a'+i)), []string{"b0", "b1"}[i%2], 1, platformtest.CrashBody
+				x := change(refused(soak.KindIdempotent, http.StatusBadGateway), func(x *soak.Call) {
+					x.ID, x.Box, x.Incarnation, x.Body = string(rune('a'+i)), []string{"b0", "b1"}[i%2], 1, platformtest.CrashBody
 					if when > 20*second {
-						x.Life = 2
+						x.Incarnation = 2
 					}
 					x.Started, x.Ended = at(when), at(when+second)
 					x.Header = answered(x.ID, "")
 				})
-				h.Called(x)
-				h.Arrived(arrival(x, 1))
+				h.RecordCall(x)
+				h.RecordArrival(arrival(x, 1))
 			}
 			quicktest.Check(t, findings(h, "deadly requests"), quicktest.Equals, tc.found)
 		})
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -31,8 +31,8 @@
 // call returns a call of the kind that was served well, sent at the time.
 func call(kind soak.Kind, sent time.Duration) soak.Call {
 	x := soak.Call{
-		ID: "r1", Kind: kind, Box: "b0", Life: 1, Key: "k", Path: "/" + string(kind) + "/", Body: "ask",
-		Limit: 4 * time.Second, Started: at(sent), Ended: at(sent + time.Second), Status: http.StatusOK,
+		ID: "r1", Kind: kind, Box: "b0", Incarnation: 1, Key: "k", Path: "/" + string(kind) + "/", Body: "ask",
+		TimeLimit: 4 * time.Second, Started: at(sent), Ended: at(sent + time.Second), Status: http.StatusOK,
 		Header: answered("r1", seal(http.StatusOK).String()),
 	}
 	x.Answer = strings.Join(platformtest.AnswerParts(x.ID, seal(http.StatusOK), x.Path, ""), "")
@@ -63,7 +63,7 @@
 // waited returns a call over a connection in use that was closed after the time without an
 // answer.
 func waited(d time.Duration) soak.Call {
-	return change(call(soak.KindStream, 0), func(x *soak.Call) {
+	return change(call(soak.KindResumableStream, 0), func(x *soak.Call) {
 		unanswered(x)
 		x.Reused, x.Sent, x.Ended = true, at(time.Millisecond), at(d)
 	})
@@ -71,10 +71,10 @@
 
 // another returns a call of a caller over a new connection, sent at the time.
 func another(id string, sent time.Duration, unsent bool) soak.Call {
-	x := refused(soak.KindOnce, http.StatusServiceUnavailable)
+	x := refused(soak.KindNonIdempotent, http.StatusServiceUnavailable)
 	x.ID, x.Started, x.Ended = id, at(sent), at(sent+time.Millisecond)
 	x.Header = answered(id, "")
-	if x.Unsent = unsent; unsent {
+	if x.ConnectFailed = unsent; unsent {
 		unanswered(&x)
 	}
 	return x
@@ -82,14 +82,14 @@
 
 // overwrite has another writer's entry stand in place of the target's for ten seconds.
 func overwrite(h *soak.History) {
-	h.Overwritten("t0", at(0))
-	h.Healed("t0", at(10*time.Second))
+	h.RecordOverwrite("t0", at(0))
+	h.RecordRestore("t0", at(10*time.Second))
 }
 
 // TestCheck checks, for each promise, that a history that breaks it is found, and that
 // one that keeps it is not.
 func TestCheck(t *testing.T) {
-	once, again, stream := call(soak.KindOnce, 0), call(soak.KindAgain, 0), call(soak.KindStream, 0)
+	once, again, stream := call(soak.KindNonIdempotent, 0), call(soak.KindIdempotent, 0), call(soak.KindResumableStream, 0)
 	cases := map[string]struct {
 		call     soak.Call
 		arrivals []platformtest.Arrival
@@ -100,18 +100,18 @@
 		"stream":          {call: stream, arrivals: []platformtest.Arrival{arrival(stream, 1), arrival(stream, 2)}},
 		"repeated":        {call: again, arrivals: []platformtest.Arrival{arrival(again, 1), arrival(again, 2)}},
 		"ran twice":       {call: once, arrivals: []platformtest.Arrival{arrival(once, 1), arrival(once, 2)}, found: "at most once"},
-		"refused":         {call: refused(soak.KindOnce, 503), arrivals: []platformtest.Arrival{arrival(once, 0)}},
-		"refused and ran": {call: refused(soak.KindOnce, 503), arrivals: []platformtest.Arrival{arrival(once, 1)}, found: "true refusals"},
+		"refused":         {call: refused(soak.KindNonIdempotent, 503), arrivals: []platformtest.Arrival{arrival(once, 0)}},
+		"refused and ran": {call: refused(soak.KindNonIdempotent, 503), arrivals: []platformtest.Arrival{arrival(once, 1)}, found: "true refusals"},
 		"another's":       {call: change(once, func(x *soak.Call) { x.Header = answered("r2", seal(http.StatusOK).String()) }), found: "own answer"},
 		"no digest":       {call: change(once, func(x *soak.Call) { x.Header = answered("r1", "") }), found: "own answer"},
 		"under a digest":  {call: change(stream, func(x *soak.Call) { x.Status = 502 }), found: "own answer"},
 		"own with a target's body": {
-			call:  change(refused(soak.KindOnce, 502), func(x *soak.Call) { x.Answer = "r1 t0.1.200" }),
+			call:  change(refused(soak.KindNonIdempotent, 502), func(x *soak.Call) { x.Answer = "r1 t0.1.200" }),
 			found: "own answer",
 		},
 		"not whole":       {call: change(once, func(x *soak.Call) { x.Answer = x.Answer[:20] }), found: "whole answer"},
 		"stream with gap": {call: change(stream, func(x *soak.Call) { x.Answer = x.Answer[strings.Index(x.Answer, "id: 2"):] }), found: "stream order"},
-		"stream cut":      {call: change(stream, func(x *soak.Call) { x.Answer, x.Broken = x.Answer[:strings.Index(x.Answer, "id: 4")], true })},
+		"stream cut":      {call: change(stream, func(x *soak.Call) { x.Answer, x.Truncated = x.Answer[:strings.Index(x.Answer, "id: 4")], true })},
 		"stream cut and looks whole": {
 			call:  change(stream, func(x *soak.Call) { x.Answer = x.Answer[:strings.Index(x.Answer, "id: 4")] }),
 			found: "stream order",
@@ -122,99 +122,99 @@
 		},
 		"closed by a planned stop": {
 			call: change(once, unanswered), arrivals: []platformtest.Arrival{arrival(once, 1)},
-			prepare: func(h *soak.History) { h.Stopping("b0", 1, at(0)) }, found: "no answer lost",
+			prepare: func(h *soak.History) { h.RecordStop("b0", 1, at(0)) }, found: "no answer lost",
 		},
 		"killed": {
 			call: change(once, unanswered), arrivals: []platformtest.Arrival{arrival(once, 1)},
-			prepare: func(h *soak.History) { h.Killed("b0", 1, at(0)) },
+			prepare: func(h *soak.History) { h.RecordKill("b0", 1, at(0)) },
 		},
 		"closed while it waited": {
-			call: waited(5 * time.Second), prepare: func(h *soak.History) { h.Stopping("b0", 1, at(-time.Second)) }, found: "no answer lost",
+			call: waited(5 * time.Second), prepare: func(h *soak.History) { h.RecordStop("b0", 1, at(-time.Second)) }, found: "no answer lost",
 		},
 		"closed while it waited, new connection": {
 			call:    change(waited(5*time.Second), func(x *soak.Call) { x.Reused = false }),
-			prepare: func(h *soak.History) { h.Stopping("b0", 1, at(-time.Second)) }, found: "no answer lost",
+			prepare: func(h *soak.History) { h.RecordStop("b0", 1, at(-time.Second)) }, found: "no answer lost",
 		},
 		"crossed the close": {
-			call: waited(time.Second / 2), prepare: func(h *soak.History) { h.Stopping("b0", 1, at(-time.Second)) },
+			call: waited(time.Second / 2), prepare: func(h *soak.History) { h.RecordStop("b0", 1, at(-time.Second)) },
 		},
 		"not sent whole": {
 			call:    change(waited(5*time.Second), func(x *soak.Call) { x.Sent = time.Time{} }),
-			prepare: func(h *soak.History) { h.Stopping("b0", 1, at(-time.Second)) },
+			prepare: func(h *soak.History) { h.RecordStop("b0", 1, at(-time.Second)) },
 		},
 		"killed while it waited": {
 			call: waited(5 * time.Second), prepare: func(h *soak.History) {
-				h.Stopping("b0", 1, at(0))
-				h.Killed("b0", 1, at(4*time.Second))
+				h.RecordStop("b0", 1, at(0))
+				h.RecordKill("b0", 1, at(4*time.Second))
 			},
 		},
 		"killed after the close": {
-			call: waited(5 * time.Second), prepare: func(h *soak.History) { h.Killed("b0", 1, at(6*time.Second)) }, found: "no answer lost",
+			call: waited(5 * time.Second), prepare: func(h *soak.History) { h.RecordKill("b0", 1, at(6*time.Second)) }, found: "no answer lost",
 		},
 		"killed again after the close": {
 			call: waited(5 * time.Second), prepare: func(h *soak.History) {
-				h.Killed("b0", 1, at(4*time.Second))
-				h.Killed("b0", 1, at(6*time.Second))
+				h.RecordKill("b0", 1, at(4*time.Second))
+				h.RecordKill("b0", 1, at(6*time.Second))
 			},
 		},
 		"stood still while it waited": {
 			call: waited(5 * time.Second), prepare: func(h *soak.History) {
-				h.Frozen("b0", 1, at(time.Second))
-				h.Thawed("b0", 1, at(2*time.Second))
+				h.RecordFreeze("b0", 1, at(time.Second))
+				h.RecordThaw("b0", 1, at(2*time.Second))
 			},
 		},
 		"stood still before": {
 			call: waited(5 * time.Second), prepare: func(h *soak.History) {
-				h.Frozen("b0", 1, at(-2*time.Second))
-				h.Thawed("b0", 1, at(-time.Second))
+				h.RecordFreeze("b0", 1, at(-2*time.Second))
+				h.RecordThaw("b0", 1, at(-time.Second))
 			}, found: "no answer lost",
 		},
 		"refuses in a stop": {
 			call: another("r1", 0, false), prepare: func(h *soak.History) {
-				h.Stopping("b0", 1, at(time.Second))
-				h.Called(another("r2", 5*time.Second, true))
+				h.RecordStop("b0", 1, at(time.Second))
+				h.RecordCall(another("r2", 5*time.Second, true))
 			},
 		},
 		"opened again in a stop": {
 			call: another("r1", 0, false), prepare: func(h *soak.History) {
-				h.Stopping("b0", 1, at(time.Second))
-				h.Called(another("r2", 5*time.Second, true))
-				h.Called(another("r3", 6*time.Second, false))
+				h.RecordStop("b0", 1, at(time.Second))
+				h.RecordCall(another("r2", 5*time.Second, true))
+				h.RecordCall(another("r3", 6*time.Second, false))
 			}, found: "closed stays closed",
 		},
 		"work by a foreign entry": {
-			call: call(soak.KindOnce, 6*time.Second), arrivals: []platformtest.Arrival{arrival(call(soak.KindOnce, 6*time.Second), 1)},
+			call: call(soak.KindNonIdempotent, 6*time.Second), arrivals: []platformtest.Arrival{arrival(call(soak.KindNonIdempotent, 6*time.Second), 1)},
 			prepare: overwrite, found: "foreign entries",
 		},
 		"work by a foreign entry, in time": {
-			call: call(soak.KindOnce, 4*time.Second), arrivals: []platformtest.Arrival{arrival(call(soak.KindOnce, 4*time.Second), 1)},
+			call: call(soak.KindNonIdempotent, 4*time.Second), arrivals: []platformtest.Arrival{arrival(call(soak.KindNonIdempotent, 4*time.Second), 1)},
 			prepare: overwrite,
 		},
 		"work after it was healed": {
-			call: call(soak.KindOnce, 11*time.Second), arrivals: []platformtest.Arrival{arrival(call(soak.KindOnce, 11*time.Second), 1)},
+			call: call(soak.KindNonIdempotent, 11*time.Second), arrivals: []platformtest.Arrival{arrival(call(soak.KindNonIdempotent, 11*time.Second), 1)},
 			prepare: overwrite,
 		},
 		"work by a foreign entry, the store away": {
-			call: call(soak.KindOnce, 6*time.Second), arrivals: []platformtest.Arrival{arrival(call(soak.KindOnce, 6*time.Second), 1)},
+			call: call(soak.KindNonIdempotent, 6*time.Second), arrivals: []platformtest.Arrival{arrival(call(soak.KindNonIdempotent, 6*time.Second), 1)},
 			prepare: func(h *soak.History) {
 				overwrite(h)
-				h.StoreAway(at(time.Second))
-				h.StoreBack(at(2 * time.Second))
+				h.RecordStoreDown(at(time.Second))
+				h.RecordStoreUp(at(2 * time.Second))
 			},
 		},
 		"work by a foreign entry, the store away again": {
-			call: call(soak.KindOnce, 8*time.Second), arrivals: []platformtest.Arrival{arrival(call(soak.KindOnce, 8*time.Second), 1)},
+			call: call(soak.KindNonIdempotent, 8*time.Second), arrivals: []platformtest.Arrival{arrival(call(soak.KindNonIdempotent, 8*time.Second), 1)},
 			prepare: func(h *soak.History) {
 				overwrite(h)
-				h.StoreAway(at(6 * time.Second))
-				h.StoreBack(at(7 * time.Second))
+				h.RecordStoreDown(at(6 * time.Second))
+				h.RecordStoreUp(at(7 * time.Second))
 			}, found: "foreign entries",
 		},
 		"work by a foreign entry, the store still away": {
-			call: call(soak.KindOnce, 6*time.Second), arrivals: []platformtest.Arrival{arrival(call(soak.KindOnce, 6*time.Second), 1)},
+			call: call(soak.KindNonIdempotent, 6*time.Second), arrivals: []platformtest.Arrival{arrival(call(soak.KindNonIdempotent, 6*time.Second), 1)},
 			prepare: func(h *soak.History) {
 				overwrite(h)
-				h.StoreAway(at(time.Second))
+				h.RecordStoreDown(at(time.Second))
 			},
 		},
 		"closed while it rested": {call: change(once, func(x *soak.Call) { unanswered(x); x.Reused = true })},
@@ -229,19 +229,19 @@
 			call: once, arrivals: []platformtest.Arrival{func() platformtest.Arrival { a := arrival(once, 1); a.Tenant = "x"; return a }()}, found: "client accounts",
 		},
 		"key gone, in time": {
-			call: call(soak.KindOnce, 4*time.Second), arrivals: []platformtest.Arrival{arrival(once, 1)},
-			prepare: func(h *soak.History) { h.Revoked("k", at(0)) },
+			call: call(soak.KindNonIdempotent, 4*time.Second), arrivals: []platformtest.Arrival{arrival(once, 1)},
+			prepare: func(h *soak.History) { h.RecordRevocation("k", at(0)) },
 		},
 		"key gone": {
-			call: call(soak.KindOnce, 6*time.Second), arrivals: []platformtest.Arrival{arrival(once, 1)},
-			prepare: func(h *soak.History) { h.Revoked("k", at(0)) }, found: "keys taken away",
+			call: call(soak.KindNonIdempotent, 6*time.Second), arrivals: []platformtest.Arrival{arrival(once, 1)},
+			prepare: func(h *soak.History) { h.RecordRevocation("k", at(0)) }, found: "keys taken away",
 		},
 		"route forgotten": {
 			call: once,
 			prepare: func(h *soak.History) {
-				late := call(soak.KindOnce, 2*time.Second)
+				late := call(soak.KindNonIdempotent, 2*time.Second)
 				late.ID, late.Status, late.Answer, late.Header = "r2", http.StatusNotFound, "no\n", answered("r2", "")
-				h.Called(late)
+				h.RecordCall(late)
 			},
 			found: "configuration never back",
 		},
@@ -249,7 +249,7 @@
 			call: again,
 			prepare: func(h *soak.History) {
 				for range 150 {
-					h.Arrived(arrival(again, 1))
+					h.RecordArrival(arrival(again, 1))
 				}
 			},
 			found: "retry budget",
@@ -259,9 +259,9 @@
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			h := soak.NewHistory(map[string]string{"k": "tenant"})
-			h.Called(tc.call)
+			h.RecordCall(tc.call)
 			for _, a := range tc.arrivals {
-				h.Arrived(a)
+				h.RecordArrival(a)
 			}
 			if tc.prepare != nil {
 				tc.prepare(h)
@@ -290,8 +290,8 @@
 	c.Check(soak.Schedule(other), quicktest.Not(quicktest.DeepEquals), events)
 	overlaps := 0
 	for i, e := range events {
-		c.Check(e.At >= 2*time.Second && e.At+e.For <= length-3*time.Second, quicktest.IsTrue)
-		if i > 0 && events[i-1].At+events[i-1].For > e.At {
+		c.Check(e.At >= 2*time.Second && e.At+e.Duration <= length-3*time.Second, quicktest.IsTrue)
+		if i > 0 && events[i-1].At+events[i-1].Duration > e.At {
 			overlaps++
 		}
 	}
--- a/internal/soak/examine.go
+++ b/internal/soak/examine.go
@@ -25,7 +25,7 @@
 )
 
 // settled waits until every box serves a request of each service.
-func (s *Soak) settled(ctx context.Context) bool {
+func (s *Runner) settled(ctx context.Context) bool {
 	end := s.Clock.Now().Add(settleTime)
 	var all sync.WaitGroup
 	var failed atomic.Bool
@@ -44,9 +44,9 @@
 }
 
 // boxSettled waits until the box serves a request of each service.
-func (s *Soak) boxSettled(ctx context.Context, probe *caller, b *box, end time.Time) bool {
+func (s *Runner) boxSettled(ctx context.Context, probe *caller, b *box, end time.Time) bool {
 	defer probe.client.CloseIdleConnections()
-	for _, path := range []Kind{KindAgain, KindStream} {
+	for _, path := range []Kind{KindIdempotent, KindResumableStream} {
 		for !s.serves(probe, b, path) {
 			if ctx.Err() != nil || s.Clock.Now().After(end) {
 				return false
@@ -57,36 +57,36 @@
 	return true
 }
 
-func (s *Soak) serves(probe *caller, b *box, kind Kind) bool {
+func (s *Runner) serves(probe *caller, b *box, kind Kind) bool {
 	probe.number++
 	x := probe.call(b, Call{ID: fmt.Sprintf("%s-%d", probe.name, probe.number), Kind: kind, Key: s.keys[0], Path: "/" + string(kind) + "/", Body: "probe"})
-	s.history.Called(x)
-	return x.Status == http.StatusOK && !x.Broken
+	s.history.RecordCall(x)
+	return x.Status == http.StatusOK && !x.Truncated
 }
 
-func (s *Soak) equip(c *caller) {
+func (s *Runner) equip(c *caller) {
 	c.clock, c.boxes, c.history, c.keys, c.load = s.Clock, s.boxes, s.history, slices.Clone(s.keys), s.load()
 	c.routes = func() int { return int(s.routes.Load()) }
 	c.deadly = func() bool { return s.deadly.Load() > 0 }
 }
 
 // examine looks at what is left when all faults are over.
-func (s *Soak) examine(ctx context.Context) {
+func (s *Runner) examine(ctx context.Context) {
 	if !s.settled(ctx) {
-		s.history.Find("served again: not all boxes serve %s after the last fault", settleTime)
+		s.history.RecordFinding("served again: not all boxes serve %s after the last fault", settleTime)
 	}
 	s.sleep(ctx, holdTime)
 	for _, t := range s.targets {
 		if held := t.child.heldMemory(); held > 0 {
-			s.history.Find("memory free: %s has %d tokens set aside", t.id, held)
+			s.history.RecordFinding("memory free: %s has %d tokens set aside", t.id, held)
 		}
 	}
 	for _, b := range s.boxes {
 		u, err := b.usage()
 		if err != nil {
-			s.history.Find("resources: %s: %v", b.id, err)
+			s.history.RecordFinding("resources: %s: %v", b.id, err)
 		} else if u.descriptors > moreDescriptors+s.Boxes+s.allTargets() || u.megabytes > mostMegabytes {
-			s.history.Find("resources: %s holds %d descriptors and %d MB", b.id, u.descriptors, u.megabytes)
+			s.history.RecordFinding("resources: %s holds %d descriptors and %d MB", b.id, u.descriptors, u.megabytes)
 		}
 	}
 }
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -15,24 +15,24 @@
 // The kinds: what must run once, what may run again, a stream that may be taken up at
 // another target and one that may not.
 const (
-	KindOnce   Kind = "once"
-	KindAgain  Kind = "again"
-	KindStream Kind = "stream"
-	KindPlain  Kind = "streamplain"
+	KindNonIdempotent   Kind = "once"
+	KindIdempotent      Kind = "again"
+	KindResumableStream Kind = "stream"
+	KindPlainStream     Kind = "streamplain"
 )
 
 // Call is one request of a caller, and what it got.
 type Call struct {
-	ID   string
-	Kind Kind
-	Box  string
-	Life int // Life counts the starts of the box's process.
-	Key  string
-	Path string
-	Body string
+	ID          string
+	Kind        Kind
+	Box         string
+	Incarnation int // Life counts the starts of the box's process.
+	Key         string
+	Path        string
+	Body        string
 	// Limit is how long the caller waits.
-	Limit   time.Duration
-	Started time.Time
+	TimeLimit time.Duration
+	Started   time.Time
 	// Sent is when the last byte of the request was given to the connection, zero if it
 	// was not.
 	Sent  time.Time
@@ -40,14 +40,14 @@
 	// Reused is set if the connection had served a request before.
 	Reused bool
 	// Unsent is set if no connection could be had.
-	Unsent bool
+	ConnectFailed bool
 	// GaveUp is set if the caller stopped waiting.
-	GaveUp bool
+	TimedOut bool
 	// Status is 0 if no head came, and Broken is set if the body did not come whole.
-	Status int
-	Header http.Header
-	Answer string
-	Broken bool
+	Status    int
+	Header    http.Header
+	Answer    string
+	Truncated bool
 }
 
 // History is all that callers and targets saw. It is safe for concurrent use.
@@ -105,7 +105,7 @@
 }
 
 // Called notes a call that has ended.
-func (h *History) Called(c Call) {
+func (h *History) RecordCall(c Call) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	c.Body = h.body(c.Body)
@@ -113,7 +113,7 @@
 }
 
 // Arrived notes what reached a target.
-func (h *History) Arrived(a platformtest.Arrival) {
+func (h *History) RecordArrival(a platformtest.Arrival) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a.Body = h.body(a.Body)
@@ -131,7 +131,7 @@
 }
 
 // Killed notes that a life of a box was killed.
-func (h *History) Killed(box string, life int, at time.Time) {
+func (h *History) RecordKill(box string, life int, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if _, known := h.killed[lifeOf(box, life)]; !known {
@@ -140,7 +140,7 @@
 }
 
 // Stopping notes that a life of a box was told to stop.
-func (h *History) Stopping(box string, life int, at time.Time) {
+func (h *History) RecordStop(box string, life int, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if _, known := h.stopping[lifeOf(box, life)]; !known {
@@ -149,7 +149,7 @@
 }
 
 // Frozen notes that a life of a box stands still from now on.
-func (h *History) Frozen(box string, life int, at time.Time) {
+func (h *History) RecordFreeze(box string, life int, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	id := lifeOf(box, life)
@@ -157,49 +157,49 @@
 }
 
 // Thawed notes that a life of a box goes on.
-func (h *History) Thawed(box string, life int, at time.Time) {
+func (h *History) RecordThaw(box string, life int, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	end(h.frozen[lifeOf(box, life)], at)
 }
 
 // StoreAway notes that the store fails from now on, and StoreBack that it serves again.
-func (h *History) StoreAway(at time.Time) {
+func (h *History) RecordStoreDown(at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.away = append(h.away, span{from: at})
 }
 
 // StoreBack notes that the store serves again.
-func (h *History) StoreBack(at time.Time) {
+func (h *History) RecordStoreUp(at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	end(h.away, at)
 }
 
 // Overwritten notes that the store has another writer's entry in place of a target's.
-func (h *History) Overwritten(target string, at time.Time) {
+func (h *History) RecordOverwrite(target string, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.overwritten[target] = append(h.overwritten[target], span{from: at})
 }
 
 // Healed notes that the target is about to write its entry again.
-func (h *History) Healed(target string, at time.Time) {
+func (h *History) RecordRestore(target string, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	end(h.overwritten[target], at)
 }
 
 // Revoked notes that the store has taken a key away.
-func (h *History) Revoked(key string, at time.Time) {
+func (h *History) RecordRevocation(key string, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.revoked[key] = at
 }
 
 // Find notes something wrong that was found while the run went on.
-func (h *History) Find(format string, args ...any) {
+func (h *History) RecordFinding(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.found = append(h.found, fmt.Sprintf(format, args...))
--- a/internal/soak/history_internal_test.go
+++ b/internal/soak/history_internal_test.go
@@ -16,8 +16,8 @@
 	h := NewHistory(nil)
 	body := func() string { return strings.Repeat("x", 1000) }
 	for range 3 {
-		h.Called(Call{Body: body()})
-		h.Arrived(platformtest.Arrival{Body: body()})
+		h.RecordCall(Call{Body: body()})
+		h.RecordArrival(platformtest.Arrival{Body: body()})
 	}
 	first := unsafe.StringData(h.calls[0].Body)
 	for i := range h.calls {
--- a/internal/soak/play.go
+++ b/internal/soak/play.go
@@ -9,7 +9,7 @@
 )
 
 // play has callers send requests while the events happen.
-func (s *Soak) play(ctx context.Context, events []Event) {
+func (s *Runner) play(ctx context.Context, events []Event) {
 	asking, cancel := context.WithCancel(ctx) // Processes that faults start go on after it.
 	defer cancel()
 	var callers, faults sync.WaitGroup
@@ -31,7 +31,7 @@
 	callers.Wait()
 }
 
-func (s *Soak) sleep(ctx context.Context, d time.Duration) bool {
+func (s *Runner) sleep(ctx context.Context, d time.Duration) bool {
 	timer := s.Clock.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -43,7 +43,7 @@
 }
 
 // act brings one fault about and ends it after its time.
-func (s *Soak) act(ctx context.Context, e Event) {
+func (s *Runner) act(ctx context.Context, e Event) {
 	switch e.Action {
 	case ActionTerm, ActionKill, ActionReload, ActionFreeze:
 		s.actOnBox(ctx, e)
@@ -62,14 +62,14 @@
 		s.revoke()
 	case ActionDeadly:
 		s.deadly.Add(1)
-		s.sleep(ctx, e.For)
+		s.sleep(ctx, e.Duration)
 		s.deadly.Add(-1)
 	default:
 		s.targets[e.Index].act(ctx, e)
 	}
 }
 
-func (s *Soak) actOnBox(ctx context.Context, e Event) {
+func (s *Runner) actOnBox(ctx context.Context, e Event) {
 	b := s.boxes[e.Index]
 	switch e.Action {
 	case ActionTerm:
@@ -80,36 +80,36 @@
 		b.signal(syscall.SIGHUP)
 	default:
 		b.signal(syscall.SIGSTOP)
-		s.sleep(ctx, e.For)
+		s.sleep(ctx, e.Duration)
 		b.signal(syscall.SIGCONT)
 	}
 }
 
 // storeFault has the store fail for a time. Where several overlap the newest is in force.
-func (s *Soak) storeFault(ctx context.Context, e Event) {
+func (s *Runner) storeFault(ctx context.Context, e Event) {
 	s.storeMu.Lock()
 	s.storeFaults = append(s.storeFaults, e.Detail)
 	s.store.give(order{Fault: e.Detail})
-	s.history.StoreAway(s.Clock.Now())
+	s.history.RecordStoreDown(s.Clock.Now())
 	s.storeMu.Unlock()
-	s.sleep(ctx, e.For)
+	s.sleep(ctx, e.Duration)
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
 	s.storeFaults = slices.Delete(s.storeFaults, 0, 1)
 	if len(s.storeFaults) == 0 {
 		s.store.give(order{Fault: "none"})
-		s.history.StoreBack(s.Clock.Now())
+		s.history.RecordStoreUp(s.Clock.Now())
 	}
 }
 
 // revoke takes away the key that is there for it, once.
-func (s *Soak) revoke() {
+func (s *Runner) revoke() {
 	s.configuring.Lock()
 	known := slices.Contains(s.keys, doomedKey)
 	s.keys = slices.DeleteFunc(slices.Clone(s.keys), func(k string) bool { return k == doomedKey })
 	s.configuring.Unlock()
 	if known {
 		s.configure()
-		s.history.Revoked(doomedKey, s.Clock.Now())
+		s.history.RecordRevocation(doomedKey, s.Clock.Now())
 	}
 }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -59,9 +59,9 @@
 
 // Event is one entry of a schedule.
 type Event struct {
-	At     time.Duration
-	For    time.Duration
-	Action Action
+	At       time.Duration
+	Duration time.Duration
+	Action   Action
 	// Index chooses the box or target.
 	Index int
 	// Detail is the store's fault or how answers are spoilt, and Share of how many.
@@ -71,7 +71,7 @@
 
 // String returns the event as a line of the schedule.
 func (e Event) String() string {
-	return fmt.Sprintf("%8s %-8s %d for %s %s %.2f", e.At, e.Action, e.Index, e.For, e.Detail, e.Share)
+	return fmt.Sprintf("%8s %-8s %d for %s %s %.2f", e.At, e.Action, e.Index, e.Duration, e.Detail, e.Share)
 }
 
 const (
@@ -168,11 +168,11 @@
 	var events []Event
 	for at := quietStart; at < run.Length-quietEnd; at += time.Duration(r.ExpFloat64() * float64(s.gap)) {
 		e := Event{
-			At:     at.Round(time.Millisecond),
-			For:    (shortest + time.Duration(r.Int64N(int64(longest-shortest)))).Round(time.Millisecond),
-			Action: list[r.IntN(len(list))],
+			At:       at.Round(time.Millisecond),
+			Duration: (shortest + time.Duration(r.Int64N(int64(longest-shortest)))).Round(time.Millisecond),
+			Action:   list[r.IntN(len(list))],
 		}
-		e.For = min(e.For, (run.Length - quietEnd - e.At).Round(time.Millisecond))
+		e.Duration = min(e.Duration, (run.Length - quietEnd - e.At).Round(time.Millisecond))
 		e.detail(r, run.Boxes, run.allTargets())
 		events = append(events, e)
 	}
--- a/internal/soak/slot.go
+++ b/internal/soak/slot.go
@@ -12,7 +12,7 @@
 
 // slot is a place for a target, in which one process follows another.
 type slot struct {
-	soak    *Soak
+	soak    *Runner
 	number  int
 	service string
 
@@ -39,7 +39,7 @@
 func (t *slot) begin(ctx context.Context) (err error) {
 	t.born = t.soak.Clock.Now()
 	seed := t.soak.Seed*1000 + uint64(t.number)
-	t.child, err = startChild(ctx, t.soak.Self, t.soak.history.Arrived, "target", "--id", t.id, "--memory", fmt.Sprint(engineMemory), "--seed", fmt.Sprint(seed), "--pause", t.soak.load().pause.String())
+	t.child, err = startChild(ctx, t.soak.StandInProgram, t.soak.history.RecordArrival, "target", "--id", t.id, "--memory", fmt.Sprint(engineMemory), "--seed", fmt.Sprint(seed), "--pause", t.soak.load().pause.String())
 	if err != nil {
 		return err
 	}
@@ -100,30 +100,30 @@
 	t.mu.Unlock()
 	switch e.Action {
 	case ActionCrash:
-		t.replace(ctx, e.For, false)
+		t.replace(ctx, e.Duration, false)
 	case ActionDrain:
-		t.replace(ctx, max(e.For, drainTime), true)
+		t.replace(ctx, max(e.Duration, drainTime), true)
 	case ActionRestart:
-		t.restart(ctx, e.For)
+		t.restart(ctx, e.Duration)
 	case ActionLeave:
-		t.leave(ctx, max(e.For, drainTime))
+		t.leave(ctx, max(e.Duration, drainTime))
 	case ActionRest:
-		t.rest(ctx, e.For)
+		t.rest(ctx, e.Duration)
 	case ActionForeign:
-		t.foreign(ctx, e.Detail, max(e.For, foreignTime))
+		t.foreign(ctx, e.Detail, max(e.Duration, foreignTime))
 	case ActionSpoil:
 		t.spoil(platformtest.TargetFault(e.Detail), e.Share)
-		t.soak.sleep(ctx, e.For)
+		t.soak.sleep(ctx, e.Duration)
 		t.spoil(platformtest.TargetFault(e.Detail), -e.Share)
 	case ActionReset:
 		l.resetAll()
 	case ActionSilence:
 		l.change(1, 0)
-		t.soak.sleep(ctx, e.For)
+		t.soak.sleep(ctx, e.Duration)
 		l.change(-1, 0)
 	case ActionSlow:
 		l.change(0, 1)
-		t.soak.sleep(ctx, e.For)
+		t.soak.sleep(ctx, e.Duration)
 		l.change(0, -1)
 	}
 }
@@ -177,7 +177,7 @@
 
 func (t *slot) started(err error) {
 	if err != nil {
-		t.soak.history.Find("a target cannot be started: %v", err)
+		t.soak.history.RecordFinding("a target cannot be started: %v", err)
 	}
 }
 
@@ -196,9 +196,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.write(foreignEntries[name](t.entry(stateReady)))
-	t.soak.history.Overwritten(t.id, t.soak.Clock.Now())
+	t.soak.history.RecordOverwrite(t.id, t.soak.Clock.Now())
 	t.soak.sleep(ctx, wait)
-	t.soak.history.Healed(t.id, t.soak.Clock.Now())
+	t.soak.history.RecordRestore(t.id, t.soak.Clock.Now())
 	t.announce(stateReady)
 }
 
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -16,12 +16,12 @@
 )
 
 // Soak is one run. Its exported fields are set before Run.
-type Soak struct {
+type Runner struct {
 	Setup
 	Clock barleystep.Clock
 	// Program is the box's program, Self this program, which runs the stand-ins.
-	Program string
-	Self    string
+	BoxProgram     string
+	StandInProgram string
 	// Dir keeps settings and logs of the boxes.
 	Dir string
 	// Out gets the schedule and the findings.
@@ -51,7 +51,7 @@
 )
 
 // Run starts all, brings the faults about, and returns what is wrong, a line each.
-func (s *Soak) Run(ctx context.Context) (found []string, err error) {
+func (s *Runner) Run(ctx context.Context) (found []string, err error) {
 	defer func() { err = eris.Wrap(err, "soak") }()
 	s.history = NewHistory(map[string]string{"key-a": "tenant-a", "key-b": "tenant-b", doomedKey: "tenant-c"})
 	s.keys = []string{"key-a", "key-b", doomedKey}
@@ -75,8 +75,8 @@
 }
 
 // begin starts the processes.
-func (s *Soak) begin(ctx context.Context) (err error) {
-	if s.store, err = startChild(ctx, s.Self, s.history.Arrived, "store"); err != nil {
+func (s *Runner) begin(ctx context.Context) (err error) {
+	if s.store, err = startChild(ctx, s.StandInProgram, s.history.RecordArrival, "store"); err != nil {
 		return err
 	}
 	s.configure()
@@ -86,7 +86,7 @@
 	return s.startBoxes(ctx)
 }
 
-func (s *Soak) startTargets(ctx context.Context) error {
+func (s *Runner) startTargets(ctx context.Context) error {
 	for i := range s.allTargets() {
 		t := &slot{soak: s, number: i, service: engineService, spoils: make(map[platformtest.TargetFault]float64)}
 		if i >= s.Targets {
@@ -100,13 +100,13 @@
 	return nil
 }
 
-func (s *Soak) startBoxes(ctx context.Context) (err error) {
+func (s *Runner) startBoxes(ctx context.Context) (err error) {
 	peers := make([]string, s.Boxes)
 	for i := range peers {
 		peers[i] = addr(portPeers, i)
 	}
 	for i := range s.Boxes {
-		b, err := newBox(s.Clock, s.history, s.Program, s.Dir, i, peers, s.store.addr)
+		b, err := newBox(s.Clock, s.history, s.BoxProgram, s.Dir, i, peers, s.store.addr)
 		if err != nil {
 			return err
 		}
@@ -117,7 +117,7 @@
 }
 
 // end stops all processes.
-func (s *Soak) end() {
+func (s *Runner) end() {
 	var all sync.WaitGroup
 	for _, b := range s.boxes {
 		all.Go(b.stop)
@@ -132,7 +132,7 @@
 }
 
 // configure writes the next version of the configuration.
-func (s *Soak) configure() {
+func (s *Runner) configure() {
 	s.configuring.Lock()
 	defer s.configuring.Unlock()
 	s.version++
@@ -164,4 +164,4 @@
 }
 
 // Summary tells how much was seen in the run.
-func (s *Soak) Summary() string { return s.history.Summary() }
+func (s *Runner) Summary() string { return s.history.Summary() }
