--- a/cmd/barleystep-standin/main.go
+++ b/cmd/barleystep-standin/main.go
@@ -52,7 +52,7 @@
 		Args:  cobra.NoArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return serve(cmd, *addr, e) },
 	}
-	cmd.Flags().IntVar(&e.Tokens, "tokens", 0, "KV memory in tokens (default 400000)")
+	cmd.Flags().IntVar(&e.KVTokens, "tokens", 0, "KV memory in tokens (default 400000)")
 	cmd.Flags().DurationVar(&e.Step, "step", 0, "time between tokens")
 	cmd.Flags().Float64Var(&e.PrefillRate, "rate", 0, "reading speed in tokens per second (default: at once)")
 	cmd.Flags().BoolVar(&e.ChecksFence, "checks-fence", false, "refuse orders with an old fencing token")
--- a/internal/local/hall_test.go
+++ b/internal/local/hall_test.go
@@ -176,17 +176,17 @@
 		runs    int // runs is how many attempts were started in all.
 	}{
 		"refused once, tried elsewhere":         {once(standin.FaultRefuse), header(), question, "done", 1},
-		"silent once, tried elsewhere":          {once(standin.FaultSilent), header(), question, "done", 2},
-		"foreign answer, tried elsewhere":       {once(standin.FaultForeign), header(), streamed, "done", 2},
-		"torn stream is resumed":                {once(standin.FaultTear), header(), streamed, "done", 1},
-		"crossed chunk is resumed":              {once(standin.FaultCross), header(), streamed, "done", 1},
-		"gap is resumed":                        {once(standin.FaultGap), header(), streamed, "done", 1},
-		"repeated chunk is dropped":             {once(standin.FaultRepeat), header(), streamed, "done", 1},
+		"silent once, tried elsewhere":          {once(standin.FaultNoAnswer), header(), question, "done", 2},
+		"foreign answer, tried elsewhere":       {once(standin.FaultWrongAttempt), header(), streamed, "done", 2},
+		"torn stream is resumed":                {once(standin.FaultBreakStream), header(), streamed, "done", 1},
+		"crossed chunk is resumed":              {once(standin.FaultForeignEvent), header(), streamed, "done", 1},
+		"gap is resumed":                        {once(standin.FaultSkipEvent), header(), streamed, "done", 1},
+		"repeated chunk is dropped":             {once(standin.FaultRepeatEvent), header(), streamed, "done", 1},
 		"all refuse":                            {always(standin.FaultRefuse), header(limit...), question, "not-run", 0},
 		"hangs until the deadline":              {always(standin.FaultHang), header(limit...), question, "failed", 1},
 		"not repeatable, refused once":          {once(standin.FaultRefuse), header(strict...), question, "done", 1},
-		"not repeatable, silent is resumed":     {once(standin.FaultSilent), header(strict...), question, "done", 1},
-		"not repeatable, foreign answer":        {always(standin.FaultForeign), header(strict...), question, "done", 1},
+		"not repeatable, silent is resumed":     {once(standin.FaultNoAnswer), header(strict...), question, "done", 1},
+		"not repeatable, foreign answer":        {always(standin.FaultWrongAttempt), header(strict...), question, "done", 1},
 		"not repeatable, hangs to the deadline": {always(standin.FaultHang), header(append(limit, strict...)...), question, "unknown", 1},
 	}
 	for name, tc := range cases {
@@ -230,9 +230,9 @@
 
 func TestStreamThatFailsHalfWayEndsWithAnError(t *testing.T) {
 	c := quicktest.New(t)
-	h := &local.Hall{Boxes: 1, Engines: 1, Fault: always(standin.FaultTear)}
+	h := &local.Hall{Boxes: 1, Engines: 1, Fault: always(standin.FaultBreakStream)}
 	start(t, h)
-	h.Engine(0).Forget = true
+	h.Engine(0).ForgetOnBreak = true
 	r := send(t, h.URL(0)+chat, header(), streamed)
 	c.Check(r.outcome, quicktest.Equals, "failed")
 	c.Check(r.body, quicktest.Contains, "event: error\ndata: {\"error\"")
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -36,17 +36,17 @@
 	// FaultRefuse answers that the attempt was not started.
 	FaultRefuse
 	// FaultSilent runs the attempt and closes the connection unanswered.
-	FaultSilent
+	FaultNoAnswer
 	// FaultTear breaks the stream after the second event; it can be resumed.
-	FaultTear
+	FaultBreakStream
 	// FaultForeign answers with another attempt's id.
-	FaultForeign
+	FaultWrongAttempt
 	// FaultCross puts an event of another attempt into the stream.
-	FaultCross
+	FaultForeignEvent
 	// FaultGap leaves an event out.
-	FaultGap
+	FaultSkipEvent
 	// FaultRepeat sends an event twice.
-	FaultRepeat
+	FaultRepeatEvent
 	// FaultHang starts the attempt and sends nothing.
 	FaultHang
 )
@@ -56,7 +56,7 @@
 type Engine struct {
 	Clock barleystep.Clock
 	// Tokens is the KV memory in tokens; the default is 400,000.
-	Tokens int
+	KVTokens int
 	// Step is the time between generated tokens; the default is none.
 	Step time.Duration
 	// PrefillRate is the reading speed in tokens per second; the default reads
@@ -65,7 +65,7 @@
 	// Fault is asked for each attempt that starts; nil means FaultNone.
 	Fault func(attempt string) Fault
 	// Forget drops an attempt when its stream breaks, so that it can't be resumed.
-	Forget bool
+	ForgetOnBreak bool
 	// ChecksFence makes the engine refuse orders with an old fencing token.
 	ChecksFence bool
 
@@ -144,10 +144,10 @@
 }
 
 func (e *Engine) capacity() int {
-	if e.Tokens == 0 {
+	if e.KVTokens == 0 {
 		return defaultEngineTokens
 	}
-	return e.Tokens
+	return e.KVTokens
 }
 
 func (e *Engine) load() barleystep.Load {
@@ -303,12 +303,12 @@
 }
 
 func (e *Engine) answer(w http.ResponseWriter, r *http.Request, id string, h *held, from uint64, fault Fault, stream bool) {
-	if fault == FaultHang || fault == FaultSilent {
+	if fault == FaultHang || fault == FaultNoAnswer {
 		e.silence(r.Context(), h, fault)
 		panic(http.ErrAbortHandler)
 	}
 	echo := id
-	if fault == FaultForeign {
+	if fault == FaultWrongAttempt {
 		echo = "other.0000000000000001.1"
 	}
 	w.Header().Set(engine.HeaderAttempt, echo)
@@ -325,7 +325,7 @@
 		if !h.waitUntil(r.Context(), e.Clock, e.due(h, i)) {
 			panic(http.ErrAbortHandler)
 		}
-		if fault == FaultTear && e.Forget {
+		if fault == FaultBreakStream && e.ForgetOnBreak {
 			defer e.cancel(id)
 		}
 		writeNumbered(w, id, h.events[i], uint64(i)+1, fault)
@@ -333,7 +333,7 @@
 }
 
 func (e *Engine) silence(ctx context.Context, h *held, fault Fault) {
-	if fault == FaultSilent {
+	if fault == FaultNoAnswer {
 		return
 	}
 	select {
@@ -359,13 +359,13 @@
 func writeNumbered(w http.ResponseWriter, id, data string, number uint64, fault Fault) {
 	if number == faultyEvent {
 		switch fault {
-		case FaultTear:
+		case FaultBreakStream:
 			panic(http.ErrAbortHandler)
-		case FaultCross:
+		case FaultForeignEvent:
 			writeEvent(w, "other.0000000000000001.1", number, "{}")
-		case FaultGap:
+		case FaultSkipEvent:
 			return
-		case FaultRepeat:
+		case FaultRepeatEvent:
 			writeEvent(w, id, number, data)
 		}
 	}
