--- a/cmd/barleystep-lab/main.go
+++ b/cmd/barleystep-lab/main.go
@@ -32,7 +32,7 @@
 	const seeds = 20
 	cmd.Flags().IntVar(&p.Seeds, "seeds", seeds, "number of days that are drawn of each family of loads")
 	cmd.Flags().StringVar(&p.Family, "family", "", "only families whose name begins so")
-	cmd.Flags().BoolVar(&p.Alone, "alone", false, "only the balancer, without the simple policies")
+	cmd.Flags().BoolVar(&p.BalancerOnly, "alone", false, "only the balancer, without the simple policies")
 	cmd.AddCommand(command.VersionCommand())
 	return cmd
 }
--- a/internal/lab/call.go
+++ b/internal/lab/call.go
@@ -51,7 +51,7 @@
 	kind := d.load.Kinds[r.kind]
 	patience := max(2*time.Second, 4*kind.Objective)
 	if r.got > 0 {
-		patience = max(patience, 8*kind.Pause)
+		patience = max(patience, 8*kind.MaxPause)
 	}
 	now := d.timeline.Elapsed()
 	due := min(r.last+patience, r.at+kind.Deadline)
@@ -373,7 +373,7 @@
 		}
 	} else if pause := now - r.last; pause > r.pause {
 		r.pause = pause
-		if pause > kind.Pause && r.cause == causeNone {
+		if pause > kind.MaxPause && r.cause == causeNone {
 			r.cause = causeOf(r, p)
 		}
 	}
@@ -403,7 +403,7 @@
 
 // The policies that are measured.
 var (
-	Balanced    = Policy{Name: "balancer"}
+	Balancer    = Policy{Name: "balancer"}
 	Random      = Policy{Name: "random", pick: pickRandom}
 	LeastLoaded = Policy{Name: "least loaded", pick: pickLeastLoaded}
 )
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -63,7 +63,7 @@
 
 // day is one run of a load.
 type day struct {
-	load     Load
+	load     Scenario
 	timeline *timeline.Timeline
 	rng      *rand.Rand
 	engines  []*engine
@@ -85,18 +85,18 @@
 }
 
 // Run plays one day of the load and returns what was served.
-func Run(l Load, p Policy, seed uint64) Result {
+func Run(l Scenario, p Policy, seed uint64) Result {
 	d := newDay(l, p, seed)
 	for _, r := range d.list {
 		d.timeline.After(r.at, func() { d.arrive(r) })
 	}
 	d.faults()
 	d.limits()
-	d.timeline.RunUntil(l.Span + after)
+	d.timeline.RunUntil(l.Length + after)
 	return d.measure()
 }
 
-func newDay(l Load, p Policy, seed uint64) *day {
+func newDay(l Scenario, p Policy, seed uint64) *day {
 	d := &day{load: l, timeline: &timeline.Timeline{}, byID: make(map[barleystep.TargetID]*engine), policy: p}
 	d.list = l.requests(rand.New(rand.NewPCG(seed, 1)))
 	d.rng = rand.New(rand.NewPCG(seed, 2))
@@ -111,18 +111,18 @@
 		d.engines = append(d.engines, e)
 		d.byID[id] = e
 	}
-	if l.Births {
+	if l.ReportsStart {
 		for _, e := range d.engines {
 			e.target.StartMS = 1
 		}
 	}
 	d.begin(seed)
-	d.timeline.Every(orElse(l.Told, told), d.gossip)
+	d.timeline.Every(orElse(l.GossipInterval, told), d.gossip)
 	return d
 }
 
 // hall returns the hall of an engine or a box by its number.
-func (l Load) hall(number int) barleystep.HallID {
+func (l Scenario) hall(number int) barleystep.HallID {
 	return barleystep.HallID(fmt.Sprintf("hall%d", number%max(l.Halls, 1)))
 }
 
@@ -183,23 +183,23 @@
 
 // faults plans the deaths of engines, the slow ones and the restart.
 func (d *day) faults() {
-	for i := range d.load.Deaths {
-		at := d.load.Span * time.Duration(i+1) / time.Duration(d.load.Deaths+1)
+	for i := range d.load.Crashes {
+		at := d.load.Length * time.Duration(i+1) / time.Duration(d.load.Crashes+1)
 		d.timeline.After(at, d.engines[i].die)
 	}
-	for _, e := range d.engines[:int(d.load.Leave*float64(len(d.engines)))] {
-		d.timeline.After(d.load.Span/2, e.die)
+	for _, e := range d.engines[:int(d.load.OutageLoss*float64(len(d.engines)))] {
+		d.timeline.After(d.load.Length/2, e.die)
 	}
-	for i := range d.load.Rebirths {
-		at := d.load.Span * time.Duration(i+1) / time.Duration(d.load.Rebirths+1)
+	for i := range d.load.EngineRestarts {
+		at := d.load.Length * time.Duration(i+1) / time.Duration(d.load.EngineRestarts+1)
 		e := d.engines[i%len(d.engines)]
 		d.timeline.After(at, func() { d.fallSilent(e) })
 	}
-	for i := range d.load.Slow {
+	for i := range d.load.SlowEngines {
 		d.engines[len(d.engines)-1-i].slowness = 2
 	}
-	if d.load.Restart > 0 {
-		d.timeline.After(d.load.Restart, d.restart)
+	if d.load.BoxRestartAt > 0 {
+		d.timeline.After(d.load.BoxRestartAt, d.restart)
 	}
 }
 
@@ -231,7 +231,7 @@
 		others.Add(sum)
 		others.Remove(b.snapshot)
 		b.snapshot = b.balancer.Snapshot()
-		d.timeline.After(orElse(d.load.Delay, delay), func() {
+		d.timeline.After(orElse(d.load.GossipDelay, delay), func() {
 			b.balancer.SetOthers(others)
 			d.poll(b)
 		})
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -14,10 +14,10 @@
 )
 
 // short draws a day of the family and makes it short.
-func short(f lab.Family) lab.Load {
+func short(f lab.Family) lab.Scenario {
 	load := f.Draw(rand.New(rand.NewPCG(1, 0)))
-	load.Span = 8 * time.Second
-	load.Restart = min(load.Restart, load.Span/2)
+	load.Length = 8 * time.Second
+	load.BoxRestartAt = min(load.BoxRestartAt, load.Length/2)
 	return load
 }
 
@@ -27,7 +27,7 @@
 		t.Run(f.Name, func(t *testing.T) {
 			t.Parallel()
 			load := short(f)
-			first, second := lab.Run(load, lab.Balanced, 7), lab.Run(load, lab.Balanced, 7)
+			first, second := lab.Run(load, lab.Balancer, 7), lab.Run(load, lab.Balancer, 7)
 			quicktest.Check(t, first, quicktest.DeepEquals, second)
 		})
 	}
@@ -40,11 +40,11 @@
 		t.Run(f.Name, func(t *testing.T) {
 			t.Parallel()
 			c := quicktest.New(t)
-			for _, policy := range []lab.Policy{lab.Random, lab.LeastLoaded, lab.Balanced} {
+			for _, policy := range []lab.Policy{lab.Random, lab.LeastLoaded, lab.Balancer} {
 				load := short(f)
 				r := lab.Run(load, policy, 2)
-				c.Check(r.Earned <= r.Bound, quicktest.IsTrue)
-				c.Check(r.Bound <= r.Owed*1.000001, quicktest.IsTrue)
+				c.Check(r.ServedWorth <= r.BoundWorth, quicktest.IsTrue)
+				c.Check(r.BoundWorth <= r.OfferedWorth*1.000001, quicktest.IsTrue)
 				for _, k := range r.Kinds {
 					sum := 0
 					for _, n := range k.Causes {
@@ -75,23 +75,23 @@
 		if f.Name != "three hundred boxes" {
 			continue
 		}
-		k := lab.Run(short(f), lab.Balanced, 3).Kinds[0]
-		quicktest.Check(t, k.Earned/k.Owed > 0.88, quicktest.IsTrue, quicktest.Commentf("%.3f", k.Earned/k.Owed))
+		k := lab.Run(short(f), lab.Balancer, 3).Kinds[0]
+		quicktest.Check(t, k.ServedWorth/k.OfferedWorth > 0.88, quicktest.IsTrue, quicktest.Commentf("%.3f", k.ServedWorth/k.OfferedWorth))
 	}
 }
 
 // family draws a day of the family.
-func family(t *testing.T, name string) lab.Load { return drawn(t, name, 1) }
+func family(t *testing.T, name string) lab.Scenario { return drawn(t, name, 1) }
 
 // drawn draws a day of the family by a seed.
-func drawn(t *testing.T, name string, seed uint64) lab.Load {
+func drawn(t *testing.T, name string, seed uint64) lab.Scenario {
 	for _, f := range lab.Families {
 		if f.Name == name {
 			return f.Draw(rand.New(rand.NewPCG(seed, 0)))
 		}
 	}
 	t.Fatalf("no family %q", name)
-	return lab.Load{}
+	return lab.Scenario{}
 }
 
 // TestHallCutAtFullLoad checks how many short streams a hall that is cut off would stop, in
@@ -99,8 +99,8 @@
 // answers. Where halls were not looked at, two of three were.
 func TestHallCutAtFullLoad(t *testing.T) {
 	load := family(t, "a fifth over memory")
-	short := lab.Run(load, lab.Balanced, 3).Kinds[0]
-	abroad := float64(short.Abroad) / float64(short.Count)
+	short := lab.Run(load, lab.Balancer, 3).Kinds[0]
+	abroad := float64(short.OtherHall) / float64(short.Count)
 	quicktest.Check(t, abroad < 0.25, quicktest.IsTrue, quicktest.Commentf("%.3f", abroad))
 }
 
@@ -108,9 +108,9 @@
 // ends at once while the list goes on naming them. Where helpers were named unasked, 29 of
 // 100 middling prompts were refused or given up, and 61 of 100 long ones.
 func TestEnginesLeaveInOutage(t *testing.T) {
-	kinds := lab.Run(family(t, "engines leave in an outage"), lab.Balanced, 3).Kinds
-	quicktest.Check(t, kinds[1].Unserved() < 0.05, quicktest.IsTrue, quicktest.Commentf("middling: %.3f", kinds[1].Unserved()))
-	quicktest.Check(t, kinds[2].Unserved() < 0.4, quicktest.IsTrue, quicktest.Commentf("long: %.3f", kinds[2].Unserved()))
+	kinds := lab.Run(family(t, "engines leave in an outage"), lab.Balancer, 3).Kinds
+	quicktest.Check(t, kinds[1].UnservedRate() < 0.05, quicktest.IsTrue, quicktest.Commentf("middling: %.3f", kinds[1].UnservedRate()))
+	quicktest.Check(t, kinds[2].UnservedRate() < 0.4, quicktest.IsTrue, quicktest.Commentf("long: %.3f", kinds[2].UnservedRate()))
 }
 
 // TestOverMemory checks how much of the worth of long prompts is served of which a fifth is
@@ -119,9 +119,9 @@
 func TestOverMemory(t *testing.T) {
 	var long lab.KindResult
 	for seed := range uint64(4) {
-		long.Add(lab.Run(family(t, "a fifth over memory"), lab.Balanced, seed).Kinds[2])
+		long.Add(lab.Run(family(t, "a fifth over memory"), lab.Balancer, seed).Kinds[2])
 	}
-	worth := long.Earned / long.Owed
+	worth := long.ServedWorth / long.OfferedWorth
 	quicktest.Check(t, worth > 0.725, quicktest.IsTrue, quicktest.Commentf("%.3f", worth))
 }
 
@@ -132,11 +132,11 @@
 func TestEnginesStartAnew(t *testing.T) {
 	var said, unsaid lab.Result
 	for seed := range uint64(4) {
-		said.Add(lab.Run(family(t, "engines start anew"), lab.Balanced, seed))
-		unsaid.Add(lab.Run(family(t, "engines start anew, unsaid"), lab.Balanced, seed))
+		said.Add(lab.Run(family(t, "engines start anew"), lab.Balancer, seed))
+		unsaid.Add(lab.Run(family(t, "engines start anew, unsaid"), lab.Balancer, seed))
 	}
-	more := said.Worth() - unsaid.Worth()
-	quicktest.Check(t, more > 0.04, quicktest.IsTrue, quicktest.Commentf("%.3f and %.3f", said.Worth(), unsaid.Worth()))
+	more := said.WorthRatio() - unsaid.WorthRatio()
+	quicktest.Check(t, more > 0.04, quicktest.IsTrue, quicktest.Commentf("%.3f and %.3f", said.WorthRatio(), unsaid.WorthRatio()))
 }
 
 // TestSizes checks that prompts over an engine's memory are served about as often as the
@@ -149,7 +149,7 @@
 	var days [3]lab.KindResult
 	var wait sync.WaitGroup
 	for seed := range days {
-		wait.Go(func() { days[seed] = lab.Run(load, lab.Balanced, uint64(seed)).Kinds[2] })
+		wait.Go(func() { days[seed] = lab.Run(load, lab.Balancer, uint64(seed)).Kinds[2] })
 	}
 	wait.Wait()
 	var long lab.KindResult
@@ -157,7 +157,7 @@
 		long.Add(day)
 	}
 	kind := long.ServedRate()
-	for name, size := range map[string]int{"longest tenth": lab.SizeTenth, "fifth below": lab.SizeFifth} {
+	for name, size := range map[string]int{"longest tenth": lab.SizeLongestTenth, "fifth below": lab.SizeNextFifth} {
 		rate := long.Sizes[size].Rate()
 		quicktest.Check(t, rate >= kind/2, quicktest.IsTrue, quicktest.Commentf("%s: %.3f, kind: %.3f", name, rate, kind))
 	}
@@ -199,13 +199,13 @@
 func lossDay(t *testing.T, draw, seed uint64) lab.KindResult {
 	load := drawn(t, "engines go while long prompts come", draw)
 	load.Boxes = 40 // One of them places all prompts.
-	return lab.Run(load, lab.Balanced, seed).Kinds[2]
+	return lab.Run(load, lab.Balancer, seed).Kinds[2]
 }
 
 // checkSizes checks that the longest prompts are served at half the rate of their kind at least.
 func checkSizes(t *testing.T, long lab.KindResult) {
 	kind := long.ServedRate()
-	for name, size := range map[string]int{"longest tenth": lab.SizeTenth, "fifth below": lab.SizeFifth} {
+	for name, size := range map[string]int{"longest tenth": lab.SizeLongestTenth, "fifth below": lab.SizeNextFifth} {
 		rate := long.Sizes[size].Rate()
 		quicktest.Check(t, rate >= kind/2, quicktest.IsTrue, quicktest.Commentf("%s: %.3f, kind: %.3f", name, rate, kind))
 	}
--- a/internal/lab/limit.go
+++ b/internal/lab/limit.go
@@ -8,7 +8,7 @@
 
 // Limit is a time in which an engine names how many requests a second it takes from all
 // boxes.
-type Limit struct {
+type RateLimit struct {
 	Engine    int
 	PerSecond float64
 	From      time.Duration
@@ -32,13 +32,13 @@
 type LimitResult struct {
 	// Allowed is how many requests, or parts of prompts, it may get in the window, Told the most that it got in
 	// one from boxes that it had told, and Most the most from any box.
-	Allowed float64
-	Told    int
-	Most    int
+	Allowed      float64
+	PeakInformed int
+	Peak         int
 	// Sent is how many it got in all from when it counts on, and Takes how many it would
 	// have taken.
-	Sent  int
-	Takes float64
+	Received   int
+	Acceptable float64
 }
 
 // arrival is a request that reached an engine while it named a limit.
@@ -49,7 +49,7 @@
 
 // naming is a limit that an engine names, and what it has got meanwhile.
 type naming struct {
-	Limit
+	RateLimit
 	told     map[*box]time.Duration
 	arrivals []arrival
 	// first is when it first told a box, zero if it has told none.
@@ -59,7 +59,7 @@
 // limits plans the limits of the engines.
 func (d *day) limits() {
 	for _, l := range d.load.Limits {
-		n := &naming{Limit: l, told: make(map[*box]time.Duration)}
+		n := &naming{RateLimit: l, told: make(map[*box]time.Duration)}
 		d.namings = append(d.namings, n)
 		e := d.engines[l.Engine]
 		d.timeline.After(l.From, func() { e.naming = n })
@@ -115,12 +115,12 @@
 		return r
 	}
 	from := n.first + limitContact
-	r.Takes = n.PerSecond * (n.Until - from).Seconds()
+	r.Acceptable = n.PerSecond * (n.Until - from).Seconds()
 	for i, last := range n.arrivals {
 		if last.at < from {
 			continue
 		}
-		r.Sent++
+		r.Received++
 		all, told := 0, 0
 		for _, a := range n.arrivals[:i+1] {
 			if a.at < from || last.at-a.at >= limitWindow {
@@ -131,8 +131,8 @@
 				told++
 			}
 		}
-		r.Most, r.Told = max(r.Most, all), max(r.Told, told)
+		r.Peak, r.PeakInformed = max(r.Peak, all), max(r.PeakInformed, told)
 	}
-	r.Takes = max(r.Takes, 0)
+	r.Acceptable = max(r.Acceptable, 0)
 	return r
 }
--- a/internal/lab/limit_test.go
+++ b/internal/lab/limit_test.go
@@ -10,16 +10,16 @@
 )
 
 // limited returns a day on which each so many-th of the engines names how much it takes.
-func limited(t *testing.T, name string, each int, perSecond float64) lab.Load {
+func limited(t *testing.T, name string, each int, perSecond float64) lab.Scenario {
 	load := family(t, name)
-	load.Span = 12 * time.Second // Days of hundreds of boxes take long.
+	load.Length = 12 * time.Second // Days of hundreds of boxes take long.
 	load.Halls = 3
 	if load.Engines == 18 {
-		load.Span = 24 * time.Second
+		load.Length = 24 * time.Second
 		load.Kinds[0].Rate, load.Kinds[1].Rate, load.Kinds[2].Rate = 39.5, 2.9, 1.2
 	}
 	for engine := 0; engine < load.Engines; engine += each {
-		load.Limits = append(load.Limits, lab.Limit{Engine: engine, PerSecond: perSecond, From: time.Second, Until: load.Span - time.Second})
+		load.Limits = append(load.Limits, lab.RateLimit{Engine: engine, PerSecond: perSecond, From: time.Second, Until: load.Length - time.Second})
 	}
 	return load
 }
@@ -57,15 +57,15 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var sum lab.LimitResult
-			for _, l := range lab.Run(limited(t, tc.family, tc.each, tc.perSecond), lab.Balanced, 1).Limits {
-				quicktest.Check(t, float64(l.Told) <= l.Allowed, quicktest.IsTrue, quicktest.Commentf("%+v", l))
-				quicktest.Check(t, float64(l.Most) <= l.Allowed, quicktest.IsTrue, quicktest.Commentf("%+v", l))
-				sum.Sent, sum.Takes = sum.Sent+l.Sent, sum.Takes+l.Takes
+			for _, l := range lab.Run(limited(t, tc.family, tc.each, tc.perSecond), lab.Balancer, 1).Limits {
+				quicktest.Check(t, float64(l.PeakInformed) <= l.Allowed, quicktest.IsTrue, quicktest.Commentf("%+v", l))
+				quicktest.Check(t, float64(l.Peak) <= l.Allowed, quicktest.IsTrue, quicktest.Commentf("%+v", l))
+				sum.Received, sum.Acceptable = sum.Received+l.Received, sum.Acceptable+l.Acceptable
 			}
 			if !tc.usedUp {
 				return
 			}
-			used := float64(sum.Sent) / sum.Takes
+			used := float64(sum.Received) / sum.Acceptable
 			quicktest.Check(t, used >= leastUsed, quicktest.IsTrue, quicktest.Commentf("%.2f", used))
 		})
 	}
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -17,16 +17,16 @@
 	Rate float64
 	// Prompt and Events are the mean prompt length in tokens and the mean number of
 	// events of an answer; Spread is the standard deviation of both over the mean.
-	Prompt    float64
-	Events    float64
-	Spread    float64
-	Objective time.Duration
-	Pause     time.Duration
-	Deadline  time.Duration
+	MeanPrompt float64
+	MeanEvents float64
+	Spread     float64
+	Objective  time.Duration
+	MaxPause   time.Duration
+	Deadline   time.Duration
 	// Worth is that of a stream of mean size in time, and Late that of one that is
 	// late but whole.
-	Worth float64
-	Late  float64
+	Worth     float64
+	LateWorth float64
 }
 
 // The names of the kinds of streams.
@@ -37,7 +37,7 @@
 )
 
 // Load is a day: engines, boxes and what callers send.
-type Load struct {
+type Scenario struct {
 	Name    string
 	Cost    fleet.CostModel
 	Engines int
@@ -47,71 +47,71 @@
 	Kinds []Kind
 	// Turns is how long bursts of short and of long prompts last that come by
 	// turns; zero is a steady day.
-	Turns time.Duration
+	BurstLength time.Duration
 	// Span is how long prompts come.
-	Span time.Duration
+	Length time.Duration
 	// Deaths is how many engines die, one after the other.
-	Deaths int
+	Crashes int
 	// Slow is how many engines take twice their time.
-	Slow int
+	SlowEngines int
 	// Rebirths is how many times an engine falls silent and starts anew under its id, one
 	// after the other; Births is set if engines say when they started.
-	Rebirths int
-	Births   bool
+	EngineRestarts int
+	ReportsStart   bool
 	// Leave is the part of the engines that ends all at once in the middle of the day,
 	// while boxes cannot read of it: the list goes on naming them.
-	Leave float64
+	OutageLoss float64
 	// Restart is when all boxes are started anew, knowing nothing; zero is never.
-	Restart time.Duration
+	BoxRestartAt time.Duration
 	// Told is the time between what a box is told of the others' work, and Delay how
 	// old that is at least; zero is 50 ms each.
-	Told  time.Duration
-	Delay time.Duration
+	GossipInterval time.Duration
+	GossipDelay    time.Duration
 	// Limits are the times in which engines name how much they take.
-	Limits []Limit
+	Limits []RateLimit
 }
 
 // Family is a way to draw loads.
 type Family struct {
 	Name string
-	Draw func(rng *rand.Rand) Load
+	Draw func(rng *rand.Rand) Scenario
 }
 
 // Families are the ways of drawing loads that are measured.
 var Families = []Family{
-	{"steady", func(rng *rand.Rand) Load { return draw(rng, 18) }},
-	{"turns of 8 to 11 s", func(rng *rand.Rand) Load { return turns(rng, 18, 8, 11) }},
-	{"turns of 4 to 6 s", func(rng *rand.Rand) Load { return turns(rng, 18, 4, 6) }},
-	{"many middling prompts", func(rng *rand.Rand) Load {
+	{"steady", func(rng *rand.Rand) Scenario { return draw(rng, 18) }},
+	{"turns of 8 to 11 s", func(rng *rand.Rand) Scenario { return turns(rng, 18, 8, 11) }},
+	{"turns of 4 to 6 s", func(rng *rand.Rand) Scenario { return turns(rng, 18, 4, 6) }},
+	{"many middling prompts", func(rng *rand.Rand) Scenario {
 		l := draw(rng, 18)
 		l.Kinds[1].Rate *= 4
 		l.Kinds[2].Rate /= 3
 		return l
 	}},
-	{"engines die and are slow", func(rng *rand.Rand) Load {
+	{"engines die and are slow", func(rng *rand.Rand) Scenario {
 		l := turns(rng, 18, 8, 11)
-		l.Deaths, l.Slow = 3, 2
+		l.Crashes, l.SlowEngines = 3, 2
 		return l
 	}},
-	{"all boxes start anew", func(rng *rand.Rand) Load {
+	{"all boxes start anew", func(rng *rand.Rand) Scenario {
 		l := turns(rng, 18, 8, 11)
-		l.Restart = span / 2
+		l.BoxRestartAt = span / 2
 		return l
 	}},
-	{"engines start anew", func(rng *rand.Rand) Load { return rebirths(rng, true) }},
-	{"engines start anew, unsaid", func(rng *rand.Rand) Load { return rebirths(rng, false) }},
-	{"three engines", func(rng *rand.Rand) Load { return draw(rng, 3) }},
-	{"one engine", func(rng *rand.Rand) Load { return draw(rng, 1) }},
-	{"sixty engines, turns", func(rng *rand.Rand) Load { return turns(rng, 60, 8, 11) }},
+	{"engines start anew", func(rng *rand.Rand) Scenario { return rebirths(rng, true) }},
+	{"engines start anew, unsaid", func(rng *rand.Rand) Scenario { return rebirths(rng, false) }},
+	{"three engines", func(rng *rand.Rand) Scenario { return draw(rng, 3) }},
+	{"one engine", func(rng *rand.Rand) Scenario { return draw(rng, 1) }},
+	{"sixty engines, turns", func(rng *rand.Rand) Scenario { return turns(rng, 60, 8, 11) }},
 	{"a fifth over memory", overMemory},
-	{"engines leave in an outage", func(rng *rand.Rand) Load {
+	{"engines leave in an outage", func(rng *rand.Rand) Scenario {
 		l := overMemory(rng)
-		l.Leave = 0.25
+		l.OutageLoss = 0.25
 		return l
 	}},
 	{"engines go while long prompts come", engineLoss},
-	{"three hundred boxes", func(rng *rand.Rand) Load { return hundreds(rng, 100*time.Millisecond, 50*time.Millisecond) }},
-	{"three hundred boxes, old news", func(rng *rand.Rand) Load { return hundreds(rng, 250*time.Millisecond, 150*time.Millisecond) }},
+	{"three hundred boxes", func(rng *rand.Rand) Scenario { return hundreds(rng, 100*time.Millisecond, 50*time.Millisecond) }},
+	{"three hundred boxes, old news", func(rng *rand.Rand) Scenario { return hundreds(rng, 250*time.Millisecond, 150*time.Millisecond) }},
 }
 
 const (
@@ -125,8 +125,8 @@
 
 // draw draws a steady day: the speed of the engines, three kinds of prompts, and how
 // much of the engines they need.
-func draw(rng *rand.Rand, engines int) Load {
-	l := Load{Engines: engines, Boxes: max(engines/boxesOf, 1), Span: span}
+func draw(rng *rand.Rand, engines int) Scenario {
+	l := Scenario{Engines: engines, Boxes: max(engines/boxesOf, 1), Length: span}
 	l.Cost = fleet.CostModel{
 		Slots:            []int{8, 12, 16, 24}[rng.IntN(4)],
 		KVTokens:         int(between(rng, 350e3, 500e3)),
@@ -140,9 +140,9 @@
 	}
 	l.Cost.Stride = int(45 / (l.Cost.Step.Seconds() * perThousand))
 	l.Kinds = []Kind{
-		{Name: kindShort, Prompt: between(rng, 3e3, 6e3), Events: between(rng, 28, 42), Spread: 0.8, Objective: 300 * time.Millisecond, Pause: millis(between(rng, 180, 280)), Deadline: 10 * time.Second, Worth: 1.3, Late: 0.33},
-		{Name: kindMiddling, Prompt: between(rng, 30e3, 60e3), Events: between(rng, 18, 26), Spread: 0.5, Objective: 1500 * time.Millisecond, Pause: millis(between(rng, 450, 650)), Deadline: 10 * time.Second, Worth: 3.5, Late: 0.9},
-		{Name: kindLong, Prompt: between(rng, 150e3, 240e3), Events: between(rng, 15, 22), Spread: 0.55, Objective: 3 * time.Second, Pause: millis(between(rng, 750, 1050)), Deadline: 15 * time.Second, Worth: 23, Late: 5.7},
+		{Name: kindShort, MeanPrompt: between(rng, 3e3, 6e3), MeanEvents: between(rng, 28, 42), Spread: 0.8, Objective: 300 * time.Millisecond, MaxPause: millis(between(rng, 180, 280)), Deadline: 10 * time.Second, Worth: 1.3, LateWorth: 0.33},
+		{Name: kindMiddling, MeanPrompt: between(rng, 30e3, 60e3), MeanEvents: between(rng, 18, 26), Spread: 0.5, Objective: 1500 * time.Millisecond, MaxPause: millis(between(rng, 450, 650)), Deadline: 10 * time.Second, Worth: 3.5, LateWorth: 0.9},
+		{Name: kindLong, MeanPrompt: between(rng, 150e3, 240e3), MeanEvents: between(rng, 15, 22), Spread: 0.55, Objective: 3 * time.Second, MaxPause: millis(between(rng, 750, 1050)), Deadline: 15 * time.Second, Worth: 23, LateWorth: 5.7},
 	}
 	// Each kind needs so much of the engines: short streams of the slots, the others
 	// of the time.
@@ -154,16 +154,16 @@
 	return l
 }
 
-func turns(rng *rand.Rand, engines int, low, high float64) Load {
+func turns(rng *rand.Rand, engines int, low, high float64) Scenario {
 	l := draw(rng, engines)
-	l.Turns = millis(between(rng, low, high) * perThousand)
+	l.BurstLength = millis(between(rng, low, high) * perThousand)
 	return l
 }
 
 // rebirths draws a day on which each engine starts anew twice.
-func rebirths(rng *rand.Rand, said bool) Load {
+func rebirths(rng *rand.Rand, said bool) Scenario {
 	l := turns(rng, 18, 8, 11)
-	l.Rebirths, l.Births = 36, said
+	l.EngineRestarts, l.ReportsStart = 36, said
 	return l
 }
 
@@ -172,11 +172,11 @@
 // deployment met so far. Its boxes are told of the others every 100 ms, of work that
 // is 50 to 150 ms old, as plane.TestHundreds measures; before roles held, it was
 // 250 ms and more.
-func hundreds(rng *rand.Rand, told, delay time.Duration) Load {
+func hundreds(rng *rand.Rand, told, delay time.Duration) Scenario {
 	l := turns(rng, 150, 8, 11)
-	l.Boxes, l.Told, l.Delay = 295, told, delay
+	l.Boxes, l.GossipInterval, l.GossipDelay = 295, told, delay
 	l.Cost.Slots = 10
-	l.Kinds[1].Prompt, l.Kinds[2].Prompt = 45e3, 300e3
+	l.Kinds[1].MeanPrompt, l.Kinds[2].MeanPrompt = 45e3, 300e3
 	l.Kinds[2].Objective = 4 * time.Second
 	l.Kinds[0].Rate, l.Kinds[1].Rate, l.Kinds[2].Rate = 217, 23, 5.3
 	l.Cost.MeanPromptTokens = l.usualPrompt()
@@ -187,7 +187,7 @@
 // of the long prompts, 260,000 tokens in the mean, a fifth are longer, and take half of
 // the reading. Bursts of short and of long prompts come by turns. It is the sheet of the
 // deployment whose long prompts are the longest for its engines.
-func overMemory(rng *rand.Rand) Load {
+func overMemory(rng *rand.Rand) Scenario {
 	l := turns(rng, 60, 8, 11)
 	l.Boxes, l.Halls = 85, 3
 	l.Cost = fleet.CostModel{
@@ -195,9 +195,9 @@
 		PrefillRate: 154e3, PerMillionPairs: millis(0.162), PrefillChunk: 2048, Stride: 38, MeanOutputTokens: 1200,
 	}
 	l.Kinds = []Kind{
-		{Name: kindShort, Rate: 71.2, Prompt: 5e3, Events: 36, Spread: 0.8, Objective: 300 * time.Millisecond, Pause: millis(250), Deadline: 10 * time.Second, Worth: 1.3, Late: 0.34},
-		{Name: kindMiddling, Rate: 8.67, Prompt: 45e3, Events: 21, Spread: 0.5, Objective: 1500 * time.Millisecond, Pause: millis(600), Deadline: 10 * time.Second, Worth: 3.3, Late: 0.82},
-		{Name: kindLong, Rate: 1.62, Prompt: 260e3, Events: 18, Spread: 0.55, Objective: 4 * time.Second, Pause: millis(1000), Deadline: 15 * time.Second, Worth: 34, Late: 8.6},
+		{Name: kindShort, Rate: 71.2, MeanPrompt: 5e3, MeanEvents: 36, Spread: 0.8, Objective: 300 * time.Millisecond, MaxPause: millis(250), Deadline: 10 * time.Second, Worth: 1.3, LateWorth: 0.34},
+		{Name: kindMiddling, Rate: 8.67, MeanPrompt: 45e3, MeanEvents: 21, Spread: 0.5, Objective: 1500 * time.Millisecond, MaxPause: millis(600), Deadline: 10 * time.Second, Worth: 3.3, LateWorth: 0.82},
+		{Name: kindLong, Rate: 1.62, MeanPrompt: 260e3, MeanEvents: 18, Spread: 0.55, Objective: 4 * time.Second, MaxPause: millis(1000), Deadline: 15 * time.Second, Worth: 34, LateWorth: 8.6},
 	}
 	l.Cost.MeanPromptTokens = l.usualPrompt()
 	return l
@@ -206,19 +206,19 @@
 // engineLoss draws a day of hundreds of boxes before engines of which a fifth goes while
 // long prompts, of which a fifth is over an engine's memory, come in bursts: callers then
 // ask for more than there is. It is the largest deployment on its worst days.
-func engineLoss(rng *rand.Rand) Load {
+func engineLoss(rng *rand.Rand) Scenario {
 	l := turns(rng, 150, 8, 11)
-	l.Boxes, l.Halls, l.Told, l.Delay = 295, 5, 100*time.Millisecond, 50*time.Millisecond
+	l.Boxes, l.Halls, l.GossipInterval, l.GossipDelay = 295, 5, 100*time.Millisecond, 50*time.Millisecond
 	l.Cost = fleet.CostModel{
 		Slots: 10, KVTokens: 450_000, Step: millis(0.925), PerStream: millis(0.00483), PerContext: millis(0.00254),
 		PrefillRate: 256e3, PerMillionPairs: millis(0.0917), PrefillChunk: 2048, Stride: 73, MeanOutputTokens: 1300,
 	}
 	l.Kinds = []Kind{
-		{Name: kindShort, Rate: 217, Prompt: 4960, Events: 24, Spread: 0.8, Objective: 300 * time.Millisecond, Pause: millis(250), Deadline: 10 * time.Second, Worth: 1.4, Late: 0.34},
-		{Name: kindMiddling, Rate: 23.2, Prompt: 45e3, Events: 15, Spread: 0.5, Objective: 1500 * time.Millisecond, Pause: millis(600), Deadline: 10 * time.Second, Worth: 2.3, Late: 0.58},
-		{Name: kindLong, Rate: 5.32, Prompt: 300e3, Events: 12, Spread: 0.55, Objective: 4 * time.Second, Pause: millis(1000), Deadline: 15 * time.Second, Worth: 26, Late: 6.6},
+		{Name: kindShort, Rate: 217, MeanPrompt: 4960, MeanEvents: 24, Spread: 0.8, Objective: 300 * time.Millisecond, MaxPause: millis(250), Deadline: 10 * time.Second, Worth: 1.4, LateWorth: 0.34},
+		{Name: kindMiddling, Rate: 23.2, MeanPrompt: 45e3, MeanEvents: 15, Spread: 0.5, Objective: 1500 * time.Millisecond, MaxPause: millis(600), Deadline: 10 * time.Second, Worth: 2.3, LateWorth: 0.58},
+		{Name: kindLong, Rate: 5.32, MeanPrompt: 300e3, MeanEvents: 12, Spread: 0.55, Objective: 4 * time.Second, MaxPause: millis(1000), Deadline: 15 * time.Second, Worth: 26, LateWorth: 6.6},
 	}
-	l.Deaths = 30
+	l.Crashes = 30
 	l.Cost.MeanPromptTokens = l.usualPrompt()
 	return l
 }
@@ -228,16 +228,16 @@
 // need returns the engines that one prompt a second takes: the more of what its
 // slot and its reading need.
 func (k Kind) need(c *fleet.CostModel) float64 {
-	stream := k.Events * 1.2 * c.Pass().Seconds() / float64(c.Slots)
+	stream := k.MeanEvents * 1.2 * c.Pass().Seconds() / float64(c.Slots)
 	// The square of the length counts, which varies more than the length.
-	read := c.Prefill(int(k.Prompt * math.Sqrt(1+k.Spread*k.Spread))).Seconds()
+	read := c.Prefill(int(k.MeanPrompt * math.Sqrt(1+k.Spread*k.Spread))).Seconds()
 	return max(stream, read)
 }
 
-func (l Load) usualPrompt() int {
+func (l Scenario) usualPrompt() int {
 	tokens, rate := 0.0, 0.0
 	for _, k := range l.Kinds {
-		tokens += k.Prompt * k.Rate
+		tokens += k.MeanPrompt * k.Rate
 		rate += k.Rate
 	}
 	return int(tokens / rate)
@@ -279,22 +279,22 @@
 }
 
 // requests draws the day's prompts.
-func (l Load) requests(rng *rand.Rand) []*request {
+func (l Scenario) requests(rng *rand.Rand) []*request {
 	var list []*request
-	tightest := l.Kinds[0].Pause
+	tightest := l.Kinds[0].MaxPause
 	for k, kind := range l.Kinds {
 		for at := 0.0; ; {
 			at += rng.ExpFloat64() / (kind.Rate * l.peak(k))
 			r := &request{at: millis(at * perThousand), kind: k, tightest: tightest, box: rng.IntN(l.Boxes)}
-			if r.at > l.Span {
+			if r.at > l.Length {
 				break
 			}
 			prompt, events := lognormal(rng, kind.Spread), lognormal(rng, kind.Spread)
 			if rng.Float64() > l.factor(k, r.at)/l.peak(k) {
 				continue
 			}
-			r.prompt = int(kind.Prompt * min(prompt, 4.5))
-			r.events = max(int(kind.Events*min(events, 2.5)), 1)
+			r.prompt = int(kind.MeanPrompt * min(prompt, 4.5))
+			r.events = max(int(kind.MeanEvents*min(events, 2.5)), 1)
 			r.size = l.size(kind, r)
 			list = append(list, r)
 		}
@@ -307,23 +307,23 @@
 }
 
 // size returns the factor of a prompt's worth: it grows with its tokens.
-func (l Load) size(k Kind, r *request) float64 {
+func (l Scenario) size(k Kind, r *request) float64 {
 	const outputWeight, base, most = 10, 0.3, 4.0
 	stride := float64(l.Cost.Stride)
-	usual := k.Prompt + outputWeight*k.Events*stride
+	usual := k.MeanPrompt + outputWeight*k.MeanEvents*stride
 	own := float64(r.prompt) + outputWeight*float64(r.events)*stride
 	return min(base+(1-base)*own/usual, most)
 }
 
-func (l Load) factor(kind int, at time.Duration) float64 {
-	if l.Turns == 0 {
+func (l Scenario) factor(kind int, at time.Duration) float64 {
+	if l.BurstLength == 0 {
 		return 1
 	}
-	return turnFactors[int(at/l.Turns)%len(turnFactors)][kind]
+	return turnFactors[int(at/l.BurstLength)%len(turnFactors)][kind]
 }
 
-func (l Load) peak(kind int) float64 {
-	if l.Turns == 0 {
+func (l Scenario) peak(kind int) float64 {
+	if l.BurstLength == 0 {
 		return 1
 	}
 	return max(turnFactors[0][kind], turnFactors[1][kind])
@@ -336,6 +336,6 @@
 }
 
 // String returns the load in a few words.
-func (l Load) String() string {
-	return fmt.Sprintf("%d engines, %d boxes, turns %v", l.Engines, l.Boxes, l.Turns)
+func (l Scenario) String() string {
+	return fmt.Sprintf("%d engines, %d boxes, turns %v", l.Engines, l.Boxes, l.BurstLength)
 }
--- a/internal/lab/rebirth.go
+++ b/internal/lab/rebirth.go
@@ -39,7 +39,7 @@
 
 // tellRebirth lets all boxes read of the engine's start, if it says it.
 func (d *day) tellRebirth(e *engine, lost []*run) {
-	if !d.load.Births {
+	if !d.load.ReportsStart {
 		return
 	}
 	e.target.StartMS = d.timeline.Elapsed().Milliseconds()
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -10,9 +10,9 @@
 type Result struct {
 	// Owed, Earned and Bound are the worth of all prompts, of those that were served,
 	// and of those that the bound serves.
-	Owed   float64
-	Earned float64
-	Bound  float64
+	OfferedWorth float64
+	ServedWorth  float64
+	BoundWorth   float64
 	// Kinds has the same by kind, and the causes of late streams.
 	Kinds [kinds]KindResult
 	// Limits has what engines got while they named a limit, in the load's order.
@@ -21,12 +21,12 @@
 
 // KindResult is what became of the prompts of one kind.
 type KindResult struct {
-	Count  int
-	Owed   float64
-	Earned float64
-	Causes [causes]int
+	Count        int
+	OfferedWorth float64
+	ServedWorth  float64
+	Causes       [causes]int
 	// Abroad counts those that an engine of another hall answered.
-	Abroad int
+	OtherHall int
 	// Sizes has what became of its prompts by their length.
 	Sizes [sizes]SizeResult
 }
@@ -36,8 +36,8 @@
 // The parts of a kind by the length of its prompts: the longest tenth, the fifth just below
 // it, and the rest.
 const (
-	SizeTenth = iota
-	SizeFifth
+	SizeLongestTenth = iota
+	SizeNextFifth
 	SizeRest
 	sizes
 )
@@ -69,16 +69,16 @@
 		return
 	}
 	s.Served++
-	if r.pause <= k.Pause && r.first <= k.Objective {
+	if r.pause <= k.MaxPause && r.first <= k.Objective {
 		s.InTime++
 	}
 }
 
 // Worth returns the part of what was owed that was earned.
-func (r Result) Worth() float64 { return r.Earned / max(r.Owed, 1) }
+func (r Result) WorthRatio() float64 { return r.ServedWorth / max(r.OfferedWorth, 1) }
 
 // Possible returns the part of what was owed that the bound earns.
-func (r Result) Possible() float64 { return r.Bound / max(r.Owed, 1) }
+func (r Result) BoundRatio() float64 { return r.BoundWorth / max(r.OfferedWorth, 1) }
 
 func (d *day) measure() Result {
 	var res Result
@@ -87,20 +87,20 @@
 		k := &res.Kinds[r.kind]
 		owed, earned := kind.Worth*r.size, r.earned(kind)
 		k.Count++
-		k.Owed += owed
-		k.Earned += earned
+		k.OfferedWorth += owed
+		k.ServedWorth += earned
 		k.Causes[r.cause]++
 		if r.abroad {
-			k.Abroad++
+			k.OtherHall++
 		}
-		res.Owed += owed
-		res.Earned += earned
+		res.OfferedWorth += owed
+		res.ServedWorth += earned
 	}
 	d.measureSizes(&res)
 	for _, n := range d.namings {
 		res.Limits = append(res.Limits, n.result())
 	}
-	res.Bound = d.bound()
+	res.BoundWorth = d.bound()
 	return res
 }
 
@@ -115,9 +115,9 @@
 		size := SizeRest
 		switch at := seen[r.kind]; {
 		case at < k.Count/tenth:
-			size = SizeTenth
+			size = SizeLongestTenth
 		case at < k.Count/tenth+k.Count/fifth:
-			size = SizeFifth
+			size = SizeNextFifth
 		}
 		seen[r.kind]++
 		k.Sizes[size].add(r, d.load.Kinds[r.kind])
@@ -130,21 +130,21 @@
 	switch {
 	case r.got < r.events:
 		return 0
-	case r.pause > k.Pause:
-		return k.Late * r.size
+	case r.pause > k.MaxPause:
+		return k.LateWorth * r.size
 	case r.first <= k.Objective:
 		return k.Worth * r.size
 	case r.toldSoon && r.first-r.back <= k.Objective:
-		return (k.Worth + k.Late) / 2 * r.size
+		return (k.Worth + k.LateWorth) / 2 * r.size
 	}
-	return k.Late * r.size
+	return k.LateWorth * r.size
 }
 
 // Add takes in another day.
 func (r *Result) Add(o Result) {
-	r.Owed += o.Owed
-	r.Earned += o.Earned
-	r.Bound += o.Bound
+	r.OfferedWorth += o.OfferedWorth
+	r.ServedWorth += o.ServedWorth
+	r.BoundWorth += o.BoundWorth
 	for i := range r.Kinds {
 		r.Kinds[i].Add(o.Kinds[i])
 	}
@@ -153,9 +153,9 @@
 // Add takes in another day.
 func (k *KindResult) Add(o KindResult) {
 	k.Count += o.Count
-	k.Owed += o.Owed
-	k.Earned += o.Earned
-	k.Abroad += o.Abroad
+	k.OfferedWorth += o.OfferedWorth
+	k.ServedWorth += o.ServedWorth
+	k.OtherHall += o.OtherHall
 	for i, size := range o.Sizes {
 		k.Sizes[i].Count += size.Count
 		k.Sizes[i].Served += size.Served
@@ -167,7 +167,7 @@
 }
 
 // Unserved returns the part of the prompts that got no whole answer.
-func (k KindResult) Unserved() float64 {
+func (k KindResult) UnservedRate() float64 {
 	n := k.Causes[causeRefused] + k.Causes[causeGone] + k.Causes[causeCut]
 	return float64(n) / float64(max(k.Count, 1))
 }
@@ -186,17 +186,17 @@
 	order := slices.Clone(d.list)
 	density := func(r *request) float64 {
 		k := d.load.Kinds[r.kind]
-		return (k.Worth - k.Late) * r.size / d.load.Cost.Prefill(r.prompt).Seconds()
+		return (k.Worth - k.LateWorth) * r.size / d.load.Cost.Prefill(r.prompt).Seconds()
 	}
 	slices.SortStableFunc(order, func(a, b *request) int { return cmp.Compare(density(b), density(a)) })
-	p := newSchedule(int((d.load.Span+after)/slot)+1, float64(d.load.Engines)*slot.Seconds())
+	p := newSchedule(int((d.load.Length+after)/slot)+1, float64(d.load.Engines)*slot.Seconds())
 	for _, r := range order {
 		k := d.load.Kinds[r.kind]
 		read := d.load.Cost.Prefill(r.prompt).Seconds()
 		from := int(r.at / slot)
 		until := int((r.at + k.Objective) / slot)
 		part := p.fit(from, until, read) / read
-		total += r.size * (k.Late + (k.Worth-k.Late)*part)
+		total += r.size * (k.LateWorth + (k.Worth-k.LateWorth)*part)
 	}
 	return total
 }
--- a/internal/lab/table.go
+++ b/internal/lab/table.go
@@ -18,7 +18,7 @@
 	// Family, if not empty, is the start of the names of the families that run.
 	Family string
 	// Alone leaves the simple policies out.
-	Alone bool
+	BalancerOnly bool
 }
 
 // row is a family under one policy.
@@ -31,10 +31,10 @@
 
 // policies returns the rows of each family.
 func (p Plan) policies() []Policy {
-	if p.Alone {
-		return []Policy{Balanced}
+	if p.BalancerOnly {
+		return []Policy{Balancer}
 	}
-	return []Policy{Random, LeastLoaded, Balanced}
+	return []Policy{Random, LeastLoaded, Balancer}
 }
 
 // WriteTables runs the plan and writes its tables as Markdown.
@@ -74,7 +74,7 @@
 			days.Wait()
 			for _, res := range results {
 				r.sum.Add(res)
-				r.worths = append(r.worths, res.Worth())
+				r.worths = append(r.worths, res.WorthRatio())
 			}
 		})
 	}
@@ -103,9 +103,9 @@
 	fmt.Fprintf(&b, "| load | decided by | worth | ± | bound | short | middling | long |\n|---|---|---|---|---|---|---|---|\n")
 	for _, r := range rows {
 		mean, spread := r.spread()
-		fmt.Fprintf(&b, "| %s | %s | %.3f | %.3f | %.3f |", r.family.Name, r.policy.Name, mean, spread, r.sum.Possible())
+		fmt.Fprintf(&b, "| %s | %s | %.3f | %.3f | %.3f |", r.family.Name, r.policy.Name, mean, spread, r.sum.BoundRatio())
 		for _, k := range r.sum.Kinds {
-			fmt.Fprintf(&b, " %.3f |", k.Earned/max(k.Owed, 1))
+			fmt.Fprintf(&b, " %.3f |", k.ServedWorth/max(k.OfferedWorth, 1))
 		}
 		fmt.Fprintln(&b)
 	}
