--- a/internal/balance/assignment_test.go
+++ b/internal/balance/assignment_test.go
@@ -16,16 +16,16 @@
 // TestLongAway checks that several engines read a long prompt, that these have no
 // short streams, and that one which has a long prompt of its own to read does not
 // help others.
-func TestLongAway(t *testing.T) {
+func TestLongPromptsAvoidShortStreams(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(18)
 	short := make(map[string]bool)
 	for range 12 {
-		short[f.place(t, job(shortPrompt)).Target.Addr] = true
+		short[f.place(t, engineJob(shortPrompt)).Target.Addr] = true
 	}
 	unread := make(map[string]bool)
 	for range 2 {
-		p := f.place(t, job(longPrompt))
+		p := f.place(t, engineJob(longPrompt))
 		c.Check(len(p.Helpers) > 0, quicktest.IsTrue)
 		for _, h := range p.Helpers {
 			c.Check(unread[h.Addr], quicktest.IsFalse, quicktest.Commentf("%s has a long prompt to read", h.Addr))
@@ -38,13 +38,13 @@
 
 // TestNear checks that a prompt gets helpers of one hall only when another one is cut
 // off from it.
-func TestNear(t *testing.T) {
+func TestLocalHelpers(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(12)
 	for i := range f.targets {
 		f.targets[i].Hall = barleystep.HallID(fmt.Sprint(i % 3))
 	}
-	j := job(longPrompt)
+	j := engineJob(longPrompt)
 	j.LocalHelpers = true
 	p := f.place(t, j)
 	c.Assert(len(p.Helpers) > 0, quicktest.IsTrue)
@@ -54,9 +54,9 @@
 }
 
 // TestAlone checks that a prompt gets no helpers when these have been refused.
-func TestAlone(t *testing.T) {
+func TestNoHelpers(t *testing.T) {
 	f := newFixture(18)
-	j := job(longPrompt)
+	j := engineJob(longPrompt)
 	j.NoHelpers = true
 	quicktest.Assert(t, f.place(t, j).Helpers, quicktest.HasLen, 0)
 }
@@ -68,7 +68,7 @@
 	for engines := 1; engines <= 6; engines++ {
 		for _, prompt := range []int{0, shortPrompt, longPrompt, giantPrompt} {
 			f := newFixture(engines)
-			j := job(prompt)
+			j := engineJob(prompt)
 			j.Objective = 3 * time.Second
 			p, err := f.Place(context.Background(), j)
 			if prompt == giantPrompt && engines < 3 {
@@ -86,7 +86,7 @@
 // where it holds up little, with its memory on its helpers, waits for a part of its
 // objective where the streams that it would hold up are worth more, or where it would come
 // late, and is sent away at once where it has no place on idle engines either.
-func TestGiant(t *testing.T) {
+func TestOversizedPrompt(t *testing.T) {
 	const giantPrompt = 500_000
 	cases := map[string]struct {
 		engines   int
@@ -115,7 +115,7 @@
 				isBusy[target.ID] = true
 			}
 			f.SetOthers(busy)
-			j := job(giantPrompt)
+			j := engineJob(giantPrompt)
 			j.Objective = tc.objective
 			p, w, err := f.TryPlace(context.Background(), j)
 			c.Assert(w != nil, quicktest.Equals, tc.waits)
@@ -142,7 +142,7 @@
 
 // TestIdleHelps checks that engines with little to do help before those that have
 // much to read, also where the former are for short prompts.
-func TestIdleHelps(t *testing.T) {
+func TestIdleEnginesHelpFirst(t *testing.T) {
 	const engines, idle, prompt = 18, 3, 45_000
 	for from := range engines {
 		c := quicktest.New(t)
@@ -151,7 +151,7 @@
 		known := balance.NewSnapshot()
 		known.Demands[balance.KeyOf("s")] = demand
 		f.SetOthers(known)
-		alone := job(prompt)
+		alone := engineJob(prompt)
 		alone.NoHelpers = true
 		first := f.place(t, alone)
 		first.Done(balance.Report{})
@@ -165,7 +165,7 @@
 			}
 		}
 		f.SetOthers(known)
-		p := f.place(t, job(prompt))
+		p := f.place(t, engineJob(prompt))
 		c.Check(busy[p.Target.ID], quicktest.IsFalse)
 		c.Check(len(p.Helpers) > 0, quicktest.IsTrue)
 		for _, h := range p.Helpers {
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -48,14 +48,14 @@
 	return f
 }
 
-func job(prompt int) balance.Job {
+func engineJob(prompt int) balance.Job {
 	return balance.Job{
 		Service: "s", PromptTokens: prompt, OutputTokens: 100, Objective: 300 * time.Millisecond,
 		Cost: cost, MaxPause: 200 * time.Millisecond,
 	}
 }
 
-func plain() balance.Job { return balance.Job{Service: "s", Objective: 300 * time.Millisecond} }
+func plainJob() balance.Job { return balance.Job{Service: "s", Objective: 300 * time.Millisecond} }
 
 func (f *fixture) place(t *testing.T, j balance.Job) *balance.Placement {
 	p, err := f.Place(context.Background(), j)
@@ -64,7 +64,7 @@
 }
 
 // queued waits until a job is in the queue.
-func (f *fixture) queued() {
+func (f *fixture) waitUntilQueued() {
 	for f.clock.PendingTimers() == 0 {
 		runtime.Gosched()
 	}
@@ -84,17 +84,17 @@
 			f.targets[0].Draining, f.targets[1].Draining = true, true
 		}, nil, ""},
 		"unreachable": {func(f *fixture, t *testing.T) {
-			j := plain()
+			j := plainJob()
 			j.Avoid = []barleystep.TargetID{"i-01"}
 			f.place(t, j).Done(balance.Report{Unreachable: true})
 		}, nil, "i-01"},
 		"unreachable, but the only one": {func(f *fixture, t *testing.T) {
-			j := plain()
+			j := plainJob()
 			j.Avoid = []barleystep.TargetID{"i-01"}
 			f.place(t, j).Done(balance.Report{Unreachable: true})
 		}, []barleystep.TargetID{"i-01"}, "i-00"},
 		"address taken over": {func(f *fixture, t *testing.T) {
-			j := plain()
+			j := plainJob()
 			j.Avoid = []barleystep.TargetID{"i-01"}
 			f.place(t, j).Done(balance.Report{Full: true, Moved: true})
 			f.clock.Advance(5 * time.Second)
@@ -105,7 +105,7 @@
 			c := quicktest.New(t)
 			f := newFixture(2)
 			tc.change(f, t)
-			j := plain()
+			j := plainJob()
 			j.Avoid = tc.avoid
 			for range 20 {
 				p, err := f.Place(context.Background(), j)
@@ -123,12 +123,12 @@
 
 // TestPlainSpreads checks that plain services get their requests evenly, and
 // that a target that fails gets few.
-func TestPlainSpreads(t *testing.T) {
+func TestPlainRequestsSpread(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(3)
 	counts := make(map[barleystep.TargetID]int)
 	for range 9 {
-		counts[f.place(t, plain()).Target.ID]++
+		counts[f.place(t, plainJob()).Target.ID]++
 	}
 	for _, n := range counts {
 		c.Check(n, quicktest.Equals, 3)
@@ -136,7 +136,7 @@
 	f = newFixture(2)
 	failed := 0
 	for range 100 {
-		p := f.place(t, plain())
+		p := f.place(t, plainJob())
 		bad := p.Target.ID == "i-00"
 		if bad {
 			failed++
@@ -147,19 +147,19 @@
 }
 
 // TestOthers checks that the work of other boxes counts.
-func TestOthers(t *testing.T) {
+func TestPeerWorkCounts(t *testing.T) {
 	f := newFixture(2)
 	s := balance.NewSnapshot()
 	s.Work[balance.KeyOf("i-00")] = balance.Work{Short: 5}
 	f.SetOthers(s)
 	for range 3 {
-		quicktest.Check(t, f.place(t, plain()).Target.ID, quicktest.Equals, barleystep.TargetID("i-01"))
+		quicktest.Check(t, f.place(t, plainJob()).Target.ID, quicktest.Equals, barleystep.TargetID("i-01"))
 	}
 }
 
 // TestBooks checks that nothing is left in the books once all tries have ended,
 // whatever they were and in whatever order they ended.
-func TestBooks(t *testing.T) {
+func TestWorkIsReleased(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFixture(rapid.IntRange(1, 12).Draw(rt, "engines"))
 		var open []*balance.Placement
@@ -169,7 +169,7 @@
 				prompt := rapid.SampledFrom([]int{0, shortPrompt, 45_000, longPrompt, 500_000}).Draw(rt, "prompt")
 				ctx, cancel := context.WithCancel(context.Background())
 				cancel() // Whatever would have to wait is given up.
-				if p, err := f.Place(ctx, job(prompt)); err == nil {
+				if p, err := f.Place(ctx, engineJob(prompt)); err == nil {
 					open = append(open, p)
 				}
 			case len(open) > 0:
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -79,7 +79,7 @@
 	EndedTargets int
 
 	// spare is how many slots the job must leave free.
-	spare int
+	reservedSlots int
 }
 
 // Report is what a try taught about its target.
@@ -117,17 +117,17 @@
 	Log      *log.Logger
 
 	mu     sync.Mutex
-	states map[barleystep.TargetID]*state
+	states map[barleystep.TargetID]*targetState
 	// declined holds the targets that may leave or rest, so that a question to the lead does not
 	// go through all states.
 	declined map[barleystep.TargetID]bool
 	demands  map[string]*demand
 	// turns has how often long prompts of each size are given engines, by service.
-	turns map[string]*turns
+	sizeStats map[string]*sizeStats
 	// lightQueue and heavyQueue hold the jobs that wait for a place, limitQueue those whose
 	// targets have all named a limit that is used up.
-	lightQueue []*QueuedJob
-	heavyQueue []*QueuedJob
+	shortQueue []*QueuedJob
+	longQueue  []*QueuedJob
 	limitQueue []*QueuedJob
 	// role is this box's part among all boxes.
 	role Role
@@ -138,58 +138,58 @@
 	// grants are the placements that were made for other boxes, by their numbers, of
 	// which granted is the last. This box is the lead until leadUntil, as far as it
 	// knows.
-	grants    map[uint64]*grant
-	granted   uint64
-	leadUntil time.Time
+	peerPlacements map[uint64]*peerPlacement
+	lastPlanID     uint64
+	leadUntil      time.Time
 	// seen keeps the sums of work during one choice.
-	seen map[barleystep.TargetID]Work
+	workCache map[barleystep.TargetID]Work
 	// others is the work and demand of all other boxes, as last heard.
-	others Snapshot
+	peers Snapshot
 }
 
 // state is what a box knows of one lifetime of a target by itself.
-type state struct {
+type targetState struct {
 	// key names the lifetime between boxes. It is that of said, the start which the target's
 	// record says now, zero if it says none; born is the last start that one said.
-	key  Key
-	said int64
-	born int64
+	key         Key
+	recordStart int64
+	lastStart   int64
 	// parts are the own tries at the target that have not ended.
 	parts []*part
 	// failures counts tries in a row that could not reach the target at its address.
-	failures int
+	unreachableTries int
 	// heard is when the target last sent something here.
-	heard time.Time
+	lastEvent time.Time
 	// suspect is set while the target is left alone since it seems to be down.
-	suspect bool
+	loggedDown bool
 	// shunned is until when the target gets no work while others can take it.
-	shunned time.Time
+	backoffUntil time.Time
 	// errors is the recent part of answers that were failures, 0 to 1.
-	errors float64
+	errorRate float64
 	// believed is what the target says of itself, as far as is known, and heardHere what it has
 	// said to this box.
-	believed  TimedStatement
-	heardHere TimedStatement
+	statement    TimedStatement
+	heardLocally TimedStatement
 	// allowance is what this box may send of the target's limit.
-	allowance allowance
+	rateLimiter rateLimiter
 	// returning is set from a rest on until the target has run something, and probe is what it
 	// was sent since its end.
-	returning bool
+	afterRest bool
 	probe     *part
 	// absent is since when no record names the target, zero while one does.
-	absent time.Time
+	absentSince time.Time
 }
 
 const (
 	// firstShun is how long a target is left alone that could not be reached; it
 	// doubles with each further failure up to longestShun.
-	firstShun   = 500 * time.Millisecond
-	longestShun = 4 * time.Second
+	minBackoff = 500 * time.Millisecond
+	maxBackoff = 4 * time.Second
 	// fullShun is how long a target is left alone that had no room.
-	fullShun = 60 * time.Millisecond
+	fullBackoff = 60 * time.Millisecond
 	// movedShun is how long a target is left alone whose address belongs to
 	// another one: its record will be gone by then.
-	movedShun = 10 * time.Second
+	movedBackoff = 10 * time.Second
 	// errorWeight is the weight of a new answer in a target's part of failures.
 	errorWeight = 0.15
 	// errorPenalty is how many requests in progress a target that always fails
@@ -221,22 +221,22 @@
 	if j.Hall == "" {
 		j.Hall = b.Hall
 	}
-	if b.inVain(j) {
+	if b.cannotMeetDeadline(j) {
 		return nil, nil, ErrCannotMeetDeadline
 	}
-	if b.endsTargets(j) {
+	if b.isRefused(j) {
 		return nil, nil, ErrSuspectRefused
 	}
-	if p, err = b.askLead(ctx, j); p != nil || err != nil {
+	if p, err = b.requestPlan(ctx, j); p != nil || err != nil {
 		return p, nil, err
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if first {
-		b.noteHeavy(j)
-		b.noteTurn(j)
+		b.noteLongDemand(j)
+		b.noteAsked(j)
 	}
-	p, h, err := b.tryNew(j)
+	p, h, err := b.placeNew(j)
 	if p != nil || err != nil {
 		return p, nil, err
 	}
@@ -244,37 +244,37 @@
 }
 
 // tryNew is try for a job that has just come: a long prompt takes its turn among those that wait.
-func (b *Balancer) tryNew(j Job) (p *Placement, h hold, err error) {
-	candidates, h, err := b.usable(j)
+func (b *Balancer) placeNew(j Job) (p *Placement, h holdReason, err error) {
+	candidates, h, err := b.usableTargets(j)
 	switch {
 	case h != holdNone || err != nil:
 		return nil, h, err
-	case IsLongPrompt(j) && !j.suspect() && b.waitsBefore(j):
+	case IsLongPrompt(j) && !j.isSuspect() && b.hasWaiterBefore(j):
 		return nil, holdBehind, nil
 	}
-	return b.choose(j, candidates)
+	return b.chooseTarget(j, candidates)
 }
 
 // try chooses a target; it returns no placement, and why, if the job has to wait.
-func (b *Balancer) try(j Job) (p *Placement, h hold, err error) {
-	candidates, h, err := b.usable(j)
+func (b *Balancer) placeNow(j Job) (p *Placement, h holdReason, err error) {
+	candidates, h, err := b.usableTargets(j)
 	if h != holdNone || err != nil {
 		return nil, h, err
 	}
-	return b.choose(j, candidates)
+	return b.chooseTarget(j, candidates)
 }
 
 // usable returns the targets that may take the job now.
-func (b *Balancer) usable(j Job) (candidates []fleet.Target, h hold, err error) {
-	clear(b.seen)
+func (b *Balancer) usableTargets(j Job) (candidates []fleet.Target, h holdReason, err error) {
+	clear(b.workCache)
 	candidates = b.candidates(j)
 	if len(candidates) == 0 {
 		return nil, holdNone, ErrNoTarget
 	}
-	if giant(j) && !fits(j, len(candidates)) {
+	if isOversized(j) && !fitsEngines(j, len(candidates)) {
 		return nil, holdMemory, ErrFull // Waiting here would not help.
 	}
-	candidates = b.admitting(j, candidates)
+	candidates = b.accepting(j, candidates)
 	if len(candidates) == 0 {
 		return nil, holdLimit, nil
 	}
@@ -282,25 +282,25 @@
 }
 
 // choose chooses among the targets that may take the job.
-func (b *Balancer) choose(j Job, candidates []fleet.Target) (p *Placement, h hold, err error) {
+func (b *Balancer) chooseTarget(j Job, candidates []fleet.Target) (p *Placement, h holdReason, err error) {
 	switch {
-	case j.suspect():
-		p, h, err = b.tryAlone(j, candidates)
+	case j.isSuspect():
+		p, h, err = b.placeSuspect(j, candidates)
 	case j.Cost == nil:
 		p = b.placePlain(j, candidates)
-	case giant(j):
-		p, h = b.placeGiant(j, candidates)
+	case isOversized(j):
+		p, h = b.placeOversized(j, candidates)
 	case IsLongPrompt(j):
-		p, h = b.placeHeavy(j, candidates)
+		p, h = b.placeLong(j, candidates)
 	default:
-		p, h = b.placeLight(j, candidates), holdSlots
+		p, h = b.placeShort(j, candidates), holdSlots
 	}
 	if p == nil {
 		return nil, h, err
 	}
-	b.spend(p)
-	b.noteGiven(j)
-	b.book(p)
+	b.chargeLimits(p)
+	b.notePlaced(j)
+	b.record(p)
 	if !j.ForPeer {
 		p.probe()
 	}
@@ -308,41 +308,41 @@
 }
 
 // book enters a placement in the books of its targets.
-func (b *Balancer) book(p *Placement) {
+func (b *Balancer) record(p *Placement) {
 	p.balancer, p.sent, p.lost = b, b.Clock.Now(), make(chan struct{})
 	for _, part := range p.parts {
-		s := b.state(part.target)
-		part.placement, part.at = p, s
-		b.expectRead(s, part)
+		s := b.targetState(part.target)
+		part.placement, part.state = p, s
+		b.schedulePrefill(s, part)
 		s.parts = append(s.parts, part)
 	}
 }
 
 // strike takes a placement out of the books of its targets.
-func (b *Balancer) strike(p *Placement) {
+func (b *Balancer) release(p *Placement) {
 	for _, own := range p.parts {
-		b.strikePart(own)
+		b.releasePart(own)
 	}
-	p.tellLead()
+	p.notifyLead()
 }
 
 // strikePart takes a part out of the books of the lifetime that it was placed on.
-func (b *Balancer) strikePart(own *part) {
-	own.at.parts = slices.DeleteFunc(own.at.parts, func(o *part) bool { return o == own })
-	if own.at.probe == own {
-		own.at.probe = nil
+func (b *Balancer) releasePart(p *part) {
+	p.state.parts = slices.DeleteFunc(p.state.parts, func(o *part) bool { return o == p })
+	if p.state.probe == p {
+		p.state.probe = nil
 	}
 }
 
-func (b *Balancer) state(id barleystep.TargetID) *state {
+func (b *Balancer) targetState(id barleystep.TargetID) *targetState {
 	if b.states == nil {
-		b.states = make(map[barleystep.TargetID]*state)
+		b.states = make(map[barleystep.TargetID]*targetState)
 	}
 	s, ok := b.states[id]
 	if !ok {
-		s = &state{key: KeyOf(string(id))}
+		s = &targetState{key: KeyOf(string(id))}
 		b.states[id] = s
-		b.hear(id, s)
+		b.applyPeerStatement(id, s)
 	}
 	return s
 }
@@ -352,8 +352,8 @@
 func (b *Balancer) placePlain(j Job, candidates []fleet.Target) *Placement {
 	best, least := 0, 0.0
 	for i, t := range candidates {
-		w := b.work(t.ID)
-		score := float64(w.Short) + errorPenalty*b.state(t.ID).errors + b.chance()
+		w := b.totalWork(t.ID)
+		score := float64(w.Short) + errorPenalty*b.targetState(t.ID).errorRate + b.randFloat()
 		if t.Hall != j.Hall {
 			score++
 		}
@@ -369,29 +369,29 @@
 	return &Placement{Target: t, parts: []*part{{target: t.ID, work: Work{Short: 1}}}}
 }
 
-func (b *Balancer) learn(id barleystep.TargetID, r Report) {
-	s := b.state(id)
+func (b *Balancer) noteReport(id barleystep.TargetID, r Report) {
+	s := b.targetState(id)
 	now := b.Clock.Now()
 	switch {
 	case r.Moved:
-		s.shunned = now.Add(movedShun)
-		s.failures++ // The others are told: each of them would be refused once.
+		s.backoffUntil = now.Add(movedBackoff)
+		s.unreachableTries++ // The others are told: each of them would be refused once.
 	case r.Unreachable:
-		s.shunned = now.Add(min(firstShun<<min(s.failures, 8), longestShun))
-		s.failures++
+		s.backoffUntil = now.Add(min(minBackoff<<min(s.unreachableTries, 8), maxBackoff))
+		s.unreachableTries++
 	case r.Full:
-		s.shunned = now.Add(fullShun)
+		s.backoffUntil = now.Add(fullBackoff)
 	default:
-		s.failures = 0
+		s.unreachableTries = 0
 		if !r.Failed {
-			s.heard, s.returning = now, false
+			s.lastEvent, s.afterRest = now, false
 		}
 	}
 	bad := 0.0
 	if r.Unreachable || r.Failed || r.Error {
 		bad = 1
 	}
-	s.errors += errorWeight * (bad - s.errors)
+	s.errorRate += errorWeight * (bad - s.errorRate)
 }
 
 // Forget drops what is known of targets that are gone. It is called now and
@@ -405,10 +405,10 @@
 	defer b.mu.Unlock()
 	now := b.Clock.Now()
 	for id, s := range b.states {
-		s.note(present[id], now)
-		if !present[id] && len(s.parts) == 0 && !s.remembers(now) {
+		s.notePresence(present[id], now)
+		if !present[id] && len(s.parts) == 0 && !s.isRetained(now) {
 			delete(b.states, id)
 		}
 	}
-	b.forgetTrials()
+	b.pruneTrials()
 }
--- a/internal/balance/bench_test.go
+++ b/internal/balance/bench_test.go
@@ -26,7 +26,7 @@
 				others.Work[balance.KeyOf(string(t.ID))] = balance.Work{Short: 2}
 			}
 			f.SetOthers(others)
-			j := job(prompt)
+			j := engineJob(prompt)
 			j.Objective = 3 * time.Second
 			for b.Loop() {
 				p, w, err := f.TryPlace(context.Background(), j)
@@ -60,7 +60,7 @@
 				f.TargetStatus(id)
 			}
 			for b.Loop() {
-				_, _ = f.Place(context.Background(), job(shortPrompt))
+				_, _ = f.Place(context.Background(), engineJob(shortPrompt))
 			}
 		})
 	}
--- a/internal/balance/candidates.go
+++ b/internal/balance/candidates.go
@@ -11,19 +11,19 @@
 // candidates returns the service's targets that may take the job: the best of those that
 // neither leave, by their record or their own word, nor have failed the request.
 func (b *Balancer) candidates(j Job) []fleet.Target {
-	now, tried := b.Clock.Now(), b.tried()
-	var by [gradeResting + 1][]fleet.Target
+	now, trialTargets := b.Clock.Now(), b.trialTargets()
+	var by [tierResting + 1][]fleet.Target
 	for _, t := range b.Targets() {
-		if t.Service != j.Service || t.Draining || avoided(j, t.ID) {
+		if t.Service != j.Service || t.Draining || isAvoided(j, t.ID) {
 			continue
 		}
-		s, _ := b.meet(t)
-		if s.leaving() {
+		s, _ := b.observe(t)
+		if s.isLeaving() {
 			continue // Its word is newer than its record, which it may not be able to write.
 		}
-		g := b.gradeOf(t.ID, s, j, now)
-		if g == gradeGood && slices.Contains(tried, t.ID) {
-			g = gradeShunned
+		g := b.tierOf(t.ID, s, j, now)
+		if g == tierNormal && slices.Contains(trialTargets, t.ID) {
+			g = tierBackoff
 		}
 		by[g] = append(by[g], t)
 	}
@@ -37,28 +37,28 @@
 
 // grade is how gladly a target is given work. Those of one grade get it where there is none of a
 // better one.
-type grade uint8
+type tier uint8
 
 const (
-	gradeGood grade = iota
+	tierNormal tier = iota
 	// gradeShunned targets are left alone for a moment, run a suspect, or have asked another box
 	// for rest.
-	gradeShunned
+	tierBackoff
 	// gradeResting targets have asked this box for rest: they are what is waited for.
-	gradeResting
+	tierResting
 )
 
 // gradeOf returns how gladly the target is given the job. One that runs a suspect is not told
 // apart here.
-func (b *Balancer) gradeOf(id barleystep.TargetID, s *state, j Job, now time.Time) grade {
-	down := b.leaves(id, s, now) // It logs a change of belief.
+func (b *Balancer) tierOf(id barleystep.TargetID, s *targetState, j Job, now time.Time) tier {
+	inBackoff := b.checkBackoff(id, s, now) // It logs a change of belief.
 	switch {
-	case s.rests(now) && !j.ForPeer:
-		return gradeResting
-	case down || s.restsElsewhere(now):
-		return gradeShunned
+	case s.isRestingOrProbing(now) && !j.ForPeer:
+		return tierResting
+	case inBackoff || s.isRestingForPeer(now):
+		return tierBackoff
 	default:
-		return gradeGood
+		return tierNormal
 	}
 }
 
@@ -68,14 +68,14 @@
 	defer b.mu.Unlock()
 	var list []fleet.Target
 	for _, t := range b.Targets() {
-		if !t.Draining && slices.Contains(ids, t.ID) && !b.state(t.ID).leaving() {
+		if !t.Draining && slices.Contains(ids, t.ID) && !b.targetState(t.ID).isLeaving() {
 			list = append(list, t)
 		}
 	}
 	return list
 }
 
-func avoided(j Job, id barleystep.TargetID) bool {
+func isAvoided(j Job, id barleystep.TargetID) bool {
 	for _, a := range j.Avoid {
 		if a == id {
 			return true
--- a/internal/balance/demand.go
+++ b/internal/balance/demand.go
@@ -15,47 +15,47 @@
 
 // demand is a decaying sum of the reading that one box was asked for.
 type demand struct {
-	light float64
-	heavy float64
+	short float64
+	long  float64
 	at    time.Time
 }
 
 // demandLife is the mean age of the reading that counts. Bursts of short and of
 // long prompts come by turns, every ten seconds or so.
-const demandLife = 2 * time.Second
+const demandDecay = 2 * time.Second
 
 func (d *demand) decay(now time.Time) {
 	if !d.at.IsZero() {
-		keep := math.Exp(-float64(now.Sub(d.at)) / float64(demandLife))
-		d.light *= keep
-		d.heavy *= keep
+		keep := math.Exp(-float64(now.Sub(d.at)) / float64(demandDecay))
+		d.short *= keep
+		d.long *= keep
 	}
 	d.at = now
 }
 
-func (d *demand) add(now time.Time, read time.Duration, heavy bool) {
+func (d *demand) add(now time.Time, prefill time.Duration, long bool) {
 	d.decay(now)
-	if heavy {
-		d.heavy += read.Seconds()
+	if long {
+		d.long += prefill.Seconds()
 	} else {
-		d.light += read.Seconds()
+		d.short += prefill.Seconds()
 	}
 }
 
 // negligible is a demand that is not worth telling others.
-const negligible = 0.001
+const minDemand = 0.001
 
 func (d *demand) rate(now time.Time) Demand {
 	d.decay(now)
-	r := Demand{Short: d.light / demandLife.Seconds(), Long: d.heavy / demandLife.Seconds()}
-	if r.Short < negligible && r.Long < negligible {
+	r := Demand{Short: d.short / demandDecay.Seconds(), Long: d.long / demandDecay.Seconds()}
+	if r.Short < minDemand && r.Long < minDemand {
 		return Demand{}
 	}
 	return r
 }
 
 // note counts a job's reading as demand.
-func (b *Balancer) note(j Job, read time.Duration, heavy bool) {
+func (b *Balancer) noteDemand(j Job, prefill time.Duration, long bool) {
 	if b.demands == nil {
 		b.demands = make(map[string]*demand)
 	}
@@ -64,16 +64,16 @@
 		d = &demand{}
 		b.demands[j.Service] = d
 	}
-	d.add(b.Clock.Now(), read, heavy)
+	d.add(b.Clock.Now(), prefill, long)
 }
 
 // noteHeavy counts a long prompt as demand when it is asked for the first time. One
 // that is longer than an engine's memory only counts once it is placed.
-func (b *Balancer) noteHeavy(j Job) {
-	if !IsLongPrompt(j) || giant(j) {
+func (b *Balancer) noteLongDemand(j Job) {
+	if !IsLongPrompt(j) || isOversized(j) {
 		return
 	}
-	b.note(j, j.Cost.Prefill(j.PromptTokens), true)
+	b.noteDemand(j, j.Cost.Prefill(j.PromptTokens), true)
 }
 
 // demand returns the demand of all boxes for the service.
@@ -83,8 +83,8 @@
 	if d, ok := b.demands[service]; ok {
 		total = d.rate(now)
 	}
-	others := b.others.Demands[KeyOf(service)]
-	total.Short += others.Short
-	total.Long += others.Long
+	peers := b.peers.Demands[KeyOf(service)]
+	total.Short += peers.Short
+	total.Long += peers.Long
 	return total
 }
--- a/internal/balance/turn_test.go
+++ b/internal/balance/fairness_test.go
@@ -11,7 +11,7 @@
 
 // TestLaggingSize checks that a long prompt goes before a shorter one that waits too once its size
 // is given engines less often: prompts that need the most engine time waited behind all others.
-func TestLaggingSize(t *testing.T) {
+func TestLaggingSizeGoesFirst(t *testing.T) {
 	const small, large = 50_000, 200_000
 	cases := map[string]struct {
 		refused int // refused is how many large prompts have been given up before.
@@ -25,7 +25,7 @@
 			c := quicktest.New(t)
 			f := newFixture(1)
 			place := func(prompt int) *balance.Placement {
-				p := f.place(t, job(prompt))
+				p := f.place(t, engineJob(prompt))
 				p.NoteFirstEvent()
 				return p
 			}
@@ -33,9 +33,9 @@
 				place(small).Done(balance.Report{})
 				place(large).Done(balance.Report{})
 			}
-			busy := f.place(t, job(small))
+			busy := f.place(t, engineJob(small))
 			ask := func(prompt int) *balance.QueuedJob {
-				_, w, err := f.TryPlace(context.Background(), job(prompt))
+				_, w, err := f.TryPlace(context.Background(), engineJob(prompt))
 				c.Assert(err, quicktest.IsNil)
 				c.Assert(w, quicktest.IsNotNil)
 				return w
--- a/internal/balance/hall_test.go
+++ b/internal/balance/hall_test.go
@@ -16,7 +16,7 @@
 
 // TestOwnHall checks that short prompts go to engines of their caller's hall, from which
 // that is not cut off, unless those of another hall are better by more than a margin.
-func TestOwnHall(t *testing.T) {
+func TestShortPromptsStayInHall(t *testing.T) {
 	cases := map[string]struct {
 		// near and far are what engines of the own and of another hall have to read.
 		near time.Duration
@@ -44,7 +44,7 @@
 			}
 			f.SetOthers(busy)
 			for range 10 {
-				j := job(shortPrompt)
+				j := engineJob(shortPrompt)
 				j.Hall = tc.asks
 				p := f.place(t, j)
 				if tc.want != "" {
@@ -59,7 +59,7 @@
 // TestHallsBeforeRegions checks that a short prompt stays with the engines for short prompts
 // while one of these in any hall is nearly as good as an idle one for long prompts, and is
 // then answered in its caller's hall.
-func TestHallsBeforeRegions(t *testing.T) {
+func TestHallScoreKeepsRegions(t *testing.T) {
 	const engines = 20
 	const near, far = 90 * time.Millisecond, 40 * time.Millisecond
 	f := newFixture(engines)
@@ -81,7 +81,7 @@
 	}
 	f.SetOthers(known)
 	for range 20 {
-		p := f.place(t, job(shortPrompt))
+		p := f.place(t, engineJob(shortPrompt))
 		quicktest.Check(t, short[p.Target.ID], quicktest.IsTrue)
 		quicktest.Check(t, p.Target.Hall, quicktest.Equals, barleystep.HallID("h"))
 		p.Done(balance.Report{})
--- a/internal/balance/health_test.go
+++ b/internal/balance/health_test.go
@@ -12,16 +12,16 @@
 
 // TestDown checks when a target is taken to be down: by what this box found, or by
 // what others found while nothing came from the target here.
-func TestDown(t *testing.T) {
+func TestIsDown(t *testing.T) {
 	told := balance.NewSnapshot()
 	told.Work[balance.KeyOf("i-00")] = balance.Work{DownReports: 1}
 	unreachable := func(f *fixture, t *testing.T) {
-		j := plain()
+		j := plainJob()
 		j.Avoid = append(j.Avoid, "i-01")
 		f.place(t, j).Done(balance.Report{Unreachable: true})
 	}
 	heard := func(f *fixture, t *testing.T) {
-		j := plain()
+		j := plainJob()
 		j.Avoid = append(j.Avoid, "i-01")
 		f.place(t, j).NoteEvent()
 	}
@@ -50,7 +50,7 @@
 			}
 			quicktest.Check(t, f.IsDown("i-00"), quicktest.Equals, tc.want)
 			for range 20 {
-				p, err := f.Place(context.Background(), plain())
+				p, err := f.Place(context.Background(), plainJob())
 				quicktest.Assert(t, err, quicktest.IsNil)
 				if tc.want {
 					quicktest.Check(t, string(p.Target.ID), quicktest.Equals, "i-01")
@@ -63,7 +63,7 @@
 
 // TestTellsDown checks that other boxes are told of a target that was not reached, or whose
 // address is another's now, for as long as it is left alone.
-func TestTellsDown(t *testing.T) {
+func TestDownReported(t *testing.T) {
 	cases := map[string]struct {
 		report balance.Report
 		told   bool
@@ -77,7 +77,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(1)
-			f.place(t, plain()).Done(tc.report)
+			f.place(t, plainJob()).Done(tc.report)
 			told := f.Snapshot().Work[balance.KeyOf("i-00")].DownReports > 0
 			quicktest.Check(t, told, quicktest.Equals, tc.told)
 			f.clock.Advance(tc.length)
--- a/internal/balance/blame.go
+++ b/internal/balance/helperbackoff.go
@@ -9,17 +9,17 @@
 
 // blameTime is for how long a target is not asked to help because of which another one has
 // refused a prompt.
-const blameTime = 5 * time.Second
+const helperBackoff = 5 * time.Second
 
 // blamed reports whether a target has refused a prompt of late because of this one.
-func (b *Balancer) blamed(t fleet.Target) bool {
-	return b.Clock.Now().Before(b.state(t.ID).believed.HelperBackoff.Value)
+func (b *Balancer) inHelperBackoff(t fleet.Target) bool {
+	return b.Clock.Now().Before(b.targetState(t.ID).statement.HelperBackoff.Value)
 }
 
 // blame notes that a target has refused a prompt because of a helper.
-func (b *Balancer) blame(helper barleystep.TargetID) {
-	now, s := b.Clock.Now(), b.state(helper)
-	word := TimedStatement{HelperBackoff: Timed[time.Time]{Value: now.Add(blameTime), At: now}}
-	s.heardHere = s.heardHere.join(word)
-	b.believe(helper, s, word)
+func (b *Balancer) backOffHelper(helper barleystep.TargetID) {
+	now, s := b.Clock.Now(), b.targetState(helper)
+	word := TimedStatement{HelperBackoff: Timed[time.Time]{Value: now.Add(helperBackoff), At: now}}
+	s.heardLocally = s.heardLocally.later(word)
+	b.updateStatement(helper, s, word)
 }
--- a/internal/balance/blame_test.go
+++ b/internal/balance/helperbackoff_test.go
@@ -35,34 +35,34 @@
 // TestBlamedHelper checks that a helper because of which a target has refused a prompt is not
 // asked to help for a while, by this box and by those that it tells, and that it takes requests
 // of its own meanwhile.
-func TestBlamedHelper(t *testing.T) {
+func TestHelperBackoff(t *testing.T) {
 	c := quicktest.New(t)
 	first, second := newFixture(8), newFixture(8)
-	p := first.placeNow(t, job(300_000))
+	p := first.placeNow(t, engineJob(300_000))
 	c.Assert(len(p.Helpers) > 0, quicktest.IsTrue)
 	blamed := p.Helpers[0].ID
 	p.Done(balance.Report{Full: true, UnreachableHelper: blamed})
 	second.SetOthers(first.Snapshot())
 	for _, f := range []*fixture{first, second} {
 		f.clock.Advance(time.Second)
-		c.Check(f.helpersOf(t, job(300_000))[blamed], quicktest.IsFalse)
+		c.Check(f.helpersOf(t, engineJob(300_000))[blamed], quicktest.IsFalse)
 		own := f.placeNow(t, f.only(blamed))
 		c.Check(own.Target.ID, quicktest.Equals, blamed)
 		own.Done(balance.Report{})
 		f.clock.Advance(5 * time.Second)
 		f.SetOthers(balance.NewSnapshot())
-		c.Check(f.helpersOf(t, job(300_000))[blamed], quicktest.IsTrue)
+		c.Check(f.helpersOf(t, engineJob(300_000))[blamed], quicktest.IsTrue)
 	}
 }
 
 // TestBlamedHelperNeeded checks that a prompt which needs the memory of all engines gets that of
 // the blamed one too.
-func TestBlamedHelperNeeded(t *testing.T) {
+func TestHelperBackoffIgnoredWhenNeeded(t *testing.T) {
 	const engines = 4
 	f := newFixture(engines)
 	small := *cost
 	small.KVTokens = 20_000
-	all := job(int(0.89*float64((engines-1)*small.KVTokens)) - 100)
+	all := engineJob(int(0.89*float64((engines-1)*small.KVTokens)) - 100)
 	all.Cost = &small
 	p := f.placeNow(t, all)
 	blamed := p.Helpers[0].ID
--- a/internal/balance/lifetime.go
+++ b/internal/balance/incarnation.go
@@ -11,7 +11,7 @@
 // work: it is told of some tens of milliseconds after its start, and the old one took none
 // while it was down. A try that was sent, or heard of, within it is taken to run on the new
 // lifetime; should it not, its silence ends it.
-const newsWindow = 250 * time.Millisecond
+const restartNewsWindow = 250 * time.Millisecond
 
 // Renew drops what is known of earlier lifetimes of the targets. It is called whenever the
 // targets have changed.
@@ -23,52 +23,52 @@
 		if _, known := b.states[t.ID]; !known {
 			continue
 		}
-		if _, anew := b.meet(t); anew {
+		if _, anew := b.observe(t); anew {
 			renewed = true
 		}
 	}
 	if renewed {
-		clear(b.seen)
-		b.serveWaiting(true)
+		clear(b.workCache)
+		b.serveQueues(true)
 	}
 }
 
 // meet takes note of the target's lifetime. It returns what is known of it, and whether it is
 // a new one under a known id: the books, failures and marks of the earlier one are dropped
 // then.
-func (b *Balancer) meet(t fleet.Target) (s *state, renewed bool) {
-	s = b.state(t.ID)
-	renewed = t.Restarted(s.born)
+func (b *Balancer) observe(t fleet.Target) (s *targetState, renewed bool) {
+	s = b.targetState(t.ID)
+	renewed = t.Restarted(s.lastStart)
 	if renewed {
-		s = b.restart(s, t.ID)
+		s = b.resetState(s, t.ID)
 	}
-	if t.StartMS != s.said {
-		s.key, s.said = KeyOfTarget(t), t.StartMS
-		b.hear(t.ID, s)
+	if t.StartMS != s.recordStart {
+		s.key, s.recordStart = KeyOfTarget(t), t.StartMS
+		b.applyPeerStatement(t.ID, s)
 	}
 	if t.StartMS != 0 {
-		s.born = t.StartMS
+		s.lastStart = t.StartMS
 	}
 	return s, renewed
 }
 
 // restart begins the books of a new lifetime with the tries that run there already. The
 // others were on the earlier one and are lost.
-func (b *Balancer) restart(old *state, id barleystep.TargetID) *state {
+func (b *Balancer) resetState(old *targetState, id barleystep.TargetID) *targetState {
 	now := b.Clock.Now()
-	s := &state{key: KeyOf(string(id))}
+	s := &targetState{key: KeyOf(string(id))}
 	// News of a restart may be a second late: the new lifetime may have asked for rest already.
 	// What the earlier one has asked for ends by itself.
-	s.heardHere.Rest, s.returning = old.heardHere.Rest, old.returning
+	s.heardLocally.Rest, s.afterRest = old.heardLocally.Rest, old.afterRest
 	lost := 0
 	for _, p := range old.parts {
-		if p.placement.recent(now) {
-			p.at = s
+		if p.placement.isRecent(now) {
+			p.state = s
 			s.parts = append(s.parts, p)
-			s.heard = p.placement.heard
+			s.lastEvent = p.placement.lastEvent
 			continue
 		}
-		p.end()
+		p.markLost()
 		lost++
 	}
 	old.parts = nil
@@ -82,20 +82,20 @@
 
 // recent reports whether the try was sent or heard of so lately that it runs on the lifetime
 // of which there is news now.
-func (p *Placement) recent(now time.Time) bool {
+func (p *Placement) isRecent(now time.Time) bool {
 	last := p.sent
-	if p.heard.After(last) {
-		last = p.heard
+	if p.lastEvent.After(last) {
+		last = p.lastEvent
 	}
-	return now.Sub(last) < newsWindow
+	return now.Sub(last) < restartNewsWindow
 }
 
 // end notes that the lifetime is over on which the part was placed. The try is lost with it,
 // unless the part was a helper's that was read and set no memory aside.
-func (p *part) end() {
-	p.over = true
+func (p *part) markLost() {
+	p.hasRestarted = true
 	own := p.placement
-	if p != own.parts[0] && own.first && p.work.KVTokens == 0 {
+	if p != own.parts[0] && own.prefilled && p.work.KVTokens == 0 {
 		return
 	}
 	select {
@@ -113,13 +113,13 @@
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return p.over(id)
+	return p.hasRestarted(id)
 }
 
-func (p *Placement) over(id barleystep.TargetID) bool {
+func (p *Placement) hasRestarted(id barleystep.TargetID) bool {
 	for _, own := range p.parts {
 		if own.target == id {
-			return own.over
+			return own.hasRestarted
 		}
 	}
 	return false
--- a/internal/balance/lifetime_test.go
+++ b/internal/balance/incarnation_test.go
@@ -13,16 +13,16 @@
 )
 
 // settled is longer than news of a restart takes.
-const settled = time.Second
+const pastRestartNews = time.Second
 
 // say has a target say when it started.
-func (f *fixture) say(i int, born int64) {
+func (f *fixture) announceStart(i int, born int64) {
 	f.targets[i].StartMS = born
 	f.DetectRestarts()
 }
 
 // other returns what a box that takes a target to be of a lifetime tells of it.
-func other(t fleet.Target, born int64, w balance.Work) balance.Snapshot {
+func peerSnapshot(t fleet.Target, born int64, w balance.Work) balance.Snapshot {
 	t.StartMS = born
 	s := balance.NewSnapshot()
 	s.Work[balance.KeyOfTarget(t)] = w
@@ -31,9 +31,9 @@
 
 // only returns a job that only the first target may take.
 func only(prompt int, f *fixture) balance.Job {
-	j := job(prompt)
+	j := engineJob(prompt)
 	if prompt == 0 {
-		j = plain()
+		j = plainJob()
 	}
 	for _, t := range f.targets[1:] {
 		j.Avoid = append(j.Avoid, t.ID)
@@ -51,18 +51,18 @@
 }
 
 // TestRestartDropsBooks checks what a box knows of a target after what it says of its start.
-func TestRestartDropsBooks(t *testing.T) {
+func TestRestartDropsWork(t *testing.T) {
 	cases := map[string]struct {
 		first, second int64
 		wait          time.Duration
 		dropped       bool
 	}{
-		"another lifetime":               {100, 200, settled, true},
-		"another one, by an older clock": {200, 100, settled, true},
-		"the same lifetime":              {100, 100, settled, false},
-		"it never says":                  {0, 0, settled, false},
-		"it begins to say":               {0, 100, settled, false},
-		"it says no longer":              {100, 0, settled, false},
+		"another lifetime":               {100, 200, pastRestartNews, true},
+		"another one, by an older clock": {200, 100, pastRestartNews, true},
+		"the same lifetime":              {100, 100, pastRestartNews, false},
+		"it never says":                  {0, 0, pastRestartNews, false},
+		"it begins to say":               {0, 100, pastRestartNews, false},
+		"it says no longer":              {100, 0, pastRestartNews, false},
 		"sent a moment before the news":  {100, 200, 50 * time.Millisecond, false},
 	}
 	for name, tc := range cases {
@@ -70,9 +70,9 @@
 			c := quicktest.New(t)
 			f := newFixture(1)
 			f.targets[0].StartMS = tc.first
-			p := f.place(t, job(shortPrompt))
+			p := f.place(t, engineJob(shortPrompt))
 			f.clock.Advance(tc.wait)
-			f.say(0, tc.second)
+			f.announceStart(0, tc.second)
 			c.Check(lost(p), quicktest.Equals, tc.dropped)
 			c.Check(p.HasRestarted("i-00"), quicktest.Equals, tc.dropped)
 			want := balance.Work{Short: 1}
@@ -89,27 +89,29 @@
 
 // TestRestartOverSilence checks that a lifetime is told from the one before although an
 // entry between them did not say.
-func TestRestartOverSilence(t *testing.T) {
+func TestRestartAcrossUnknownStart(t *testing.T) {
 	f := newFixture(1)
 	f.targets[0].StartMS = 100
-	p := f.place(t, job(shortPrompt))
-	f.clock.Advance(settled)
-	f.say(0, 0)
+	p := f.place(t, engineJob(shortPrompt))
+	f.clock.Advance(pastRestartNews)
+	f.announceStart(0, 0)
 	quicktest.Check(t, lost(p), quicktest.IsFalse)
-	f.say(0, 200)
+	f.announceStart(0, 200)
 	quicktest.Check(t, lost(p), quicktest.IsTrue)
 }
 
 // TestRestartDropsMarks checks that a new lifetime is not left alone for failures of the one
 // before, found here or by others, early or late.
-func TestRestartDropsMarks(t *testing.T) {
+func TestRestartClearsBackoff(t *testing.T) {
 	unreachable := func(f *fixture, t *testing.T) {
 		f.place(t, only(0, f)).Done(balance.Report{Unreachable: true})
 	}
 	toldOf := func(born int64) func(*fixture, *testing.T) {
-		return func(f *fixture, _ *testing.T) { f.SetOthers(other(f.targets[0], born, balance.Work{DownReports: 1})) }
+		return func(f *fixture, _ *testing.T) {
+			f.SetOthers(peerSnapshot(f.targets[0], born, balance.Work{DownReports: 1}))
+		}
 	}
-	restart := func(f *fixture, _ *testing.T) { f.say(0, 200) }
+	restart := func(f *fixture, _ *testing.T) { f.announceStart(0, 200) }
 	type steps []func(*fixture, *testing.T)
 	cases := map[string]struct {
 		steps steps
@@ -128,7 +130,7 @@
 			f := newFixture(2)
 			f.targets[0].StartMS = 100
 			f.place(t, only(0, f)).Done(balance.Report{})
-			f.clock.Advance(settled)
+			f.clock.Advance(pastRestartNews)
 			for _, step := range tc.steps {
 				step(f, t)
 			}
@@ -138,17 +140,17 @@
 }
 
 // TestRestartForgivesErrors checks that a new lifetime gets its share of the work at once.
-func TestRestartForgivesErrors(t *testing.T) {
+func TestRestartClearsErrorRate(t *testing.T) {
 	f := newFixture(2)
 	f.targets[0].StartMS = 100
 	for range 20 {
 		f.place(t, only(0, f)).Done(balance.Report{Error: true})
 	}
-	f.clock.Advance(settled)
-	f.say(0, 200)
+	f.clock.Advance(pastRestartNews)
+	f.announceStart(0, 200)
 	first := 0
 	for range 10 {
-		if f.place(t, plain()).Target.ID == "i-00" {
+		if f.place(t, plainJob()).Target.ID == "i-00" {
 			first++
 		}
 	}
@@ -157,12 +159,12 @@
 
 // TestLateAnswer checks that a try of an old lifetime that ends late teaches nothing of the
 // new one.
-func TestLateAnswer(t *testing.T) {
+func TestLateReportOfOldIncarnation(t *testing.T) {
 	f := newFixture(2)
 	f.targets[0].StartMS = 100
 	p := f.place(t, only(0, f))
-	f.clock.Advance(settled)
-	f.say(0, 200)
+	f.clock.Advance(pastRestartNews)
+	f.announceStart(0, 200)
 	p.Done(balance.Report{Unreachable: true})
 	quicktest.Check(t, f.IsDown("i-00"), quicktest.IsFalse)
 	quicktest.Check(t, f.Snapshot().Work, quicktest.HasLen, 0)
@@ -189,7 +191,7 @@
 			for i := range f.targets {
 				f.targets[i].StartMS = 100
 			}
-			j := job(tc.prompt)
+			j := engineJob(tc.prompt)
 			j.Objective = 8 * time.Second
 			p := f.place(t, j)
 			c.Assert(len(p.Helpers) > 0, quicktest.IsTrue)
@@ -197,10 +199,10 @@
 			if tc.read {
 				p.NoteFirstEvent()
 			}
-			f.clock.Advance(settled)
+			f.clock.Advance(pastRestartNews)
 			for i := range f.targets {
 				if f.targets[i].ID == helper {
-					f.say(i, 200)
+					f.announceStart(i, 200)
 				}
 			}
 			c.Check(lost(p), quicktest.Equals, tc.lost)
@@ -212,13 +214,13 @@
 
 // TestRestartEndsGrants checks that the lead counts nothing of what it placed on a lifetime
 // that is over, and that the rest of the placement counts on.
-func TestRestartEndsGrants(t *testing.T) {
+func TestRestartEndsPeerPlacements(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(12)
 	for i := range f.targets {
 		f.targets[i].StartMS = 100
 	}
-	j := job(longPrompt)
+	j := engineJob(longPrompt)
 	j.Objective = 8 * time.Second
 	plan, err := f.PlaceForPeer(context.Background(), j, f.clock.Now().Add(time.Second))
 	c.Assert(err, quicktest.IsNil)
@@ -235,7 +237,7 @@
 	f.clock.Advance(300 * time.Millisecond) // It is late, and so still counts.
 	for i := range f.targets {
 		if f.targets[i].ID == plan.Target {
-			f.say(i, 200)
+			f.announceStart(i, 200)
 		}
 	}
 	c.Check(backlog(plan.Target), quicktest.Equals, time.Duration(0))
@@ -246,18 +248,18 @@
 }
 
 // TestRestartFreesRoom checks that a job that waits for a place gets that of a lost try.
-func TestRestartFreesRoom(t *testing.T) {
+func TestRestartFreesSlots(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(1)
 	f.targets[0].StartMS = 100
 	for range 4 {
-		f.place(t, job(shortPrompt))
+		f.place(t, engineJob(shortPrompt))
 	}
-	f.clock.Advance(settled)
-	p, w, err := f.TryPlace(context.Background(), job(shortPrompt))
+	f.clock.Advance(pastRestartNews)
+	p, w, err := f.TryPlace(context.Background(), engineJob(shortPrompt))
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(p, quicktest.IsNil)
-	f.say(0, 200)
+	f.announceStart(0, 200)
 	p, err = f.Abandon(w)
 	c.Check(err, quicktest.IsNil)
 	c.Check(p, quicktest.Not(quicktest.IsNil))
--- a/internal/balance/lead.go
+++ b/internal/balance/lead.go
@@ -46,42 +46,42 @@
 }
 
 // grant is a placement that was made for another box.
-type grant struct {
+type peerPlacement struct {
 	placement *Placement
 	// counted is until when its requests and memory count here, and until when its
 	// reading counts if its box says nothing.
-	counted time.Time
-	until   time.Time
+	countedUntil time.Time
+	prefillUntil time.Time
 }
 
 const (
 	// grantLife is how long the requests and the memory of a placement for another
 	// box count here: until that box has told of them, which takes some ticks of the
 	// gossip.
-	grantLife = 200 * time.Millisecond
+	peerPlacementLife = 200 * time.Millisecond
 	// lightGrantLife is the same for short prompts, of which a few a second go to an
 	// engine: what counts twice for longer holds up long ones.
-	lightGrantLife = 100 * time.Millisecond
+	shortPeerPlacementLife = 100 * time.Millisecond
 	// readLate is how long after its time a prompt counts as unread of which its box
 	// has said nothing: the box may be gone.
-	readLate = 2 * time.Second
+	prefillGrace = 2 * time.Second
 	// leadMemory is for how long a box counts as the lead that has placed a long prompt
 	// as such: they come a few a second, and none of them leaves nothing to know.
-	leadMemory = time.Second
+	leadRecency = time.Second
 )
 
 // askLead has a prompt placed by the lead. It returns nothing if there is no
 // lead, or none that answers: the prompt is then placed here.
-func (b *Balancer) askLead(ctx context.Context, j Job) (p *Placement, err error) {
-	if b.Lead == nil || (j.Cost == nil && !j.suspect() && !b.limits(j.Service)) {
+func (b *Balancer) requestPlan(ctx context.Context, j Job) (p *Placement, err error) {
+	if b.Lead == nil || (j.Cost == nil && !j.isSuspect() && !b.hasLimitedTarget(j.Service)) {
 		return nil, nil
 	}
 	asked := j
-	asked.Avoid = slices.Concat(j.Avoid, b.withheld()) // The lead may not have heard of them.
+	asked.Avoid = slices.Concat(j.Avoid, b.declinedTargets()) // The lead may not have heard of them.
 	plan, err := b.Lead.Place(ctx, asked)
 	if eris.Is(err, ErrIsLead) {
 		b.mu.Lock()
-		b.leadUntil = b.Clock.Now().Add(leadMemory)
+		b.leadUntil = b.Clock.Now().Add(leadRecency)
 		b.mu.Unlock()
 	}
 	switch {
@@ -115,9 +115,9 @@
 	if !IsLongPrompt(j) {
 		p := plainPlacement(first)
 		if j.Cost != nil {
-			p = lightPlacement(j, first, plan.ExpectedTTFT)
+			p = shortPlacement(j, first, plan.ExpectedTTFT)
 		}
-		b.book(p)
+		b.record(p)
 		p.probe()
 		return p
 	}
@@ -134,12 +134,12 @@
 		helpers = append(helpers, t)
 		memory = h.KVTokens
 	}
-	p := b.placement(j, first, helpers, memory, plan.ExpectedTTFT)
+	p := b.longPlacement(j, first, helpers, memory, plan.ExpectedTTFT)
 	p.plan = plan.ID
 	for _, part := range p.parts {
-		part.led = true
+		part.byLead = true
 	}
-	b.book(p)
+	b.record(p)
 	p.probe()
 	return p
 }
@@ -171,19 +171,19 @@
 func (b *Balancer) HandOver(p *Placement) Plan {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.grants == nil {
-		b.grants = make(map[uint64]*grant)
-		b.granted = uint64(b.draw(math.MaxInt)) // Leads that follow each other count apart.
+	if b.peerPlacements == nil {
+		b.peerPlacements = make(map[uint64]*peerPlacement)
+		b.lastPlanID = uint64(b.randIntN(math.MaxInt)) // Leads that follow each other count apart.
 	}
 	now := b.Clock.Now()
-	b.leadUntil = now.Add(leadMemory)
-	b.granted++
-	g := &grant{placement: p, counted: now.Add(grantLife), until: now.Add(p.expected + readLate)}
-	if p.light() {
-		g.counted = now.Add(lightGrantLife)
-	}
-	b.grants[b.granted] = g
-	plan := Plan{ID: b.granted, Target: p.Target.ID, ExpectedTTFT: p.expected}
+	b.leadUntil = now.Add(leadRecency)
+	b.lastPlanID++
+	g := &peerPlacement{placement: p, countedUntil: now.Add(peerPlacementLife), prefillUntil: now.Add(p.expectedTTFT + prefillGrace)}
+	if p.isShort() {
+		g.countedUntil = now.Add(shortPeerPlacementLife)
+	}
+	b.peerPlacements[b.lastPlanID] = g
+	plan := Plan{ID: b.lastPlanID, Target: p.Target.ID, ExpectedTTFT: p.expectedTTFT}
 	for _, h := range p.Helpers {
 		plan.Helpers = append(plan.Helpers, PlannedHelper{Target: h.ID, KVTokens: h.KVTokens})
 	}
@@ -194,40 +194,40 @@
 func (b *Balancer) PrefillDone(number uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	g, ok := b.grants[number]
+	g, ok := b.peerPlacements[number]
 	if !ok {
 		return
 	}
-	g.placement.read()
-	b.endGrants()
-	clear(b.seen)
-	b.serveQueue(&b.heavyQueue, len(b.heavyQueue))
+	g.placement.notePrefilled()
+	b.expirePeerPlacements()
+	clear(b.workCache)
+	b.serveQueue(&b.longQueue, len(b.longQueue))
 }
 
 // endGrants strikes the grants that count no longer.
-func (b *Balancer) endGrants() {
+func (b *Balancer) expirePeerPlacements() {
 	now := b.Clock.Now()
-	for number, g := range b.grants {
-		counts := now.Before(g.counted)
+	for number, g := range b.peerPlacements {
+		counts := now.Before(g.countedUntil)
 		if !counts {
-			g.placement.uncount()
+			g.placement.keepPrefillOnly()
 		}
-		if !counts && (g.placement.first || g.placement.light() || !now.Before(g.until)) {
-			b.strike(g.placement)
-			delete(b.grants, number)
+		if !counts && (g.placement.prefilled || g.placement.isShort() || !now.Before(g.prefillUntil)) {
+			b.release(g.placement)
+			delete(b.peerPlacements, number)
 		}
 	}
 }
 
 // uncount leaves only the reading of a placement in the books.
-func (p *Placement) uncount() {
+func (p *Placement) keepPrefillOnly() {
 	for _, part := range p.parts {
 		part.work = Work{}
 	}
 }
 
 // tellLead tells the lead that the prompt was read, once.
-func (p *Placement) tellLead() {
+func (p *Placement) notifyLead() {
 	if p.plan == 0 {
 		return
 	}
--- a/internal/balance/leaving.go
+++ b/internal/balance/leaving.go
@@ -10,30 +10,30 @@
 // leavingMemory is for how long it is remembered that a target leaves whose record is gone.
 // Records lapse during an outage of the store and come back, of targets too that leave and
 // serve on for some seconds.
-const leavingMemory = time.Minute
+const leavingRetention = time.Minute
 
 // note notes whether a record names the target.
-func (s *state) note(present bool, now time.Time) {
+func (s *targetState) notePresence(present bool, now time.Time) {
 	switch {
 	case present:
-		s.absent = time.Time{}
-	case s.absent.IsZero():
-		s.absent = now
+		s.absentSince = time.Time{}
+	case s.absentSince.IsZero():
+		s.absentSince = now
 	}
 }
 
 // remembers reports whether what is known of a target is kept that no record names.
-func (s *state) remembers(now time.Time) bool {
-	return s.leaving() && now.Sub(s.absent) < leavingMemory
+func (s *targetState) isRetained(now time.Time) bool {
+	return s.isLeaving() && now.Sub(s.absentSince) < leavingRetention
 }
 
 // closed reports whether the target has said that it takes nothing from this box now: it
 // leaves, or rests.
-func (s *state) closed(now time.Time) bool { return s.leaving() || s.resting(now) }
+func (s *targetState) isDeclining(now time.Time) bool { return s.isLeaving() || s.isResting(now) }
 
 // withheld returns the targets that are offered nothing by this box now: those that leave or
 // rest, and those that have been sent the one request after their rest.
-func (b *Balancer) withheld() []barleystep.TargetID {
+func (b *Balancer) declinedTargets() []barleystep.TargetID {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Clock.Now()
@@ -41,9 +41,9 @@
 	for id := range b.declined {
 		s, known := b.states[id]
 		switch {
-		case known && (s.leaving() || s.rests(now)):
+		case known && (s.isLeaving() || s.isRestingOrProbing(now)):
 			list = append(list, id)
-		case !known || !s.returning:
+		case !known || !s.afterRest:
 			delete(b.declined, id)
 		}
 	}
@@ -51,7 +51,7 @@
 }
 
 // decline notes that the target has said that it leaves or rests.
-func (b *Balancer) decline(id barleystep.TargetID) {
+func (b *Balancer) markDeclined(id barleystep.TargetID) {
 	if b.declined == nil {
 		b.declined = make(map[barleystep.TargetID]bool)
 	}
@@ -65,5 +65,5 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Clock.Now()
-	return !slices.ContainsFunc(p.parts, func(own *part) bool { return own.at.closed(now) })
+	return !slices.ContainsFunc(p.parts, func(own *part) bool { return own.state.isDeclining(now) })
 }
--- a/internal/balance/leaving_test.go
+++ b/internal/balance/leaving_test.go
@@ -34,17 +34,17 @@
 		}
 	}
 	cases := map[string]struct {
-		then  func(f *fixture)
-		takes bool
+		then    func(f *fixture)
+		accepts bool
 	}{
 		"at once":                    {wait(0), false},
 		"much later":                 {wait(time.Hour), false},
 		"its record lapses":          {gone(10 * time.Second), false},
 		"its record is gone at last": {gone(2 * time.Minute), true},
 		"it starts anew": {func(f *fixture) {
-			f.clock.Advance(settled)
-			f.say(0, 100)
-			f.say(0, 200)
+			f.clock.Advance(pastRestartNews)
+			f.announceStart(0, 100)
+			f.announceStart(0, 200)
 		}, true},
 	}
 	for name, tc := range cases {
@@ -52,14 +52,14 @@
 			f := newFixture(2)
 			f.leave(t)
 			tc.then(f)
-			quicktest.Check(t, f.takes(), quicktest.Equals, tc.takes)
+			quicktest.Check(t, f.accepts(), quicktest.Equals, tc.accepts)
 		})
 	}
 }
 
 // TestStaysAfterAll checks which answers take back that a target leaves: those to requests that
 // were sent after it had said so.
-func TestStaysAfterAll(t *testing.T) {
+func TestLeavingRetractedByLaterAnswer(t *testing.T) {
 	cases := map[string]struct {
 		sent time.Duration // sent is when the request was sent, from the word on.
 		want bool
@@ -70,7 +70,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(1)
-			p := f.place(t, plain())
+			p := f.place(t, plainJob())
 			p.NoteStatement(p.Target.ID, barleystep.Statement{Leaving: true}, f.clock.Now())
 			said := f.clock.Now()
 			f.clock.Advance(2 * time.Second)
@@ -81,41 +81,41 @@
 }
 
 // avoider is a lead that notes what it is asked to avoid.
-type avoider struct{ avoided []barleystep.TargetID }
+type recordingLead struct{ avoided []barleystep.TargetID }
 
-func (a *avoider) Place(_ context.Context, j balance.Job) (balance.Plan, error) {
+func (a *recordingLead) Place(_ context.Context, j balance.Job) (balance.Plan, error) {
 	a.avoided = j.Avoid
 	return balance.Plan{}, balance.ErrIsLead
 }
 
-func (*avoider) PrefillDone(uint64) {}
+func (*recordingLead) PrefillDone(uint64) {}
 
 // TestLeavingTold checks that the lead is told which targets leave, that a plan of one that
 // does is not taken over, and that helpers which leave are left out.
-func TestLeavingTold(t *testing.T) {
+func TestLeavingKeptFromPlans(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(4)
 	f.leave(t)
-	lead := &avoider{}
+	lead := &recordingLead{}
 	f.Lead = lead
-	f.place(t, job(5_000))
+	f.place(t, engineJob(5_000))
 	c.Check(lead.avoided, quicktest.DeepEquals, []barleystep.TargetID{"i-00"})
-	c.Check(f.Adopt(job(5_000), balance.Plan{Target: "i-00"}), quicktest.IsNil)
-	p := f.Adopt(job(200_000), balance.Plan{Target: "i-01", Helpers: []balance.PlannedHelper{{Target: "i-00"}, {Target: "i-02"}}})
+	c.Check(f.Adopt(engineJob(5_000), balance.Plan{Target: "i-00"}), quicktest.IsNil)
+	p := f.Adopt(engineJob(200_000), balance.Plan{Target: "i-01", Helpers: []balance.PlannedHelper{{Target: "i-00"}, {Target: "i-02"}}})
 	c.Assert(p, quicktest.IsNotNil)
 	c.Check(p.Helpers, quicktest.HasLen, 1)
 }
 
 // TestWithdrawn checks that a placement stands until its target says that it leaves, and that a
 // service all of whose targets do has none.
-func TestWithdrawn(t *testing.T) {
+func TestPlacementInvalidAfterLeaving(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(1)
-	first, second := f.place(t, plain()), f.place(t, plain())
+	first, second := f.place(t, plainJob()), f.place(t, plainJob())
 	c.Check(second.IsValid(), quicktest.IsTrue)
 	first.NoteStatement(first.Target.ID, barleystep.Statement{Leaving: true}, f.clock.Now())
 	c.Check(second.IsValid(), quicktest.IsFalse)
-	_, err := f.Place(context.Background(), plain())
+	_, err := f.Place(context.Background(), plainJob())
 	c.Check(eris.Is(err, balance.ErrNoTarget), quicktest.IsTrue)
 	c.Check(f.NotLeaving([]barleystep.TargetID{"i-00"}), quicktest.HasLen, 0)
 }
--- a/internal/balance/giant_test.go
+++ b/internal/balance/oversized_test.go
@@ -14,11 +14,11 @@
 )
 
 // overMemory is a prompt for which no engine of these tests has the memory.
-const overMemory = 500_000
+const oversizedPrompt = 500_000
 
 // TestOverMemoryWaits checks that a prompt over an engine's memory waits for engines to be
 // idle, holds up nobody behind it, and is placed once they are.
-func TestOverMemoryWaits(t *testing.T) {
+func TestOversizedPromptWaits(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(6)
 	all := func(w balance.Work) balance.Snapshot {
@@ -30,14 +30,14 @@
 	}
 	f.SetOthers(all(balance.Work{Backlog: time.Second}))
 	ask := func(prompt int) *balance.QueuedJob {
-		j := job(prompt)
+		j := engineJob(prompt)
 		j.Objective = 4 * time.Second
 		_, w, err := f.TryPlace(context.Background(), j)
 		c.Assert(err, quicktest.IsNil)
 		c.Assert(w, quicktest.IsNotNil)
 		return w
 	}
-	over, long := ask(overMemory), ask(longPrompt)
+	over, long := ask(oversizedPrompt), ask(longPrompt)
 	f.SetOthers(all(balance.Work{KVTokens: 420_000})) // They have read, and write.
 	c.Assert(long.Ready(), quicktest.HasLen, 1)
 	c.Check(over.Ready(), quicktest.HasLen, 0)
@@ -51,9 +51,9 @@
 // TestOverMemoryWait checks for how long a prompt over an engine's memory waits: its caller
 // is told soon to come back, and then, as it has no third try, waits while it can be in time
 // by the second.
-func TestOverMemoryWait(t *testing.T) {
+func TestOversizedPromptDeadline(t *testing.T) {
 	const objective = 8 * time.Second
-	least := cost.Prefill(overMemory)/17 + cost.Pass()
+	least := cost.Prefill(oversizedPrompt)/17 + cost.Pass()
 	cases := map[string]struct {
 		earlier time.Duration // earlier is how long ago the first try was that was refused.
 		taken   time.Duration // taken is for how long the box has had the request.
@@ -77,7 +77,7 @@
 				busy.Work[balance.KeyOf(string(target.ID))] = balance.Work{Backlog: time.Minute}
 			}
 			f.SetOthers(busy)
-			j := job(overMemory)
+			j := engineJob(oversizedPrompt)
 			j.Objective = objective
 			now := f.clock.Now()
 			j.FirstArrival = now.Add(-tc.earlier - tc.taken)
@@ -94,18 +94,18 @@
 
 // TestInVain checks that a long prompt that has waited in vain leaves a line that says what
 // its engines lacked the last time that it was tried.
-func TestInVain(t *testing.T) {
+func TestTimedOutPromptIsLogged(t *testing.T) {
 	cases := map[string]struct {
 		work   balance.Work
 		before int // before is the prompt of a job that waits before this one, if any.
 		prompt int
 		want   string
 	}{
-		"its engines read":       {work: balance.Work{Backlog: time.Minute}, prompt: overMemory, want: "engines read"},
-		"its helpers are full":   {work: balance.Work{KVTokens: 420_000}, prompt: overMemory, want: "memory is lacking"},
-		"another one is before":  {work: balance.Work{Backlog: time.Minute}, before: longPrompt, prompt: overMemory, want: "behind another"},
+		"its engines read":       {work: balance.Work{Backlog: time.Minute}, prompt: oversizedPrompt, want: "engines read"},
+		"its helpers are full":   {work: balance.Work{KVTokens: 420_000}, prompt: oversizedPrompt, want: "memory is lacking"},
+		"another one is before":  {work: balance.Work{Backlog: time.Minute}, before: longPrompt, prompt: oversizedPrompt, want: "behind another"},
 		"not over memory":        {work: balance.Work{Backlog: time.Minute}, prompt: longPrompt, want: "engines read"},
-		"its streams are better": {work: balance.Work{Short: 500}, prompt: overMemory, want: "streams are worth more"},
+		"its streams are better": {work: balance.Work{Short: 500}, prompt: oversizedPrompt, want: "streams are worth more"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -119,7 +119,7 @@
 			}
 			f.SetOthers(busy)
 			ask := func(prompt int) *balance.QueuedJob {
-				j := job(prompt)
+				j := engineJob(prompt)
 				j.Objective = 8 * time.Second
 				_, w, err := f.TryPlace(context.Background(), j)
 				c.Assert(err, quicktest.IsNil)
--- a/internal/balance/placement.go
+++ b/internal/balance/placement.go
@@ -24,24 +24,24 @@
 	// Helpers are engines that read parts of the prompt.
 	Helpers []Helper
 
-	balancer *Balancer
-	parts    []*part
-	first    bool
+	balancer  *Balancer
+	parts     []*part
+	prefilled bool
 	// plan is the lead's number of the placement while the lead is to be told that the
 	// prompt was read; zero if it was placed here.
-	plan     uint64
-	expected time.Duration
+	plan         uint64
+	expectedTTFT time.Duration
 	// sent is when the placement was made, and heard when its target last sent something
 	// of it.
-	sent  time.Time
-	heard time.Time
+	sent      time.Time
+	lastEvent time.Time
 	// lost is closed when a target that the try needs has started anew.
 	lost chan struct{}
 }
 
 // Expected returns after how long the first event is expected, zero if nothing
 // is known of it.
-func (p *Placement) ExpectedTTFT() time.Duration { return p.expected }
+func (p *Placement) ExpectedTTFT() time.Duration { return p.expectedTTFT }
 
 // part is what a try costs one target.
 type part struct {
@@ -49,17 +49,17 @@
 	placement *Placement
 	// at is the lifetime of the target that the part was placed on; over is set once that
 	// has ended.
-	at   *state
-	over bool
-	work Work
+	state        *targetState
+	hasRestarted bool
+	work         Work
 	// share is how long the target reads its part of a long prompt, zero once that is
 	// done, and until is when it is expected to be done. A pass with a writer takes so
 	// long there.
-	share time.Duration
-	until time.Time
-	pass  time.Duration
+	prefill    time.Duration
+	prefillEnd time.Time
+	pass       time.Duration
 	// led is set where the lead has placed it, which keeps its own books.
-	led bool
+	byLead bool
 }
 
 // First tells that the first event came: the prompt has been read.
@@ -67,8 +67,8 @@
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p.hear()
-	p.read()
+	p.noteEvent()
+	p.notePrefilled()
 }
 
 // Heard tells that the target sent something.
@@ -76,12 +76,12 @@
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p.hear()
+	p.noteEvent()
 }
 
-func (p *Placement) hear() {
-	p.heard = p.balancer.Clock.Now()
-	p.parts[0].at.heard, p.parts[0].at.returning = p.heard, false
+func (p *Placement) noteEvent() {
+	p.lastEvent = p.balancer.Clock.Now()
+	p.parts[0].state.lastEvent, p.parts[0].state.afterRest = p.lastEvent, false
 }
 
 // Gone tells that a target of the placement has refused a connection.
@@ -89,7 +89,7 @@
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.learn(id, Report{Unreachable: true})
+	b.noteReport(id, Report{Unreachable: true})
 }
 
 // LeaveOut takes helpers off the placement, so that the others read more. It reports false,
@@ -106,29 +106,29 @@
 	p.parts = slices.DeleteFunc(p.parts, func(own *part) bool {
 		out := slices.Contains(silent, own.target)
 		if out {
-			b.strikePart(own)
+			b.releasePart(own)
 		}
 		return out
 	})
 	p.Helpers = slices.DeleteFunc(p.Helpers, func(h Helper) bool { return slices.Contains(silent, h.ID) })
 	for _, own := range p.parts {
-		more := own.share*time.Duration(before)/time.Duration(len(p.parts)) - own.share
-		own.share += more
-		own.until = own.until.Add(more)
+		more := own.prefill*time.Duration(before)/time.Duration(len(p.parts)) - own.prefill
+		own.prefill += more
+		own.prefillEnd = own.prefillEnd.Add(more)
 	}
 	return true
 }
 
-func (p *Placement) read() {
-	if p.first {
+func (p *Placement) notePrefilled() {
+	if p.prefilled {
 		return
 	}
-	p.first = true
+	p.prefilled = true
 	for _, part := range p.parts {
 		part.work.Backlog, part.work.PendingPrefills = 0, 0
-		part.share = 0
+		part.prefill = 0
 	}
-	p.tellLead()
+	p.notifyLead()
 }
 
 // Return gives a placement back that was not used: it says nothing of its target. It is
@@ -137,8 +137,8 @@
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.strike(p)
-	b.serveWaiting(false)
+	b.release(p)
+	b.serveQueues(false)
 }
 
 // Done takes the try off its targets and learns from it.
@@ -146,13 +146,13 @@
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.strike(p)
-	if !p.over(p.Target.ID) {
-		b.learn(p.Target.ID, r)
+	b.release(p)
+	if !p.hasRestarted(p.Target.ID) {
+		b.noteReport(p.Target.ID, r)
 	}
-	if r.UnreachableHelper != "" && !p.over(r.UnreachableHelper) {
-		b.learn(r.UnreachableHelper, Report{Unreachable: true})
-		b.blame(r.UnreachableHelper)
+	if r.UnreachableHelper != "" && !p.hasRestarted(r.UnreachableHelper) {
+		b.noteReport(r.UnreachableHelper, Report{Unreachable: true})
+		b.backOffHelper(r.UnreachableHelper)
 	}
-	b.serveWaiting(false)
+	b.serveQueues(false)
 }
--- a/internal/balance/declined_test.go
+++ b/internal/balance/planrequest_test.go
@@ -12,20 +12,20 @@
 )
 
 // askedLead is a lead without a place that keeps what it was asked.
-type askedLead struct {
+type requestRecordingLead struct {
 	fullLead
-	asked balance.Job
+	requested balance.Job
 }
 
 // Place keeps the job.
-func (l *askedLead) Place(_ context.Context, j balance.Job) (balance.Plan, error) {
-	l.asked = j
+func (l *requestRecordingLead) Place(_ context.Context, j balance.Job) (balance.Plan, error) {
+	l.requested = j
 	return balance.Plan{}, balance.ErrFull
 }
 
 // TestLeadIsToldWhoDeclines checks that a question to the lead names the targets that leave or
 // rest, for as long as they do: only these are looked at, not all that the box knows.
-func TestLeadIsToldWhoDeclines(t *testing.T) {
+func TestPlanRequestNamesDecliningTargets(t *testing.T) {
 	const length = 3 * time.Second
 	says := func(f *fixture, said barleystep.Statement) {
 		p := f.place(t, f.only("i-00"))
@@ -54,7 +54,7 @@
 			p := f.place(t, f.only("i-00"))
 			p.NoteFirstEvent()
 			p.Done(balance.Report{})
-			f.ask()
+			f.planRequestExcludesFirst()
 			says(f, barleystep.Statement{Leaving: true})
 		}, true},
 		"another box is told": {func(f *fixture) {
@@ -68,18 +68,18 @@
 			f := newFixture(2)
 			f.place(t, f.only("i-00")).Done(balance.Report{})
 			tc.then(f)
-			quicktest.Check(t, f.ask(), quicktest.Equals, tc.want)
+			quicktest.Check(t, f.planRequestExcludesFirst(), quicktest.Equals, tc.want)
 		})
 	}
 }
 
 // ask asks a lead for a place and reports whether it was told that the first target declines.
-func (f *fixture) ask() bool {
-	l := &askedLead{}
+func (f *fixture) planRequestExcludesFirst() bool {
+	l := &requestRecordingLead{}
 	f.Lead = l
 	defer func() { f.Lead = nil }()
-	_, _ = f.Place(context.Background(), job(shortPrompt))
-	for _, id := range l.asked.Avoid {
+	_, _ = f.Place(context.Background(), engineJob(shortPrompt))
+	for _, id := range l.requested.Avoid {
 		if id == "i-00" {
 			return true
 		}
--- a/internal/balance/waiting_test.go
+++ b/internal/balance/queue_test.go
@@ -14,35 +14,35 @@
 
 // TestWaits checks that a short prompt waits while all slots are taken, gets the
 // next one that is free, and is refused when its caller would not wait longer.
-func TestWaits(t *testing.T) {
+func TestShortPromptWaits(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(1)
 	var placed []*balance.Placement
 	for range 4 {
-		placed = append(placed, f.place(t, job(shortPrompt)))
+		placed = append(placed, f.place(t, engineJob(shortPrompt)))
 	}
 	got := make(chan error, 2)
 	wait := func() {
-		_, err := f.Place(context.Background(), job(shortPrompt))
+		_, err := f.Place(context.Background(), engineJob(shortPrompt))
 		got <- err
 	}
 	go wait()
-	f.queued()
+	f.waitUntilQueued()
 	placed[0].Done(balance.Report{})
 	c.Check(<-got, quicktest.IsNil)
 
 	f = newFixture(1)
 	for range 4 {
-		f.place(t, job(shortPrompt))
+		f.place(t, engineJob(shortPrompt))
 	}
 	go wait()
-	f.queued()
+	f.waitUntilQueued()
 	f.clock.Advance(2 * time.Second)
 	c.Check(eris.Is(<-got, balance.ErrFull), quicktest.IsTrue)
 }
 
 // TestOrder checks which of the waiting prompts gets the next free slot.
-func TestOrder(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	type wait struct {
 		name string
 		rank int
@@ -62,13 +62,13 @@
 			f := newFixture(1)
 			var placed []*balance.Placement
 			for range 4 {
-				placed = append(placed, f.place(t, job(shortPrompt)))
+				placed = append(placed, f.place(t, engineJob(shortPrompt)))
 			}
 			served := make(chan string, len(tc.waits))
 			for i, w := range tc.waits {
 				f.clock.Advance(w.after)
 				go func() {
-					j := job(shortPrompt)
+					j := engineJob(shortPrompt)
 					j.Priority = w.rank
 					if _, err := f.Place(context.Background(), j); err == nil {
 						served <- w.name
@@ -88,12 +88,12 @@
 
 // TestLongWaits checks that long prompts wait until their engine has read the one
 // before, and that of those that wait the shortest goes first.
-func TestLongWaits(t *testing.T) {
+func TestLongPromptWaits(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(1)
-	first := f.place(t, job(longPrompt))
+	first := f.place(t, engineJob(longPrompt))
 	ask := func(prompt int) *balance.QueuedJob {
-		_, w, err := f.TryPlace(context.Background(), job(prompt))
+		_, w, err := f.TryPlace(context.Background(), engineJob(prompt))
 		c.Assert(err, quicktest.IsNil)
 		c.Assert(w, quicktest.IsNotNil)
 		return w
@@ -108,7 +108,7 @@
 
 // TestLull checks that a long prompt waits for the streams that it would hold up to
 // end while it has time, and no longer when it has not.
-func TestLull(t *testing.T) {
+func TestLongPromptDeferred(t *testing.T) {
 	cases := map[string]struct {
 		streams int
 		waited  time.Duration
@@ -133,7 +133,7 @@
 			f.SetOthers(busy)
 			slots := *cost
 			slots.Slots = 16
-			j := job(longPrompt)
+			j := engineJob(longPrompt)
 			j.Cost = &slots
 			j.Objective = 3 * time.Second
 			j.Arrival = f.clock.Now().Add(-tc.waited)
@@ -151,7 +151,7 @@
 
 // TestTimeLeft checks that a long prompt whose caller would be gone before an answer is
 // refused at once, and that one that waits is placed, or refused, while there is time.
-func TestTimeLeft(t *testing.T) {
+func TestCallerDeadline(t *testing.T) {
 	read := cost.Prefill(longPrompt)
 	cases := map[string]struct {
 		left   time.Duration
@@ -174,7 +174,7 @@
 				busy.Work[balance.KeyOf("i-00")] = balance.Work{Backlog: tc.busy, Long: 1}
 				f.SetOthers(busy)
 			}
-			j := job(longPrompt)
+			j := engineJob(longPrompt)
 			j.Objective = time.Minute
 			j.FirstEventDeadline = f.clock.Now().Add(tc.left)
 			p, w, err := f.TryPlace(context.Background(), j)
@@ -195,7 +195,7 @@
 
 // TestLongWait checks for how long a long prompt waits for its engines, by how much of
 // them callers ask for and when its own first tried.
-func TestLongWait(t *testing.T) {
+func TestLongPromptDeadline(t *testing.T) {
 	const objective = 10 * time.Second
 	const crowd, calm = 1.0, 0.1
 	cases := map[string]struct {
@@ -217,7 +217,7 @@
 			busy.Work[balance.KeyOf("i-00")] = balance.Work{Backlog: time.Minute, Long: 1}
 			busy.Demands[balance.KeyOf("s")] = balance.Demand{Long: tc.demand}
 			f.SetOthers(busy)
-			j := job(60_000)
+			j := engineJob(60_000)
 			j.Objective = objective
 			j.FirstArrival = f.clock.Now().Add(-tc.earlier)
 			_, w, err := f.TryPlace(context.Background(), j)
--- a/internal/balance/chance.go
+++ b/internal/balance/random.go
@@ -3,7 +3,7 @@
 import "math/rand/v2"
 
 // chance returns a number from 0 to 1, without 1.
-func (b *Balancer) chance() float64 {
+func (b *Balancer) randFloat() float64 {
 	if b.Rand != nil {
 		return b.Rand.Float64()
 	}
@@ -11,7 +11,7 @@
 }
 
 // draw returns a number from 0 to n, without n.
-func (b *Balancer) draw(n int) int {
+func (b *Balancer) randIntN(n int) int {
 	if b.Rand != nil {
 		return b.Rand.IntN(n)
 	}
--- a/internal/balance/allowance.go
+++ b/internal/balance/ratelimit.go
@@ -34,14 +34,14 @@
 	// placed at the news of the others, every 50 to 100 ms. Where callers ask for twice what
 	// targets of twenty a second take, 0.92 of it is used with it and 0.80 without; with
 	// limits of one a second it makes no difference.
-	bucketSpan = 100 * time.Millisecond
+	bucketBurst = 100 * time.Millisecond
 	// limitWindow is the time over which targets count what they get.
 	limitWindow = 4 * time.Second
 	// strayPart is the part of a limit that boxes without a lead share.
-	strayPart = 0.25
+	noLeadShare = 0.25
 	// leastRate is the rate, in requests a second, at which targets are asked that take less,
 	// or nothing: only an answer says that a limit is over.
-	leastRate = 0.1
+	minRate = 0.1
 )
 
 // Role is a box's part among the boxes that it knows.
@@ -63,109 +63,109 @@
 
 // leads reports whether the box places what others ask for; one without a lead does so for
 // itself.
-func (b *Balancer) leads() bool { return b.Lead == nil || b.role.IsLead }
+func (b *Balancer) isLead() bool { return b.Lead == nil || b.role.IsLead }
 
 // allowance is what this box may send to a target that has named a limit.
-type allowance struct {
+type rateLimiter struct {
 	// tokens are the requests that the lead may place, as of filled, which is zero while the
 	// box does not lead.
-	tokens float64
-	filled time.Time
+	tokens     float64
+	refilledAt time.Time
 	// strays are when the box placed requests there without a lead, in the last limitWindow.
-	strays []time.Time
+	sentWithoutLead []time.Time
 }
 
 // rate returns how many requests a second all boxes may send.
-func rate(l barleystep.RateLimit) float64 { return max(l.PerSecond(), leastRate) }
+func allowedRate(l barleystep.RateLimit) float64 { return max(l.PerSecond(), minRate) }
 
 // leadRate returns how many requests a second this box may place as the lead: its side's part
 // of the limit.
 func (b *Balancer) leadRate(l barleystep.RateLimit) float64 {
 	if b.role.Boxes == 0 {
-		return rate(l)
+		return allowedRate(l)
 	}
-	return rate(l) * min(float64(b.role.Reachable)/float64(b.role.Boxes), 1)
+	return allowedRate(l) * min(float64(b.role.Reachable)/float64(b.role.Boxes), 1)
 }
 
 // strayRequests returns how many requests this box may place without a lead in each
 // limitWindow.
-func (b *Balancer) strayRequests(l barleystep.RateLimit) int {
-	all := strayPart * rate(l) * limitWindow.Seconds()
+func (b *Balancer) requestsWithoutLead(l barleystep.RateLimit) int {
+	all := noLeadShare * allowedRate(l) * limitWindow.Seconds()
 	return int(all / float64(max(b.role.Boxes, 1)))
 }
 
 // admits reports whether the target may get the job, by what it says that it takes. It has
 // asked this box for rest, not the one that the job is placed for.
-func (b *Balancer) admits(j Job, s *state) bool {
-	return (j.ForPeer || !s.rests(b.Clock.Now())) && b.withinLimit(s)
+func (b *Balancer) accepts(j Job, s *targetState) bool {
+	return (j.ForPeer || !s.isRestingOrProbing(b.Clock.Now())) && b.withinLimit(s)
 }
 
 // withinLimit reports whether the target may get one more request from this box.
-func (b *Balancer) withinLimit(s *state) bool {
+func (b *Balancer) withinLimit(s *targetState) bool {
 	if !s.limit().IsSet() {
 		return true
 	}
 	now := b.Clock.Now()
-	if b.leads() {
-		s.allowance.fill(b.leadRate(s.limit()), now)
-		return s.allowance.tokens >= 1
+	if b.isLead() {
+		s.rateLimiter.refill(b.leadRate(s.limit()), now)
+		return s.rateLimiter.tokens >= 1
 	}
-	s.allowance.filled = time.Time{}
-	s.allowance.expire(now)
-	return len(s.allowance.strays) < b.strayRequests(s.limit())
+	s.rateLimiter.refilledAt = time.Time{}
+	s.rateLimiter.expire(now)
+	return len(s.rateLimiter.sentWithoutLead) < b.requestsWithoutLead(s.limit())
 }
 
 // fill adds what the rate has given since the last time.
-func (a *allowance) fill(rate float64, now time.Time) {
-	if a.filled.IsZero() {
-		a.tokens, a.filled = 0, now
+func (a *rateLimiter) refill(rate float64, now time.Time) {
+	if a.refilledAt.IsZero() {
+		a.tokens, a.refilledAt = 0, now
 	}
-	most := 1 + rate*bucketSpan.Seconds()
-	a.tokens = min(a.tokens+rate*now.Sub(a.filled).Seconds(), most)
-	a.filled = now
+	most := 1 + rate*bucketBurst.Seconds()
+	a.tokens = min(a.tokens+rate*now.Sub(a.refilledAt).Seconds(), most)
+	a.refilledAt = now
 }
 
 // expire forgets the requests that count no longer.
-func (a *allowance) expire(now time.Time) {
-	a.strays = slices.DeleteFunc(a.strays, func(at time.Time) bool { return now.Sub(at) >= limitWindow })
+func (a *rateLimiter) expire(now time.Time) {
+	a.sentWithoutLead = slices.DeleteFunc(a.sentWithoutLead, func(at time.Time) bool { return now.Sub(at) >= limitWindow })
 }
 
 // spend takes a placement that was made here from what its targets take.
-func (b *Balancer) spend(p *Placement) {
+func (b *Balancer) chargeLimits(p *Placement) {
 	for _, part := range p.parts {
-		s := b.state(part.target)
+		s := b.targetState(part.target)
 		switch {
 		case !s.limit().IsSet():
-		case b.leads():
-			s.allowance.tokens--
+		case b.isLead():
+			s.rateLimiter.tokens--
 		default:
-			s.allowance.strays = append(s.allowance.strays, b.Clock.Now())
+			s.rateLimiter.sentWithoutLead = append(s.rateLimiter.sentWithoutLead, b.Clock.Now())
 		}
 	}
 }
 
 // admitting returns those of the targets that may get the job, in the room of the list that is
 // given.
-func (b *Balancer) admitting(j Job, targets []fleet.Target) []fleet.Target {
-	return slices.DeleteFunc(targets, func(t fleet.Target) bool { return !b.admits(j, b.state(t.ID)) })
+func (b *Balancer) accepting(j Job, targets []fleet.Target) []fleet.Target {
+	return slices.DeleteFunc(targets, func(t fleet.Target) bool { return !b.accepts(j, b.targetState(t.ID)) })
 }
 
 // limitDelay returns how long it takes until the limits of all targets of the job have room
 // for it and for those that wait before it, and whether they ever have; where all of them rest,
 // until the first of them has rested. It is a bound from below, as if each bucket were about to
 // have room for the first of them.
-func (b *Balancer) limitDelay(j Job) (delay time.Duration, ever bool) {
+func (b *Balancer) minLimitDelay(j Job) (delay time.Duration, ever bool) {
 	perSecond := 0.0
 	candidates := b.candidates(j)
-	if rest := b.restLeft(candidates); rest > 0 && !j.ForPeer {
+	if rest := b.restRemaining(candidates); rest > 0 && !j.ForPeer {
 		return rest, true
 	}
 	for _, t := range candidates {
-		l := b.state(t.ID).limit()
-		if b.leads() {
+		l := b.targetState(t.ID).limit()
+		if b.isLead() {
 			perSecond += b.leadRate(l)
 		} else {
-			perSecond += float64(b.strayRequests(l)) / limitWindow.Seconds()
+			perSecond += float64(b.requestsWithoutLead(l)) / limitWindow.Seconds()
 		}
 	}
 	if perSecond == 0 {
@@ -173,7 +173,7 @@
 	}
 	before := 0
 	for _, w := range b.limitQueue {
-		if !w.gone && w.job.Service == j.Service {
+		if !w.cancelled && w.job.Service == j.Service {
 			before++
 		}
 	}
--- a/internal/balance/limit_test.go
+++ b/internal/balance/ratelimit_test.go
@@ -18,14 +18,14 @@
 const window = 4 * time.Second
 
 // limited returns a balancer whose first target has named a limit.
-func limited(t *testing.T, targets int, perSecond float64) *fixture {
+func newLimitedFixture(t *testing.T, targets int, perSecond float64) *fixture {
 	f := newFixture(targets)
-	f.name(t, perSecond)
+	f.announceLimit(t, perSecond)
 	return f
 }
 
 // name has the first target name a limit in an answer.
-func (f *fixture) name(t *testing.T, perSecond float64) {
+func (f *fixture) announceLimit(t *testing.T, perSecond float64) {
 	p := f.place(t, f.only("i-00"))
 	p.NoteStatement(p.Target.ID, barleystep.Statement{Limit: barleystep.NewRateLimit(perSecond)}, f.clock.Now())
 	p.Done(balance.Report{})
@@ -33,7 +33,7 @@
 
 // only returns a request to a plain service that one target alone can take.
 func (f *fixture) only(id barleystep.TargetID) balance.Job {
-	j := plain()
+	j := plainJob()
 	for _, t := range f.targets {
 		if t.ID != id {
 			j.Avoid = append(j.Avoid, t.ID)
@@ -43,7 +43,7 @@
 }
 
 // takes reports whether the first target takes a request now.
-func (f *fixture) takes() bool {
+func (f *fixture) accepts() bool {
 	p, w, err := f.TryPlace(context.Background(), f.only("i-00"))
 	switch {
 	case p != nil:
@@ -55,11 +55,11 @@
 }
 
 // count asks for a place at the first target every 50 ms and returns how many it was given.
-func (f *fixture) count(length time.Duration) int {
+func (f *fixture) countAccepted(length time.Duration) int {
 	given := 0
 	for range length / (50 * time.Millisecond) {
 		f.clock.Advance(50 * time.Millisecond)
-		if f.takes() {
+		if f.accepts() {
 			given++
 		}
 	}
@@ -67,17 +67,17 @@
 }
 
 // asking is a lead that is never asked in these tests, since nobody waits for it.
-type asking struct{ err error }
+type unusedLead struct{ err error }
 
-func (a asking) Place(context.Context, balance.Job) (balance.Plan, error) {
+func (a unusedLead) Place(context.Context, balance.Job) (balance.Plan, error) {
 	return balance.Plan{}, a.err
 }
-func (asking) PrefillDone(uint64) {}
+func (unusedLead) PrefillDone(uint64) {}
 
 // TestAllowance checks what a box gives a target with a limit in 40 seconds, by its part
 // among the boxes.
-func TestAllowance(t *testing.T) {
-	stray := asking{eris.New("no answer")}
+func TestLimitByRole(t *testing.T) {
+	stray := unusedLead{eris.New("no answer")}
 	cases := map[string]struct {
 		lead      balance.Lead
 		role      balance.Role
@@ -86,23 +86,23 @@
 		most      int
 	}{
 		"alone":                            {nil, balance.Role{}, 1, 39, 41},
-		"lead of all":                      {asking{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 9}, 1, 39, 41},
-		"lead of all, one in four seconds": {asking{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 9}, 0.25, 9, 11},
-		"lead of all, ten a second":        {asking{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 9}, 10, 395, 405},
-		"lead of a side of three":          {asking{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 3}, 1, 12, 14},
-		"lead of a side of six":            {asking{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 6}, 1, 25, 27},
-		"lead, takes nothing":              {asking{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 9}, 0, 3, 4},
+		"lead of all":                      {unusedLead{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 9}, 1, 39, 41},
+		"lead of all, one in four seconds": {unusedLead{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 9}, 0.25, 9, 11},
+		"lead of all, ten a second":        {unusedLead{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 9}, 10, 395, 405},
+		"lead of a side of three":          {unusedLead{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 3}, 1, 12, 14},
+		"lead of a side of six":            {unusedLead{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 6}, 1, 25, 27},
+		"lead, takes nothing":              {unusedLead{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 9}, 0, 3, 4},
 		"no lead, share below one":         {stray, balance.Role{Boxes: 9, Reachable: 9}, 1, 0, 0},
 		"no lead, share of one":            {stray, balance.Role{Boxes: 9, Reachable: 9}, 9, 10, 11},
 		"no lead, share of two":            {stray, balance.Role{Boxes: 9, Reachable: 9}, 20, 20, 22},
-		"no lead is known":                 {asking{balance.ErrIsLead}, balance.Role{Boxes: 9, Reachable: 9}, 1, 0, 0},
+		"no lead is known":                 {unusedLead{balance.ErrIsLead}, balance.Role{Boxes: 9, Reachable: 9}, 1, 0, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := limited(t, 2, tc.perSecond)
+			f := newLimitedFixture(t, 2, tc.perSecond)
 			f.Lead = tc.lead
 			f.SetRole(tc.role)
-			given := f.count(40 * time.Second)
+			given := f.countAccepted(40 * time.Second)
 			quicktest.Check(t, given >= tc.least && given <= tc.most, quicktest.IsTrue, quicktest.Commentf("%d", given))
 		})
 	}
@@ -111,11 +111,11 @@
 // TestAllowanceBound checks that no span of four seconds has more than 4.1 times the limit and
 // one request, however the box takes the lead up and lays it down, and however
 // its callers come.
-func TestAllowanceBound(t *testing.T) {
+func TestLimitBound(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		perSecond := rapid.SampledFrom([]float64{0.25, 0.5, 1, 2, 5}).Draw(r, "limit")
-		f := limited(t, 2, perSecond)
-		f.Lead = asking{balance.ErrIsLead}
+		f := newLimitedFixture(t, 2, perSecond)
+		f.Lead = unusedLead{balance.ErrIsLead}
 		leads := true
 		var given []time.Time
 		for range rapid.IntRange(50, 300).Draw(r, "steps") {
@@ -125,7 +125,7 @@
 			}
 			f.SetRole(balance.Role{IsLead: leads, Boxes: 9, Reachable: 9})
 			for range rapid.IntRange(1, 4).Draw(r, "callers") {
-				if f.takes() {
+				if f.accepts() {
 					given = append(given, f.clock.Now())
 				}
 			}
@@ -161,14 +161,14 @@
 			p.NoteStatement(p.Target.ID, barleystep.Statement{Limit: none}, f.clock.Now().Add(-3*time.Second))
 		}, true},
 		"lifted, as another box tells": {func(f *fixture, _ *balance.Placement) {
-			f.SetOthers(news(none, f.clock.Now().Add(-time.Second)))
+			f.SetOthers(peerLimit(none, f.clock.Now().Add(-time.Second)))
 		}, false},
 		"lifted before, as another box tells late": {func(f *fixture, _ *balance.Placement) {
-			f.SetOthers(news(none, f.clock.Now().Add(-3*time.Second)))
+			f.SetOthers(peerLimit(none, f.clock.Now().Add(-3*time.Second)))
 		}, true},
 		"named anew after it was lifted": {func(f *fixture, p *balance.Placement) {
 			p.NoteStatement(p.Target.ID, barleystep.Statement{Limit: none}, f.clock.Now().Add(-time.Second))
-			f.SetOthers(news(barleystep.NewRateLimit(2), f.clock.Now()))
+			f.SetOthers(peerLimit(barleystep.NewRateLimit(2), f.clock.Now()))
 		}, true},
 		"a new lifetime": {func(f *fixture, _ *balance.Placement) {
 			f.targets[0].StartMS = 7
@@ -191,7 +191,7 @@
 }
 
 // news is what another box tells of the first target.
-func news(limit barleystep.RateLimit, at time.Time) balance.Snapshot {
+func peerLimit(limit barleystep.RateLimit, at time.Time) balance.Snapshot {
 	s := balance.NewSnapshot()
 	for _, born := range []int64{1, 7} {
 		t := newFixture(1).targets[0]
@@ -203,9 +203,9 @@
 
 // TestLimitTold checks what a box tells the others of a limit: what the target has said to it
 // and what holds still. Whatever it has by hearsay is told by whom it comes from.
-func TestLimitTold(t *testing.T) {
+func TestLimitGossip(t *testing.T) {
 	c := quicktest.New(t)
-	f := limited(t, 2, 1)
+	f := newLimitedFixture(t, 2, 1)
 	key := balance.KeyOf("i-00")
 	c.Check(f.Snapshot().Statements[key].Limit.Value.PerSecond(), quicktest.Equals, 1.0)
 	f.clock.Advance(time.Second)
@@ -221,15 +221,15 @@
 // once otherwise.
 func TestAllLimited(t *testing.T) {
 	c := quicktest.New(t)
-	f := limited(t, 1, 2)
+	f := newLimitedFixture(t, 1, 2)
 	var waits []*balance.QueuedJob
 	for range 3 {
-		p, w, err := f.TryPlace(context.Background(), plain())
+		p, w, err := f.TryPlace(context.Background(), plainJob())
 		c.Assert(err, quicktest.IsNil)
 		c.Assert(p, quicktest.IsNil)
 		waits = append(waits, w)
 	}
-	_, _, err := f.TryPlace(context.Background(), plain())
+	_, _, err := f.TryPlace(context.Background(), plainJob())
 	c.Check(eris.Is(err, balance.ErrFull), quicktest.IsTrue) // Three before it take 1.5 s.
 	f.SetOthers(balance.NewSnapshot())                       // The bucket begins to fill.
 	for _, w := range waits {
@@ -243,11 +243,11 @@
 // used up its limit.
 func TestLimitedElsewhere(t *testing.T) {
 	c := quicktest.New(t)
-	f := limited(t, 3, 1)
+	f := newLimitedFixture(t, 3, 1)
 	for range 20 {
-		p := f.place(t, plain())
+		p := f.place(t, plainJob())
 		c.Check(p.Target.ID, quicktest.Not(quicktest.Equals), barleystep.TargetID("i-00"))
-		long := f.place(t, job(longPrompt))
+		long := f.place(t, engineJob(longPrompt))
 		c.Check(long.Target.ID, quicktest.Not(quicktest.Equals), barleystep.TargetID("i-00"))
 		for _, h := range long.Helpers {
 			c.Check(h.ID, quicktest.Not(quicktest.Equals), barleystep.TargetID("i-00"))
@@ -260,7 +260,7 @@
 // TestLimitOfStranger checks that a box which has just started keeps to the limits that the
 // others tell it of, also of targets that it has had nothing to do with. In the model boxes
 // that were rolled sent each such target one request more than it took.
-func TestLimitOfStranger(t *testing.T) {
+func TestLimitOfUnknownTarget(t *testing.T) {
 	c := quicktest.New(t)
 	for name, born := range map[string]int64{"said when it started": 7, "never said": 0} {
 		f := newFixture(2)
@@ -268,6 +268,6 @@
 		others := balance.NewSnapshot()
 		others.Statements[balance.KeyOfTarget(f.targets[0])] = balance.TimedStatement{Limit: balance.Timed[barleystep.RateLimit]{Value: barleystep.NewRateLimit(1), At: f.clock.Now()}}
 		f.SetOthers(others)
-		c.Check(f.takes(), quicktest.IsFalse, quicktest.Commentf(name))
+		c.Check(f.accepts(), quicktest.IsFalse, quicktest.Commentf(name))
 	}
 }
--- a/internal/balance/split.go
+++ b/internal/balance/regions.go
@@ -14,38 +14,38 @@
 	// heavyPart is the part of the tightest pause that reading one prompt may
 	// take before the prompt counts as long: the rest is for the pass itself and
 	// for other prompts in it.
-	heavyPart = 0.7
+	longPart = 0.7
 	// heavyUse and lightUse are how busy with reading the engines for long and
 	// for short prompts are planned to be. Short prompts need more room, since
 	// theirs is the tighter objective.
-	heavyUse = 0.6
-	lightUse = 0.3
+	longUse  = 0.6
+	shortUse = 0.3
 	// streamUse is the part of an engine's slots that short streams are planned
 	// to take.
 	streamUse = 0.8
 	// leastHeavy and leastLight are the fewest engines planned for each.
-	leastHeavy = 1
-	leastLight = 2
+	minLong  = 1
+	minShort = 2
 	// writersEach is how many long prompts an engine is planned to write at
 	// once: two of usual size fit its memory, and shorter ones besides.
-	writersEach = 3
+	promptsPerDecoder = 3
 	// writersPart is the part of the engines for long prompts, as a divisor, that
 	// write at most; the others are left to read.
-	writersPart = 2
+	decodersDivisor = 2
 )
 
 // regions divides the engines of a service. All boxes that know the same
 // demand divide them alike.
 type regions struct {
 	// light engines take short prompts.
-	light []fleet.Target
+	short []fleet.Target
 	// writers take long prompts, and readers help to read them.
-	writers []fleet.Target
-	readers []fleet.Target
+	decoders   []fleet.Target
+	prefillers []fleet.Target
 }
 
 // heavy returns all engines for long prompts.
-func (r regions) heavy() []fleet.Target { return slices.Concat(r.writers, r.readers) }
+func (r regions) long() []fleet.Target { return slices.Concat(r.decoders, r.prefillers) }
 
 // Heavy reports whether reading the prompt would hold up other streams for
 // longer than they may pause.
@@ -53,54 +53,54 @@
 	if j.Cost == nil || j.MaxPause <= 0 {
 		return false
 	}
-	return float64(j.Cost.Prefill(j.PromptTokens)) > heavyPart*float64(j.MaxPause)
+	return float64(j.Cost.Prefill(j.PromptTokens)) > longPart*float64(j.MaxPause)
 }
 
 // divide orders the engines in the same way on every box and divides them by
 // what callers ask for. Readers come first and light engines last, so that a
 // shift of demand moves engines between neighbouring regions.
-func (b *Balancer) divide(j Job, engines []fleet.Target) regions {
+func (b *Balancer) divideRegions(j Job, engines []fleet.Target) regions {
 	slices.SortFunc(engines, func(x, y fleet.Target) int {
 		return cmp.Compare(xxhash.Sum64String(string(x.ID)), xxhash.Sum64String(string(y.ID)))
 	})
 	n := len(engines)
-	heavies := b.heavyEngines(j, engines)
-	writers := b.writerEngines(engines, heavies)
+	longCount := b.longEngines(j, engines)
+	decoders := b.decoderEngines(engines, longCount)
 	return regions{
-		readers: engines[:heavies-writers],
-		writers: engines[heavies-writers : heavies],
-		light:   engines[heavies:n],
+		prefillers: engines[:longCount-decoders],
+		decoders:   engines[longCount-decoders : longCount],
+		short:      engines[longCount:n],
 	}
 }
 
 // heavyEngines returns how many engines are for long prompts.
-func (b *Balancer) heavyEngines(j Job, engines []fleet.Target) int {
+func (b *Balancer) longEngines(j Job, engines []fleet.Target) int {
 	n := len(engines)
-	if n <= leastHeavy+leastLight {
+	if n <= minLong+minShort {
 		return n / 2
 	}
 	d := b.demand(j.Service)
 	streams := 0
 	for _, t := range engines {
-		streams += b.work(t.ID).Short
+		streams += b.totalWork(t.ID).Short
 	}
 	slots := max(float64(j.Cost.Slots), 1)
-	light := max(d.Short/lightUse, float64(streams)/(streamUse*slots), leastLight)
-	heavy := max(d.Long/heavyUse, leastHeavy)
+	short := max(d.Short/shortUse, float64(streams)/(streamUse*slots), minShort)
+	long := max(d.Long/longUse, minLong)
 	// Both get their part of what is left, or of what is lacking.
-	planned := math.Round(float64(n) * heavy / (heavy + light))
-	return min(max(int(planned), leastHeavy), n-leastLight)
+	planned := math.Round(float64(n) * long / (long + short))
+	return min(max(int(planned), minLong), n-minShort)
 }
 
 // writerEngines returns how many of the engines for long prompts are to write
 // their answers. The fewer, the fewer streams are held up by the reading of the
 // next long prompt.
-func (b *Balancer) writerEngines(engines []fleet.Target, heavies int) int {
-	writing := 0
+func (b *Balancer) decoderEngines(engines []fleet.Target, longCount int) int {
+	decoding := 0
 	for _, t := range engines {
-		writing += b.work(t.ID).Long
+		decoding += b.totalWork(t.ID).Long
 	}
-	const leastWriters = 2
-	most := (heavies + writersPart - 1) / writersPart
-	return min(heavies, most, max(writing/writersEach+1, leastWriters))
+	const minDecoders = 2
+	most := (longCount + decodersDivisor - 1) / decodersDivisor
+	return min(longCount, most, max(decoding/promptsPerDecoder+1, minDecoders))
 }
--- a/internal/balance/rest_test.go
+++ b/internal/balance/rest_test.go
@@ -13,14 +13,14 @@
 )
 
 // rest has the target turn a request away and ask for rest.
-func (f *fixture) rest(t *testing.T, id barleystep.TargetID, length time.Duration) {
+func (f *fixture) askForRest(t *testing.T, id barleystep.TargetID, length time.Duration) {
 	p := f.place(t, f.only(id))
 	p.NoteStatement(p.Target.ID, barleystep.Statement{Rest: length}, f.clock.Now())
 	p.Done(balance.Report{Full: true})
 }
 
 // mostSpread is by how much later than asked boxes come back at the most.
-func mostSpread(length time.Duration) time.Duration { return min(length/8, 500*time.Millisecond) }
+func maxJitter(length time.Duration) time.Duration { return min(length/8, 500*time.Millisecond) }
 
 // TestRest checks until when a target gets nothing that has asked for rest.
 func TestRest(t *testing.T) {
@@ -31,24 +31,24 @@
 		takes bool
 	}{
 		"before its end": {nil, length - time.Millisecond, false},
-		"after its end":  {nil, length + mostSpread(length), true},
+		"after its end":  {nil, length + maxJitter(length), true},
 		"a later answer asks for none": {func(t *testing.T, f *fixture) {
-			f.place(t, plain()).NoteStatement("i-01", barleystep.Statement{}, f.clock.Now())
+			f.place(t, plainJob()).NoteStatement("i-01", barleystep.Statement{}, f.clock.Now())
 		}, length - time.Millisecond, false},
 		"it starts anew": {func(_ *testing.T, f *fixture) {
-			f.say(0, 100)
-			f.say(0, 200)
+			f.announceStart(0, 100)
+			f.announceStart(0, 200)
 		}, length - time.Millisecond, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(2)
-			f.rest(t, "i-00", length)
+			f.askForRest(t, "i-00", length)
 			if tc.then != nil {
 				tc.then(t, f)
 			}
 			f.clock.Advance(tc.wait)
-			p, err := f.Place(context.Background(), plain())
+			p, err := f.Place(context.Background(), plainJob())
 			quicktest.Assert(t, err, quicktest.IsNil)
 			p.Done(balance.Report{})
 			quicktest.Check(t, f.TargetStatus("i-00").Resting, quicktest.Equals, !tc.takes)
@@ -59,7 +59,7 @@
 // TestShorterRest checks that a shorter rest does not end a longer one.
 func TestShorterRest(t *testing.T) {
 	f := newFixture(1)
-	p := f.place(t, plain())
+	p := f.place(t, plainJob())
 	p.NoteStatement(p.Target.ID, barleystep.Statement{Rest: 3 * time.Second}, f.clock.Now())
 	p.NoteStatement(p.Target.ID, barleystep.Statement{Rest: time.Second}, f.clock.Now())
 	f.clock.Advance(2 * time.Second)
@@ -68,11 +68,11 @@
 
 // TestRestBesideOthers checks that a target which rests gets nothing while others are there, be
 // they ever so busy, or left alone.
-func TestRestBesideOthers(t *testing.T) {
+func TestRestingTargetGetsNothing(t *testing.T) {
 	f := newFixture(2)
-	f.rest(t, "i-00", time.Minute)
+	f.askForRest(t, "i-00", time.Minute)
 	for range 20 {
-		p := f.place(t, plain())
+		p := f.place(t, plainJob())
 		quicktest.Check(t, p.Target.ID, quicktest.Equals, barleystep.TargetID("i-01"))
 		p.Done(balance.Report{Full: true})
 	}
@@ -81,30 +81,30 @@
 // TestAllRest checks what becomes of a request while all targets rest: it waits if it can be
 // in time, and is placed once the first has rested; else it is refused at once, and it is known
 // for how long.
-func TestAllRest(t *testing.T) {
+func TestAllTargetsRest(t *testing.T) {
 	const short, long = 500 * time.Millisecond, 10 * time.Second
 	t.Run("in time", func(t *testing.T) {
 		c := quicktest.New(t)
 		f := newFixture(2)
-		f.rest(t, "i-00", short)
-		f.rest(t, "i-01", long)
-		p, w, err := f.TryPlace(context.Background(), plain())
+		f.askForRest(t, "i-00", short)
+		f.askForRest(t, "i-01", long)
+		p, w, err := f.TryPlace(context.Background(), plainJob())
 		c.Assert(err, quicktest.IsNil)
 		c.Assert(p, quicktest.IsNil)
 		f.clock.Advance(short - time.Millisecond)
 		f.SetOthers(balance.NewSnapshot())
 		c.Check(len(w.Ready()), quicktest.Equals, 0)
-		f.clock.Advance(time.Millisecond + mostSpread(short))
+		f.clock.Advance(time.Millisecond + maxJitter(short))
 		f.SetOthers(balance.NewSnapshot())
 		c.Assert(len(w.Ready()), quicktest.Equals, 1)
 		c.Check((<-w.Ready()).Target.ID, quicktest.Equals, barleystep.TargetID("i-00"))
 	})
-	for name, j := range map[string]balance.Job{"plain": plain(), "short": job(1_000), "long": job(30_000)} {
+	for name, j := range map[string]balance.Job{"plain": plainJob(), "short": engineJob(1_000), "long": engineJob(30_000)} {
 		t.Run("too late, "+name, func(t *testing.T) {
 			c := quicktest.New(t)
 			f := newFixture(2)
-			f.rest(t, "i-00", long)
-			f.rest(t, "i-01", 2*long)
+			f.askForRest(t, "i-00", long)
+			f.askForRest(t, "i-01", 2*long)
 			_, w, err := f.TryPlace(context.Background(), j)
 			c.Check(eris.Is(err, balance.ErrFull), quicktest.IsTrue)
 			c.Check(w, quicktest.IsNil)
@@ -116,14 +116,14 @@
 
 // TestRestOfOneBox checks that the rest which a target has asked the lead for counts for the
 // lead's own requests, and that others' go there where there is nothing better.
-func TestRestOfOneBox(t *testing.T) {
+func TestRestCountsForOwnRequests(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(2)
-	f.rest(t, "i-00", time.Minute)
-	plan, err := f.PlaceForPeer(context.Background(), job(1_000), f.clock.Now())
+	f.askForRest(t, "i-00", time.Minute)
+	plan, err := f.PlaceForPeer(context.Background(), engineJob(1_000), f.clock.Now())
 	c.Assert(err, quicktest.IsNil)
 	c.Check(plan.Target, quicktest.Equals, barleystep.TargetID("i-01"))
-	j := job(1_000)
+	j := engineJob(1_000)
 	j.Avoid = []barleystep.TargetID{"i-01"}
 	plan, err = f.PlaceForPeer(context.Background(), j, f.clock.Now())
 	c.Assert(err, quicktest.IsNil)
@@ -133,7 +133,7 @@
 }
 
 // TestLongestRest checks that a rest is bounded, by a setting where there is one.
-func TestLongestRest(t *testing.T) {
+func TestMaxRest(t *testing.T) {
 	cases := map[string]struct{ set, asked, least time.Duration }{
 		"default":       {0, time.Hour, time.Minute},
 		"set":           {5 * time.Second, time.Hour, 5 * time.Second},
@@ -143,10 +143,10 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(1)
 			f.MaxRest = tc.set
-			f.rest(t, "i-00", tc.asked)
+			f.askForRest(t, "i-00", tc.asked)
 			f.clock.Advance(tc.least - time.Millisecond)
 			quicktest.Check(t, f.TargetStatus("i-00").Resting, quicktest.IsTrue)
-			f.clock.Advance(time.Millisecond + mostSpread(tc.least))
+			f.clock.Advance(time.Millisecond + maxJitter(tc.least))
 			quicktest.Check(t, f.TargetStatus("i-00").Resting, quicktest.IsFalse)
 		})
 	}
@@ -154,33 +154,33 @@
 
 // TestRestSpread checks that boxes which were asked in the same moment come back at different
 // ones.
-func TestRestSpread(t *testing.T) {
+func TestRestJitter(t *testing.T) {
 	lefts := make(map[time.Duration]bool)
 	for range 20 {
 		f := newFixture(1)
-		f.rest(t, "i-00", 4*time.Second)
-		lefts[f.RestRemaining(plain())] = true
+		f.askForRest(t, "i-00", 4*time.Second)
+		lefts[f.RestRemaining(plainJob())] = true
 	}
 	quicktest.Check(t, len(lefts) > 10, quicktest.IsTrue)
 }
 
 // TestGrantsAreNoProbes checks that what the lead places for others does not hold up its own
 // requests after a rest: it does not hear how they are answered.
-func TestGrantsAreNoProbes(t *testing.T) {
+func TestPeerPlacementsAreNoProbes(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(1)
-	f.rest(t, "i-00", 200*time.Millisecond)
+	f.askForRest(t, "i-00", 200*time.Millisecond)
 	f.clock.Advance(time.Second)
-	_, err := f.PlaceForPeer(context.Background(), job(1_000), f.clock.Now())
+	_, err := f.PlaceForPeer(context.Background(), engineJob(1_000), f.clock.Now())
 	c.Assert(err, quicktest.IsNil)
-	p, _, err := f.TryPlace(context.Background(), job(1_000))
+	p, _, err := f.TryPlace(context.Background(), engineJob(1_000))
 	c.Assert(err, quicktest.IsNil)
 	c.Check(p, quicktest.IsNotNil)
 }
 
 // TestFirstAfterRest checks that after a rest a target gets one request, and no more before that
 // has shown that it takes them: what it says then counts, not the clock.
-func TestFirstAfterRest(t *testing.T) {
+func TestProbeAfterRest(t *testing.T) {
 	shows := map[string]struct {
 		show  func(p *balance.Placement, f *fixture)
 		takes bool
@@ -200,11 +200,11 @@
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			f := newFixture(1)
-			f.rest(t, "i-00", 200*time.Millisecond)
+			f.askForRest(t, "i-00", 200*time.Millisecond)
 			f.clock.Advance(time.Second)
-			first := f.place(t, plain())
+			first := f.place(t, plainJob())
 			tc.show(first, f)
-			p, w, err := f.TryPlace(context.Background(), plain())
+			p, w, err := f.TryPlace(context.Background(), plainJob())
 			c.Assert(err, quicktest.IsNil)
 			c.Check(p != nil, quicktest.Equals, tc.takes)
 			if w != nil {
--- a/internal/balance/light.go
+++ b/internal/balance/short.go
@@ -10,25 +10,25 @@
 	// lightDraws is how many engines are compared for a short prompt: enough to
 	// find one with room when most are full, few enough that boxes that know the
 	// same rarely choose the same.
-	lightDraws = 3
+	shortSamples = 3
 	// slotWait is what a place in the queue counts for, in reading time, when a
 	// target's slots are full: about the time until a short stream ends.
 	slotWait = 400 * time.Millisecond
 	// outsideCost is what it counts for that an engine is meant for long prompts:
 	// one may be read there soon.
-	outsideCost = 80 * time.Millisecond
+	longRegionCost = 80 * time.Millisecond
 	// abroadCost is what it counts for that an engine is in another hall than the caller's
 	// box: a stream between halls stops when one of them is cut off.
-	abroadCost = 60 * time.Millisecond
+	otherHallCost = 60 * time.Millisecond
 	// fullPart is the part of the slots, in hundredths, from which on each
 	// further stream counts for tightCost: counts of other boxes are a little
 	// old, so the last slots may be taken already.
-	fullPart  = 65
-	tightCost = 25 * time.Millisecond
-	perCent   = 100
+	tightSlotsPercent = 65
+	tightCost         = 25 * time.Millisecond
+	percent           = 100
 	// lateSpare is how many slots of an engine are kept for prompts that can
 	// still be in time: one that is late anyway would hold a slot for seconds.
-	lateSpare = 3
+	lateReservedSlots = 3
 	// streamCost is what a stream in progress counts for: it makes each pass a
 	// little longer.
 	streamCost = time.Millisecond
@@ -38,32 +38,32 @@
 // Where these are filling up, or others are idle, it takes one of the others: the
 // demand by which the engines are divided is that of the last seconds. It returns
 // nothing if all that it looked at are full.
-func (b *Balancer) placeLight(j Job, engines []fleet.Target) *Placement {
-	read := j.Cost.Prefill(j.PromptTokens)
-	r := b.divide(j, engines)
-	best, score, least := b.bestOfHalls(j, r.light)
-	if others := r.heavy(); len(others) > 0 {
-		if t, s, _ := b.bestOfHalls(j, others); s+outsideCost < least {
+func (b *Balancer) placeShort(j Job, engines []fleet.Target) *Placement {
+	prefill := j.Cost.Prefill(j.PromptTokens)
+	r := b.divideRegions(j, engines)
+	best, score, least := b.bestOfHalls(j, r.short)
+	if others := r.long(); len(others) > 0 {
+		if t, s, _ := b.bestOfHalls(j, others); s+longRegionCost < least {
 			best, score = t, s
 		}
 	}
-	if w := b.work(best.ID); best.Slots > 0 && w.Short+w.Long >= best.Slots-j.spare {
+	if w := b.totalWork(best.ID); best.Slots > 0 && w.Short+w.Long >= best.Slots-j.reservedSlots {
 		return nil
 	}
-	b.note(j, read, false)
-	return lightPlacement(j, best, score+read+j.Cost.Pass())
+	b.noteDemand(j, prefill, false)
+	return shortPlacement(j, best, score+prefill+j.Cost.Pass())
 }
 
 // lightPlacement returns the placement of a short prompt at an engine.
-func lightPlacement(j Job, t fleet.Target, expected time.Duration) *Placement {
+func shortPlacement(j Job, t fleet.Target, expectedTTFT time.Duration) *Placement {
 	work := Work{Short: 1, Backlog: j.Cost.Prefill(j.PromptTokens), KVTokens: j.PromptTokens + j.OutputTokens}
-	return &Placement{Target: t, expected: expected, parts: []*part{{target: t.ID, work: work}}}
+	return &Placement{Target: t, expectedTTFT: expectedTTFT, parts: []*part{{target: t.ID, work: work}}}
 }
 
 // light reports whether the placement is that of a short prompt or of a request to a
 // plain service.
-func (p *Placement) light() bool {
-	return len(p.parts) == 1 && p.parts[0].share == 0 && p.parts[0].pass == 0
+func (p *Placement) isShort() bool {
+	return len(p.parts) == 1 && p.parts[0].prefill == 0 && p.parts[0].pass == 0
 }
 
 // bestOfHalls returns the best of some engines drawn from the caller's hall, or one of
@@ -81,26 +81,26 @@
 	}
 	switch {
 	case len(near) == 0:
-		best, score = b.bestLight(far)
+		best, score = b.bestShort(far)
 		return best, score, score
 	case len(far) == 0:
-		best, score = b.bestLight(near)
+		best, score = b.bestShort(near)
 		return best, score, score
 	}
-	best, score = b.bestLight(near)
-	t, abroad := b.bestLight(far)
-	least = min(score, abroad)
-	if abroad+abroadCost < score {
-		best, score = t, abroad
+	best, score = b.bestShort(near)
+	t, farScore := b.bestShort(far)
+	least = min(score, farScore)
+	if farScore+otherHallCost < score {
+		best, score = t, farScore
 	}
 	return best, score, least
 }
 
 // bestLight returns the best of some engines drawn at random, and its score.
-func (b *Balancer) bestLight(pool []fleet.Target) (best fleet.Target, least time.Duration) {
-	for i := range lightDraws {
-		t := pool[b.draw(len(pool))]
-		if s := b.lightScore(t); i == 0 || s < least {
+func (b *Balancer) bestShort(pool []fleet.Target) (best fleet.Target, least time.Duration) {
+	for i := range shortSamples {
+		t := pool[b.randIntN(len(pool))]
+		if s := b.shortScore(t); i == 0 || s < least {
 			best, least = t, s
 		}
 	}
@@ -111,9 +111,9 @@
 func (b *Balancer) HasFreeSlot(j Job) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	clear(b.seen)
-	for _, t := range b.admitting(j, b.candidates(j)) {
-		if w := b.work(t.ID); t.Slots == 0 || w.Short+w.Long < t.Slots {
+	clear(b.workCache)
+	for _, t := range b.accepting(j, b.candidates(j)) {
+		if w := b.totalWork(t.ID); t.Slots == 0 || w.Short+w.Long < t.Slots {
 			return true
 		}
 	}
@@ -121,14 +121,14 @@
 }
 
 // lightScore is about how long a short prompt waits at the engine.
-func (b *Balancer) lightScore(t fleet.Target) time.Duration {
-	w := b.work(t.ID)
+func (b *Balancer) shortScore(t fleet.Target) time.Duration {
+	w := b.totalWork(t.ID)
 	score := w.Backlog + time.Duration(w.Short)*streamCost + b.errorWait(t)
 	running := w.Short + w.Long
 	if over := running - t.Slots + 1; over > 0 {
 		score += time.Duration(over) * slotWait
 	}
-	if tight := running - t.Slots*fullPart/perCent; tight > 0 {
+	if tight := running - t.Slots*tightSlotsPercent/percent; tight > 0 {
 		score += time.Duration(tight) * tightCost
 	}
 	return score
@@ -136,5 +136,5 @@
 
 // errorWait is what an engine's recent failures count for.
 func (b *Balancer) errorWait(t fleet.Target) time.Duration {
-	return time.Duration(b.state(t.ID).errors * float64(errorWait))
+	return time.Duration(b.targetState(t.ID).errorRate * float64(errorWait))
 }
--- a/internal/balance/sight.go
+++ b/internal/balance/status.go
@@ -20,7 +20,7 @@
 }
 
 // mostPassed bounds the targets that are named as passed over.
-const mostPassed = 16
+const maxDeclining = 16
 
 // PassedOver names the targets of the service that take nothing from this box by their own word,
 // and whose word that is, for logs.
@@ -32,24 +32,24 @@
 		if t.Service != service {
 			continue
 		}
-		if why := b.state(t.ID).refusal(now); why != "" {
+		if why := b.targetState(t.ID).declineReason(now); why != "" {
 			list = append(list, string(t.ID)+" "+why)
 		}
 	}
 	slices.Sort(list)
-	return list[:min(len(list), mostPassed)]
+	return list[:min(len(list), maxDeclining)]
 }
 
 // refusal tells in words why the target takes nothing from this box, empty if it does.
-func (s *state) refusal(now time.Time) string {
+func (s *targetState) declineReason(now time.Time) string {
 	switch {
-	case s.leaving() && s.believed.Leaving == s.heardHere.Leaving:
+	case s.isLeaving() && s.statement.Leaving == s.heardLocally.Leaving:
 		return "leaves, heard"
-	case s.leaving():
+	case s.isLeaving():
 		return "leaves, told"
-	case s.resting(now):
+	case s.isResting(now):
 		return "rests, heard"
-	case s.probing():
+	case s.isProbing():
 		return "rested, asked by one request"
 	default:
 		return ""
@@ -60,6 +60,6 @@
 func (b *Balancer) TargetStatus(id barleystep.TargetID) TargetStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now, s := b.Clock.Now(), b.state(id)
-	return TargetStatus{Down: b.isDown(s, now), Statement: s.believed, HeardLocally: s.heardHere, Resting: s.resting(now)}
+	now, s := b.Clock.Now(), b.targetState(id)
+	return TargetStatus{Down: b.seemsDown(s, now), Statement: s.statement, HeardLocally: s.heardLocally, Resting: s.isResting(now)}
 }
--- a/internal/balance/trial.go
+++ b/internal/balance/suspect.go
@@ -21,20 +21,20 @@
 const (
 	// trialSpan is for how long the target of a suspect gets nothing else: what ends a target
 	// mostly does so while it reads the prompt, within some tenths of a second.
-	trialSpan = 600 * time.Millisecond
+	trialExclusiveTime = 600 * time.Millisecond
 	// trialLife is how long after a suspect was placed the next of its kind is, if nothing is
 	// heard of what became of it: its box may be gone.
-	trialLife = 3 * time.Second
+	trialTimeout = 3 * time.Second
 	// trialPart is the part of the targets, as a divisor, that run suspects at the same time.
-	trialPart = 6
+	trialTargetsDivisor = 6
 )
 
 // suspect reports whether the job is one that runs alone.
-func (j Job) suspect() bool { return j.Suspect != (suspect.Digest{}) }
+func (j Job) isSuspect() bool { return j.Suspect != (suspect.Digest{}) }
 
 // endsTargets reports whether the job is known to end targets.
-func (b *Balancer) endsTargets(j Job) bool {
-	if !j.suspect() {
+func (b *Balancer) isRefused(j Job) bool {
+	if !j.isSuspect() {
 		return false
 	}
 	standing, _ := b.Suspects.Status(j.Suspect)
@@ -44,20 +44,20 @@
 // tryAlone places a suspect where nothing else is lost with it, or as little as can be: at the
 // target with the fewest requests, which gets no others for a while. Of its kind one runs at a
 // time over all boxes, as the lead places them; a box without one refuses it.
-func (b *Balancer) tryAlone(j Job, candidates []fleet.Target) (p *Placement, h hold, err error) {
-	tried := len(b.tried())
+func (b *Balancer) placeSuspect(j Job, candidates []fleet.Target) (p *Placement, h holdReason, err error) {
+	trialTargets := len(b.trialTargets())
 	switch {
-	case !b.leads():
-		return nil, holdTrial, ErrFull
-	case b.endsTargets(j):
-		return nil, holdTrial, ErrSuspectRefused
-	case b.trialRuns(j), tried >= max((len(candidates)+tried)/trialPart, 1):
-		return nil, holdTrial, nil
+	case !b.isLead():
+		return nil, holdSuspect, ErrFull
+	case b.isRefused(j):
+		return nil, holdSuspect, ErrSuspectRefused
+	case b.hasTrialRunning(j), trialTargets >= max((len(candidates)+trialTargets)/trialTargetsDivisor, 1):
+		return nil, holdSuspect, nil
 	}
-	if giant(j) { // Its memory needs many engines.
-		p, h = b.placeGiant(j, candidates)
+	if isOversized(j) { // Its memory needs many engines.
+		p, h = b.placeOversized(j, candidates)
 	} else {
-		p = b.placeAlone(j, candidates)
+		p = b.placeLeastBusy(j, candidates)
 	}
 	if p == nil {
 		return nil, h, nil
@@ -71,11 +71,11 @@
 }
 
 // placeAlone takes the target that has the fewest requests.
-func (b *Balancer) placeAlone(j Job, candidates []fleet.Target) *Placement {
+func (b *Balancer) placeLeastBusy(j Job, candidates []fleet.Target) *Placement {
 	best, least := 0, 0.0
 	for i, t := range candidates {
-		w := b.work(t.ID)
-		if score := float64(w.Short+w.Long) + b.chance(); i == 0 || score < least {
+		w := b.totalWork(t.ID)
+		if score := float64(w.Short+w.Long) + b.randFloat(); i == 0 || score < least {
 			best, least = i, score
 		}
 	}
@@ -84,34 +84,34 @@
 	case j.Cost == nil:
 		return plainPlacement(t)
 	case IsLongPrompt(j):
-		return b.placement(j, t, nil, 0, j.Cost.Prefill(j.PromptTokens)+j.Cost.Pass())
+		return b.longPlacement(j, t, nil, 0, j.Cost.Prefill(j.PromptTokens)+j.Cost.Pass())
 	default:
-		return lightPlacement(j, t, j.Cost.Prefill(j.PromptTokens)+j.Cost.Pass())
+		return shortPlacement(j, t, j.Cost.Prefill(j.PromptTokens)+j.Cost.Pass())
 	}
 }
 
 // open reports whether a request of the kind may still run: nothing has been learnt of it since
 // it was placed.
-func (b *Balancer) open(d suspect.Digest, t trial) bool {
+func (b *Balancer) isOpen(d suspect.Digest, t trial) bool {
 	known := b.Suspects.Evidence(d)
 	learnt := len(known.Ends()) > t.ended || known.LastSuccess().After(t.since)
-	return !learnt && b.Clock.Now().Sub(t.since) < trialLife
+	return !learnt && b.Clock.Now().Sub(t.since) < trialTimeout
 }
 
 // trialRuns reports whether another request of the kind may still run. One that asks again has
 // come to no target, or has left it.
-func (b *Balancer) trialRuns(j Job) bool {
+func (b *Balancer) hasTrialRunning(j Job) bool {
 	t, ok := b.trials[j.Suspect]
-	return ok && t.request != j.RequestID && b.open(j.Suspect, t)
+	return ok && t.request != j.RequestID && b.isOpen(j.Suspect, t)
 }
 
 // tried returns the targets that get nothing besides the suspects which they were given a
 // moment ago.
-func (b *Balancer) tried() []barleystep.TargetID {
+func (b *Balancer) trialTargets() []barleystep.TargetID {
 	now := b.Clock.Now()
 	var list []barleystep.TargetID
 	for d, t := range b.trials {
-		if now.Sub(t.since) < trialSpan && b.open(d, t) {
+		if now.Sub(t.since) < trialExclusiveTime && b.isOpen(d, t) {
 			list = append(list, t.target)
 		}
 	}
@@ -119,7 +119,7 @@
 }
 
 // forgetTrials drops the trials that count no longer.
-func (b *Balancer) forgetTrials() {
+func (b *Balancer) pruneTrials() {
 	now := b.Clock.Now()
-	maps.DeleteFunc(b.trials, func(_ suspect.Digest, t trial) bool { return now.Sub(t.since) >= trialLife })
+	maps.DeleteFunc(b.trials, func(_ suspect.Digest, t trial) bool { return now.Sub(t.since) >= trialTimeout })
 }
--- a/internal/balance/work.go
+++ b/internal/balance/work.go
@@ -32,14 +32,14 @@
 func (w *Work) add(o Work) { w.merge(o, 1) }
 
 // merge adds other work so many times; minus one takes it out again.
-func (w *Work) merge(o Work, times int) {
-	w.Short += times * o.Short
-	w.Long += times * o.Long
-	w.PendingPrefills += times * o.PendingPrefills
-	w.Backlog += time.Duration(times) * o.Backlog
-	w.LeadBacklog += time.Duration(times) * o.LeadBacklog
-	w.KVTokens += times * o.KVTokens
-	w.DownReports += times * o.DownReports
+func (w *Work) merge(o Work, factor int) {
+	w.Short += factor * o.Short
+	w.Long += factor * o.Long
+	w.PendingPrefills += factor * o.PendingPrefills
+	w.Backlog += time.Duration(factor) * o.Backlog
+	w.LeadBacklog += time.Duration(factor) * o.LeadBacklog
+	w.KVTokens += factor * o.KVTokens
+	w.DownReports += factor * o.DownReports
 }
 
 // Key names a lifetime of a target, or a service, between boxes, in less room than its id.
@@ -83,23 +83,23 @@
 	s.merge(o, 1)
 	suspect.Merge(s.Suspects, o.Suspects)
 	for k, said := range o.Statements {
-		s.Statements[k] = s.Statements[k].join(said)
+		s.Statements[k] = s.Statements[k].later(said)
 	}
 }
 
 // Remove takes away a snapshot that was added, but for what targets said and for evidence.
 func (s Snapshot) Remove(o Snapshot) { s.merge(o, -1) }
 
-func (s Snapshot) merge(o Snapshot, times int) {
+func (s Snapshot) merge(o Snapshot, factor int) {
 	for k, w := range o.Work {
 		sum := s.Work[k]
-		sum.merge(w, times)
+		sum.merge(w, factor)
 		s.Work[k] = sum
 	}
 	for k, d := range o.Demands {
 		sum := s.Demands[k]
-		sum.Short += float64(times) * d.Short
-		sum.Long += float64(times) * d.Long
+		sum.Short += float64(factor) * d.Short
+		sum.Long += float64(factor) * d.Long
 		s.Demands[k] = sum
 	}
 }
@@ -108,11 +108,11 @@
 func (b *Balancer) SetOthers(s Snapshot) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.others = s
-	b.hearAll()
+	b.peers = s
+	b.applyPeerStatements()
 	b.Suspects.Merge(s.Suspects)
-	b.endGrants()
-	b.serveWaiting(true)
+	b.expirePeerPlacements()
+	b.serveQueues(true)
 }
 
 // Snapshot returns this box's work and demand.
@@ -122,11 +122,11 @@
 	s := NewSnapshot()
 	now := b.Clock.Now()
 	for _, state := range b.states {
-		if len(state.parts) > 0 || state.down(now) {
-			s.Work[state.key] = state.own(now)
+		if len(state.parts) > 0 || state.isUnreachable(now) {
+			s.Work[state.key] = state.ownWork(now)
 		}
-		if told := state.heardHere.told(state.believed, now); told != (TimedStatement{}) {
-			s.Statements[state.key] = told
+		if gossip := state.heardLocally.gossip(state.statement, now); gossip != (TimedStatement{}) {
+			s.Statements[state.key] = gossip
 		}
 	}
 	suspect.Merge(s.Suspects, b.Suspects.GossipUpdate())
@@ -139,14 +139,14 @@
 }
 
 // own returns the work that this box has given to the target.
-func (s *state) own(now time.Time) Work {
+func (s *targetState) ownWork(now time.Time) Work {
 	var w Work
-	if s.down(now) {
+	if s.isUnreachable(now) {
 		w.DownReports = 1
 	}
 	for _, p := range s.parts {
 		w.add(p.work)
-		if p.led {
+		if p.byLead {
 			w.LeadBacklog += p.remaining(now)
 		} else {
 			w.Backlog += p.remaining(now)
@@ -156,22 +156,22 @@
 }
 
 // work returns the target's work for all boxes, as far as it is known.
-func (b *Balancer) work(id barleystep.TargetID) Work {
-	if w, ok := b.seen[id]; ok {
+func (b *Balancer) totalWork(id barleystep.TargetID) Work {
+	if w, ok := b.workCache[id]; ok {
 		return w
 	}
 	now := b.Clock.Now()
-	s := b.state(id)
-	w := s.own(now)
-	others := b.others.Work[s.key]
+	s := b.targetState(id)
+	w := s.ownWork(now)
+	peers := b.peers.Work[s.key]
 	if now.Before(b.leadUntil) {
-		others.LeadBacklog = 0 // This box knows better.
+		peers.LeadBacklog = 0 // This box knows better.
 	}
-	w.add(others)
+	w.add(peers)
 	w.Backlog, w.LeadBacklog = w.Backlog+w.LeadBacklog, 0
-	if b.seen == nil {
-		b.seen = make(map[barleystep.TargetID]Work)
+	if b.workCache == nil {
+		b.workCache = make(map[barleystep.TargetID]Work)
 	}
-	b.seen[id] = w
+	b.workCache[id] = w
 	return w
 }
