--- a/internal/suspect/archive.go
+++ b/internal/suspect/archive.go
@@ -24,15 +24,15 @@
 	Log    *log.Logger
 
 	// kept is what the store holds, by the sum of the ends' keys; nil until it was read.
-	kept map[Digest]uint64
+	stored map[Digest]uint64
 }
 
 const (
 	// archiveEvery is how often it is looked whether there is anything to be read or written:
 	// what is known and not yet written is lost if all boxes end.
-	archiveEvery = 250 * time.Millisecond
+	archiveInterval = 250 * time.Millisecond
 	// archivePause is the wait after a failed call.
-	archivePause = time.Second
+	archiveRetryDelay = time.Second
 	// archiveTimeout bounds one call.
 	archiveTimeout = time.Second
 )
@@ -42,26 +42,26 @@
 
 // Serve keeps the archive until ctx ends.
 func (a *Archive) Serve(ctx context.Context) error {
-	pause := archiveEvery
+	pause := archiveInterval
 	for clock.Sleep(ctx, a.Clock, pause) {
-		pause = archiveEvery
-		if err := a.step(ctx); err != nil {
+		pause = archiveInterval
+		if err := a.sync(ctx); err != nil {
 			a.Log.Warn().Err(err).Msg(logPrefix + "The archive cannot be read or written. It is tried again.")
-			pause = archivePause
+			pause = archiveRetryDelay
 		}
 	}
 	return ctx.Err()
 }
 
 // step reads the archive if this box has become the lead, and writes what has changed.
-func (a *Archive) step(ctx context.Context) (err error) {
+func (a *Archive) sync(ctx context.Context) (err error) {
 	if !a.IsLead() {
-		a.kept = nil
+		a.stored = nil
 		return nil
 	}
 	ctx, cancel := clock.WithDeadline(ctx, a.Clock, a.Clock.Now().Add(archiveTimeout))
 	defer cancel()
-	if a.kept == nil {
+	if a.stored == nil {
 		if err = a.read(ctx); err != nil {
 			return err
 		}
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	now := a.moment()
+	now := a.clockReading()
 	kept := make(map[Digest]uint64)
 	known := make(map[Digest]Evidence)
 	for _, r := range batch.Records() {
@@ -85,42 +85,44 @@
 				Msg(logPrefix + "A record of the archive names no request.")
 			continue
 		}
-		known[d], kept[d] = e, e.sum()
+		known[d], kept[d] = e, e.checksum()
 	}
 	a.Registry.Merge(known)
-	a.kept = kept
+	a.stored = kept
 	if len(known) > 0 {
 		a.Log.Info().Int("requests", len(known)).Msg(logPrefix + "The archive was read.")
 	}
 	return nil
 }
 
-func (a *Archive) moment() moment { return moment{now: a.Clock.Now(), day: clock.TimeOfDay(a.Clock)} }
+func (a *Archive) clockReading() clockReading {
+	return clockReading{now: a.Clock.Now(), day: clock.TimeOfDay(a.Clock)}
+}
 
 // write puts in the store what it lacks, and removes what counts no more.
 func (a *Archive) write(ctx context.Context) (err error) {
 	proven := a.Registry.proven()
 	for d, e := range proven {
-		if a.kept[d] == e.sum() {
+		if a.stored[d] == e.checksum() {
 			continue
 		}
-		r, err := encodeRecord(d, e, a.moment())
+		r, err := encodeRecord(d, e, a.clockReading())
 		if err != nil {
 			return err
 		}
 		if err = a.Catalogue.Publish(ctx, barleystep.TopicSuspects, r.Key(), r.Value()); err != nil {
 			return err
 		}
-		a.kept[d] = e.sum()
+		a.stored[d] = e.checksum()
 	}
-	for d := range a.kept {
+	for d := range a.stored {
 		if _, holds := proven[d]; holds {
 			continue
 		}
 		if err = a.Catalogue.Withdraw(ctx, barleystep.TopicSuspects, d.String()); err != nil {
 			return err
 		}
-		delete(a.kept, d)
+		delete(a.stored, d)
 	}
 	return nil
 }
--- a/internal/suspect/archive_test.go
+++ b/internal/suspect/archive_test.go
@@ -16,14 +16,14 @@
 )
 
 // shelf is a store that holds one topic.
-type shelf struct {
+type memoryStore struct {
 	mu      sync.Mutex
 	records map[string][]byte
 	fails   bool
 	calls   int
 }
 
-func (s *shelf) call() error {
+func (s *memoryStore) call() error {
 	s.calls++
 	if s.fails {
 		return barleystep.ErrUnavailable
@@ -31,7 +31,7 @@
 	return nil
 }
 
-func (s *shelf) Fetch(context.Context, barleystep.Topic) (b barleystep.Batch, err error) {
+func (s *memoryStore) Fetch(context.Context, barleystep.Topic) (b barleystep.Batch, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []barleystep.Record
@@ -41,11 +41,11 @@
 	return barleystep.NewBatch(list, 1), s.call()
 }
 
-func (*shelf) Watch(context.Context, barleystep.Topic, barleystep.Revision, time.Duration) (barleystep.Batch, error) {
+func (*memoryStore) Watch(context.Context, barleystep.Topic, barleystep.Revision, time.Duration) (barleystep.Batch, error) {
 	return barleystep.Batch{}, barleystep.ErrUnavailable
 }
 
-func (s *shelf) Publish(_ context.Context, _ barleystep.Topic, key string, value []byte) error {
+func (s *memoryStore) Publish(_ context.Context, _ barleystep.Topic, key string, value []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.records == nil {
@@ -57,14 +57,14 @@
 	return s.call()
 }
 
-func (s *shelf) Withdraw(_ context.Context, _ barleystep.Topic, key string) error {
+func (s *memoryStore) Withdraw(_ context.Context, _ barleystep.Topic, key string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.records, key)
 	return s.call()
 }
 
-func (s *shelf) keys() []string {
+func (s *memoryStore) keys() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var keys []string
@@ -76,24 +76,24 @@
 }
 
 // count returns how many calls there were.
-func (s *shelf) count() int {
+func (s *memoryStore) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
 // keeper is a box's book with its archive.
-type keeper struct {
-	book  *suspect.Registry
-	clock *clock.Manual
+type archiveFixture struct {
+	registry *suspect.Registry
+	clock    *clock.Manual
 }
 
 // keep starts the archive of a box that leads or not.
-func keep(t *testing.T, s *shelf, leads bool) *keeper {
+func newArchiveFixture(t *testing.T, s *memoryStore, isLead bool) *archiveFixture {
 	clk := clock.NewManual(time.Unix(1000, 0))
-	k := &keeper{book: &suspect.Registry{Clock: clk}, clock: clk}
+	k := &archiveFixture{registry: &suspect.Registry{Clock: clk}, clock: clk}
 	a := &suspect.Archive{
-		Clock: clk, Catalogue: s, Registry: k.book, IsLead: func() bool { return leads },
+		Clock: clk, Catalogue: s, Registry: k.registry, IsLead: func() bool { return isLead },
 		Log: &log.Logger{Level: log.PanicLevel},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -107,7 +107,7 @@
 }
 
 // until lets time pass until the condition holds.
-func (k *keeper) until(t *testing.T, holds func() bool) {
+func (k *archiveFixture) advanceUntil(t *testing.T, holds func() bool) {
 	t.Helper()
 	const most = 10_000
 	for range most {
@@ -123,14 +123,14 @@
 }
 
 // condemn has three targets end under the request.
-func (k *keeper) condemn() {
+func (k *archiveFixture) refuse() {
 	for key := range uint32(3) {
-		k.book.RecordEnd(digest, size, suspect.NewEnd(key+1, k.clock.Now(), suspect.BeforeFirstEvent|suspect.RanAlone))
+		k.registry.RecordEnd(digest, size, suspect.NewEnd(key+1, k.clock.Now(), suspect.BeforeFirstEvent|suspect.RanAlone))
 	}
 }
 
-func (k *keeper) standing() suspect.Status {
-	s, _ := k.book.Status(digest)
+func (k *archiveFixture) status() suspect.Status {
+	s, _ := k.registry.Status(digest)
 	return s
 }
 
@@ -138,11 +138,11 @@
 // put there, whatever else lies there.
 func TestArchive(t *testing.T) {
 	c := quicktest.New(t)
-	s := &shelf{}
-	first := keep(t, s, true)
-	first.book.RecordEnd(digest, size, suspect.NewEnd(9, first.clock.Now(), suspect.BeforeFirstEvent))
-	first.condemn()
-	first.until(t, func() bool { return len(s.keys()) == 1 })
+	s := &memoryStore{}
+	first := newArchiveFixture(t, s, true)
+	first.registry.RecordEnd(digest, size, suspect.NewEnd(9, first.clock.Now(), suspect.BeforeFirstEvent))
+	first.refuse()
+	first.advanceUntil(t, func() bool { return len(s.keys()) == 1 })
 	c.Check(s.keys(), quicktest.DeepEquals, []string{digest.String()})
 	for key, value := range map[string]string{
 		"zz":                  `{"size":1,"ends":[]}`,
@@ -153,27 +153,27 @@
 	} {
 		c.Check(s.Publish(t.Context(), barleystep.TopicSuspects, key, []byte(value)), quicktest.IsNil)
 	}
-	second := keep(t, s, true)
-	second.until(t, func() bool { return second.standing() == suspect.Refused })
-	c.Check(second.book.Evidence(digest).Ends(), quicktest.HasLen, 4)
-	c.Check(second.book.Counts()[suspect.Isolated], quicktest.Equals, 0)
+	second := newArchiveFixture(t, s, true)
+	second.advanceUntil(t, func() bool { return second.status() == suspect.Refused })
+	c.Check(second.registry.Evidence(digest).Ends(), quicktest.HasLen, 4)
+	c.Check(second.registry.Counts()[suspect.Isolated], quicktest.Equals, 0)
 }
 
 // TestArchiveCleared checks that what a whole run has cleared is removed, and what is too old.
-func TestArchiveCleared(t *testing.T) {
-	cases := map[string]func(k *keeper){
-		"whole": func(k *keeper) { k.book.RecordSuccess(digest, size) },
-		"old":   func(k *keeper) { k.clock.Advance(3 * suspect.RefusalPeriod) },
+func TestArchiveRemoves(t *testing.T) {
+	cases := map[string]func(k *archiveFixture){
+		"whole": func(k *archiveFixture) { k.registry.RecordSuccess(digest, size) },
+		"old":   func(k *archiveFixture) { k.clock.Advance(3 * suspect.RefusalPeriod) },
 	}
 	for name, end := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := &shelf{}
-			k := keep(t, s, true)
-			k.condemn()
-			k.until(t, func() bool { return len(s.keys()) == 1 })
+			s := &memoryStore{}
+			k := newArchiveFixture(t, s, true)
+			k.refuse()
+			k.advanceUntil(t, func() bool { return len(s.keys()) == 1 })
 			k.clock.Advance(time.Second)
 			end(k)
-			k.until(t, func() bool { return len(s.keys()) == 0 })
+			k.advanceUntil(t, func() bool { return len(s.keys()) == 0 })
 		})
 	}
 }
@@ -182,26 +182,26 @@
 // read and one to write, and that a store which is away is asked again.
 func TestArchiveCalls(t *testing.T) {
 	c := quicktest.New(t)
-	s := &shelf{}
-	other := keep(t, s, false)
-	other.condemn()
+	s := &memoryStore{}
+	other := newArchiveFixture(t, s, false)
+	other.refuse()
 	passed := 0
-	other.until(t, func() bool { passed++; return passed > 100 })
-	c.Check(s.count(), quicktest.Equals, 0)
+	other.advanceUntil(t, func() bool { passed++; return passed > 100 })
+	c.Check(s.callCount(), quicktest.Equals, 0)
 
-	lead := keep(t, s, true)
-	lead.condemn()
-	lead.until(t, func() bool { return len(s.keys()) == 1 })
+	lead := newArchiveFixture(t, s, true)
+	lead.refuse()
+	lead.advanceUntil(t, func() bool { return len(s.keys()) == 1 })
 	passed = 0
-	lead.until(t, func() bool { passed++; return passed > 100 })
-	c.Check(s.count(), quicktest.Equals, 2)
+	lead.advanceUntil(t, func() bool { passed++; return passed > 100 })
+	c.Check(s.callCount(), quicktest.Equals, 2)
 
-	away := &shelf{fails: true}
-	late := keep(t, away, true)
-	late.condemn()
-	late.until(t, func() bool { return away.count() > 2 })
+	away := &memoryStore{fails: true}
+	late := newArchiveFixture(t, away, true)
+	late.refuse()
+	late.advanceUntil(t, func() bool { return away.callCount() > 2 })
 	away.mu.Lock()
 	away.fails = false
 	away.mu.Unlock()
-	late.until(t, func() bool { return len(away.keys()) == 1 })
+	late.advanceUntil(t, func() bool { return len(away.keys()) == 1 })
 }
--- a/internal/suspect/evidence.go
+++ b/internal/suspect/evidence.go
@@ -13,7 +13,7 @@
 	// key names the lifetime between boxes.
 	key   uint32
 	at    time.Time
-	marks EndFlags
+	flags EndFlags
 }
 
 // Mark tells how a request ran at a target that ended. Marks are joined with |.
@@ -28,7 +28,7 @@
 )
 
 // NewEnd returns the end of the lifetime with the key.
-func NewEnd(key uint32, at time.Time, marks EndFlags) End { return End{key: key, at: at, marks: marks} }
+func NewEnd(key uint32, at time.Time, flags EndFlags) End { return End{key: key, at: at, flags: flags} }
 
 // Key returns the key of the lifetime.
 func (e End) Key() uint32 { return e.key }
@@ -37,52 +37,52 @@
 func (e End) At() time.Time { return e.at }
 
 // Marks returns how the request ran there.
-func (e End) Flags() EndFlags { return e.marks }
+func (e End) Flags() EndFlags { return e.flags }
 
 // Has reports whether the end has the mark.
-func (e End) Has(m EndFlags) bool { return e.marks&m != 0 }
+func (e End) Has(m EndFlags) bool { return e.flags&m != 0 }
 
 // Evidence is what is known of one request. Evidence of several boxes is joined in any order
 // and any number of times with the same outcome.
 type Evidence struct {
 	// size is the length of its body.
-	size int
+	bodySize int
 	// ends are the lifetimes that ended under it since it was last cleared, the last mostEnds.
 	ends []End
 	// cleared is when a run of it was last whole, and begun when an answer to it last began,
 	// zero if none did.
-	cleared time.Time
-	begun   time.Time
+	lastSuccess     time.Time
+	lastAnswerStart time.Time
 }
 
 // NewEvidence returns the evidence against a request with a body of the size.
-func NewEvidence(size int, ends []End, cleared, begun time.Time) Evidence {
-	return Evidence{size: size, ends: ends, cleared: cleared, begun: begun}
+func NewEvidence(bodySize int, ends []End, lastSuccess, lastAnswerStart time.Time) Evidence {
+	return Evidence{bodySize: bodySize, ends: ends, lastSuccess: lastSuccess, lastAnswerStart: lastAnswerStart}
 }
 
 // Size returns the length of the request's body.
-func (e Evidence) BodySize() int { return e.size }
+func (e Evidence) BodySize() int { return e.bodySize }
 
 // Ends returns the lifetimes that ended under the request since it was last cleared.
 func (e Evidence) Ends() []End { return e.ends }
 
 // Cleared returns when a run of the request was last whole, zero if none was.
-func (e Evidence) LastSuccess() time.Time { return e.cleared }
+func (e Evidence) LastSuccess() time.Time { return e.lastSuccess }
 
 // Begun returns when an answer to the request last began, zero if none did.
-func (e Evidence) LastAnswerStart() time.Time { return e.begun }
+func (e Evidence) LastAnswerStart() time.Time { return e.lastAnswerStart }
 
 // mostEnds is how many ends are kept of a request: one more than it takes to refuse it beyond
 // doubt, as some may come at the same time.
-const mostEnds = certainFrom + 1
+const maxEnds = certainEnds + 1
 
 // join returns both evidences in one.
-func (e Evidence) join(o Evidence) Evidence {
-	out := Evidence{size: max(e.size, o.size), cleared: later(e.cleared, o.cleared), begun: later(e.begun, o.begun)}
+func (e Evidence) merge(o Evidence) Evidence {
+	out := Evidence{bodySize: max(e.bodySize, o.bodySize), lastSuccess: later(e.lastSuccess, o.lastSuccess), lastAnswerStart: later(e.lastAnswerStart, o.lastAnswerStart)}
 	for _, end := range slices.Concat(e.ends, o.ends) {
 		out.add(end)
 	}
-	out.ends = slices.DeleteFunc(out.ends, func(end End) bool { return !end.at.After(out.cleared) })
+	out.ends = slices.DeleteFunc(out.ends, func(end End) bool { return !end.at.After(out.lastSuccess) })
 	return out
 }
 
@@ -92,14 +92,14 @@
 	same := func(o End) bool { return o.key == end.key }
 	if i := slices.IndexFunc(e.ends, same); i >= 0 {
 		known := &e.ends[i]
-		known.marks |= end.marks
+		known.flags |= end.flags
 		if end.at.Before(known.at) {
 			known.at = end.at
 		}
 		return
 	}
 	e.ends = append(slices.Clip(e.ends), end)
-	if len(e.ends) > mostEnds {
+	if len(e.ends) > maxEnds {
 		oldest := slices.MinFunc(e.ends, func(x, y End) int {
 			return cmp.Or(x.at.Compare(y.at), cmp.Compare(x.key, y.key))
 		})
@@ -115,8 +115,8 @@
 }
 
 // last returns when something was last learnt.
-func (e Evidence) last() time.Time {
-	last := e.cleared
+func (e Evidence) lastUpdate() time.Time {
+	last := e.lastSuccess
 	for _, end := range e.ends {
 		if end.at.After(last) {
 			last = end.at
@@ -126,7 +126,7 @@
 }
 
 // lone returns how many targets have ended while the request ran alone.
-func (e Evidence) lone() int {
+func (e Evidence) ranAlone() int {
 	n := 0
 	for _, end := range e.ends {
 		if end.Has(RanAlone) {
@@ -137,10 +137,10 @@
 }
 
 // proven reports whether the request is refused, or was, and is tried alone.
-func (e Evidence) proven() bool { return len(e.ends) >= refusedFrom && e.lone() > 0 }
+func (e Evidence) isProven() bool { return len(e.ends) >= refusedEnds && e.ranAlone() > 0 }
 
 // sum returns a number that changes whenever an end is added.
-func (e Evidence) sum() (sum uint64) {
+func (e Evidence) checksum() (sum uint64) {
 	for _, end := range e.ends {
 		sum += uint64(end.key) + 1
 	}
@@ -148,25 +148,25 @@
 }
 
 // memory returns for how long what was learnt last refuses the request.
-func (e Evidence) memory() time.Duration {
-	if len(e.ends) >= certainFrom && e.lone() >= certainLone {
+func (e Evidence) refusalPeriod() time.Duration {
+	if len(e.ends) >= certainEnds && e.ranAlone() >= certainRanAlone {
 		return CertainRefusalPeriod
 	}
 	return RefusalPeriod
 }
 
 // standing returns how the request stands.
-func (e Evidence) standing(now time.Time) Status {
+func (e Evidence) status(now time.Time) Status {
 	if len(e.ends) == 0 {
 		return Allowed
 	}
 	// Once it was read elsewhere without harm, reading it is not what ended the target.
-	unread := func(end End) bool { return end.Has(BeforeFirstEvent) && end.at.After(e.begun) }
-	young := now.Sub(e.last()) < e.memory()
+	unread := func(end End) bool { return end.Has(BeforeFirstEvent) && end.at.After(e.lastAnswerStart) }
+	young := now.Sub(e.lastUpdate()) < e.refusalPeriod()
 	switch {
-	case e.proven() && young:
+	case e.isProven() && young:
 		return Refused
-	case len(e.ends) >= aloneFrom, slices.ContainsFunc(e.ends, unread):
+	case len(e.ends) >= isolatedEnds, slices.ContainsFunc(e.ends, unread):
 		return Isolated
 	default:
 		return Allowed
--- a/internal/suspect/record.go
+++ b/internal/suspect/record.go
@@ -39,11 +39,11 @@
 )
 
 // moment is one moment by a box's clock and by the time of day, which all boxes know.
-type moment struct{ now, day time.Time }
+type clockReading struct{ now, day time.Time }
 
 // encodeRecord returns the record of a request.
-func encodeRecord(d Digest, e Evidence, m moment) (r barleystep.Record, err error) {
-	w := record{Size: e.size}
+func encodeRecord(d Digest, e Evidence, m clockReading) (r barleystep.Record, err error) {
+	w := record{Size: e.bodySize}
 	for _, end := range e.ends {
 		at := m.day.Add(end.at.Sub(m.now))
 		w.Ends = append(w.Ends, recordEnd{Target: end.key, AtMS: at.UnixMilli(), Unread: end.Has(BeforeFirstEvent), Lone: end.Has(RanAlone)})
@@ -57,14 +57,14 @@
 
 // decodeRecord reads a record. An error says that no box wrote it. Times of day differ from box
 // to box: what lies ahead is now.
-func decodeRecord(r barleystep.Record, m moment) (d Digest, e Evidence, err error) {
+func decodeRecord(r barleystep.Record, m clockReading) (d Digest, e Evidence, err error) {
 	key, err := hex.DecodeString(r.Key())
 	d, ok := DigestFromBytes(key)
 	if err != nil || !ok {
 		return Digest{}, Evidence{}, strict.Errorf(strict.ReasonInvalidValue, "the key is no digest")
 	}
 	o := strict.Parse(r.Value())
-	e.size = int(o.Int(fieldSize))
+	e.bodySize = int(o.Int(fieldSize))
 	for _, end := range o.Objects(fieldEnds) {
 		e.add(decodeEnd(end, m))
 		if err = end.Err(); err != nil {
@@ -75,19 +75,19 @@
 }
 
 // decodeEnd reads one end of a record.
-func decodeEnd(o *strict.Object, m moment) End {
+func decodeEnd(o *strict.Object, m clockReading) End {
 	target := o.Int(fieldTarget)
 	if target < 0 || target > math.MaxUint32 {
 		target = 0 // No lifetime's key that a box has seen is likely to be it.
 	}
 	age := max(m.day.UnixMilli()-o.Int(fieldAt), 0)
 	age = min(age, (2 * CertainRefusalPeriod).Milliseconds())
-	var marks EndFlags
+	var flags EndFlags
 	if o.Bool(fieldUnread) {
-		marks |= BeforeFirstEvent
+		flags |= BeforeFirstEvent
 	}
 	if o.Bool(fieldLone) {
-		marks |= RanAlone
+		flags |= RanAlone
 	}
-	return NewEnd(uint32(target), m.now.Add(-time.Duration(age)*time.Millisecond), marks)
+	return NewEnd(uint32(target), m.now.Add(-time.Duration(age)*time.Millisecond), flags)
 }
--- a/internal/suspect/registry.go
+++ b/internal/suspect/registry.go
@@ -20,12 +20,12 @@
 	Clock barleystep.Clock
 	Log   *log.Logger
 
-	mu    sync.Mutex
-	known map[Digest]Evidence
+	mu       sync.Mutex
+	evidence map[Digest]Evidence
 	// refused is told of each request that is refused from then on.
-	refused func(d Digest, size int)
+	onRefused func(d Digest, size int)
 	// toldAll is when the others were last told of all, and not just of what is new.
-	toldAll time.Time
+	lastFullUpdate time.Time
 }
 
 // Watch has f called, by a goroutine of its own, for each request that is refused from then on.
@@ -36,7 +36,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.refused = f
+	b.onRefused = f
 }
 
 // Concerns reports whether anything is known of a request with a body of the size.
@@ -46,8 +46,8 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, e := range b.known {
-		if e.size == size {
+	for _, e := range b.evidence {
+		if e.bodySize == size {
 			return true
 		}
 	}
@@ -62,8 +62,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Clock.Now()
-	e := b.known[d]
-	return e.standing(now), max(e.last().Add(e.memory()).Sub(now), 0)
+	e := b.evidence[d]
+	return e.status(now), max(e.lastUpdate().Add(e.refusalPeriod()).Sub(now), 0)
 }
 
 // Known returns what is known of a request.
@@ -73,72 +73,72 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.known[d]
+	return b.evidence[d]
 }
 
 // Ended notes that a target's lifetime has ended while it had the request.
 func (b *Registry) RecordEnd(d Digest, size int, end End) {
-	b.learn(d, Evidence{size: size, ends: []End{end}})
+	b.merge(d, Evidence{bodySize: size, ends: []End{end}})
 }
 
 // Clear notes that a run of the request was whole.
 func (b *Registry) RecordSuccess(d Digest, size int) {
 	if b != nil && b.HasBodySize(size) {
-		b.learn(d, Evidence{size: size, cleared: b.Clock.Now()})
+		b.merge(d, Evidence{bodySize: size, lastSuccess: b.Clock.Now()})
 	}
 }
 
 // Begin notes that an answer to the request has begun.
 func (b *Registry) RecordAnswerStart(d Digest, size int) {
 	if b != nil && b.HasBodySize(size) {
-		b.learn(d, Evidence{size: size, begun: b.Clock.Now()})
+		b.merge(d, Evidence{bodySize: size, lastAnswerStart: b.Clock.Now()})
 	}
 }
 
 // Hear takes in what other boxes know.
-func (b *Registry) Merge(told map[Digest]Evidence) {
-	for d, e := range told {
-		b.learn(d, e)
+func (b *Registry) Merge(peers map[Digest]Evidence) {
+	for d, e := range peers {
+		b.merge(d, e)
 	}
 }
 
-func (b *Registry) learn(d Digest, e Evidence) {
+func (b *Registry) merge(d Digest, e Evidence) {
 	if b == nil {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	before, known := b.known[d]
+	before, known := b.evidence[d]
 	if !known && len(e.ends) == 0 {
 		return // Nothing was ever held against it here.
 	}
-	after := before.join(e)
-	if b.known == nil {
-		b.known = make(map[Digest]Evidence)
+	after := before.merge(e)
+	if b.evidence == nil {
+		b.evidence = make(map[Digest]Evidence)
 	}
-	b.known[d] = after
-	b.forget()
+	b.evidence[d] = after
+	b.prune()
 	now := b.Clock.Now()
-	from, to := before.standing(now), after.standing(now)
+	from, to := before.status(now), after.status(now)
 	if from == to {
 		return
 	}
-	b.logChange(d, after, from, to)
-	if to == Refused && b.refused != nil {
-		go b.refused(d, after.size)
+	b.logStatusChange(d, after, from, to)
+	if to == Refused && b.onRefused != nil {
+		go b.onRefused(d, after.bodySize)
 	}
 }
 
 // forget drops what is too old to count, and what exceeds the bound.
-func (b *Registry) forget() {
+func (b *Registry) prune() {
 	now := b.Clock.Now()
-	maps.DeleteFunc(b.known, func(_ Digest, e Evidence) bool { return now.Sub(e.last()) > 2*e.memory() })
-	for len(b.known) > mostKnown {
-		least := slices.MinFunc(slices.Collect(maps.Keys(b.known)), func(x, y Digest) int {
-			e, o := b.known[x], b.known[y]
-			return cmp.Or(cmp.Compare(len(e.ends), len(o.ends)), e.last().Compare(o.last()))
+	maps.DeleteFunc(b.evidence, func(_ Digest, e Evidence) bool { return now.Sub(e.lastUpdate()) > 2*e.refusalPeriod() })
+	for len(b.evidence) > maxRequests {
+		least := slices.MinFunc(slices.Collect(maps.Keys(b.evidence)), func(x, y Digest) int {
+			e, o := b.evidence[x], b.evidence[y]
+			return cmp.Or(cmp.Compare(len(e.ends), len(o.ends)), e.lastUpdate().Compare(o.lastUpdate()))
 		})
-		delete(b.known, least)
+		delete(b.evidence, least)
 	}
 }
 
@@ -150,32 +150,32 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.known) == 0 {
+	if len(b.evidence) == 0 {
 		return nil
 	}
-	b.forget()
-	latest := slices.SortedFunc(maps.Keys(b.known), func(x, y Digest) int {
-		return b.known[y].last().Compare(b.known[x].last())
+	b.prune()
+	latest := slices.SortedFunc(maps.Keys(b.evidence), func(x, y Digest) int {
+		return b.evidence[y].lastUpdate().Compare(b.evidence[x].lastUpdate())
 	})
 	now := b.Clock.Now()
-	all := now.Sub(b.toldAll) >= tellAllEvery
+	all := now.Sub(b.lastFullUpdate) >= fullUpdateInterval
 	if all {
-		b.toldAll = now
+		b.lastFullUpdate = now
 	}
-	told := make(map[Digest]Evidence)
-	for _, d := range latest[:min(mostTold, len(latest))] {
-		e := b.known[d]
-		if !all && now.Sub(e.last()) >= newFor {
+	update := make(map[Digest]Evidence)
+	for _, d := range latest[:min(maxGossiped, len(latest))] {
+		e := b.evidence[d]
+		if !all && now.Sub(e.lastUpdate()) >= recentPeriod {
 			continue
 		}
-		for _, word := range []*time.Time{&e.cleared, &e.begun} {
-			if now.Sub(*word) >= clearTold {
-				*word = time.Time{}
+		for _, t := range []*time.Time{&e.lastSuccess, &e.lastAnswerStart} {
+			if now.Sub(*t) >= successGossipTime {
+				*t = time.Time{}
 			}
 		}
-		told[d] = e
+		update[d] = e
 	}
-	return told
+	return update
 }
 
 // proven returns the requests that are refused, or were, and are tried alone.
@@ -185,10 +185,10 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.forget()
+	b.prune()
 	list := make(map[Digest]Evidence)
-	for d, e := range b.known {
-		if e.proven() {
+	for d, e := range b.evidence {
+		if e.isProven() {
 			list[d] = e
 		}
 	}
@@ -204,14 +204,14 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Clock.Now()
-	for _, e := range b.known {
-		counts[e.standing(now)]++
+	for _, e := range b.evidence {
+		counts[e.status(now)]++
 	}
 	return counts
 }
 
 // logChange tells of a change of belief, and of what it rests on.
-func (b *Registry) logChange(d Digest, e Evidence, from, to Status) {
+func (b *Registry) logStatusChange(d Digest, e Evidence, from, to Status) {
 	if b.Log == nil {
 		return
 	}
@@ -220,13 +220,13 @@
 		line = b.Log.Warn()
 	}
 	line.Str("digest", d.String()).Str("from", from.String()).Str("to", to.String()).
-		Int("ended", len(e.ends)).Int("size", e.size).Dur("age", b.Clock.Now().Sub(e.last())).
+		Int("ended", len(e.ends)).Int("size", e.bodySize).Dur("age", b.Clock.Now().Sub(e.lastUpdate())).
 		Msg(logPrefix + "A request is believed to run otherwise.")
 }
 
 // Join adds evidence to a set of it.
 func Merge(set, more map[Digest]Evidence) {
 	for d, e := range more {
-		set[d] = set[d].join(e)
+		set[d] = set[d].merge(e)
 	}
 }
--- a/internal/suspect/registry_test.go
+++ b/internal/suspect/registry_test.go
@@ -41,7 +41,7 @@
 
 // TestStanding checks how a request may run by what happened to targets that had it, a second
 // after the last of it.
-func TestStanding(t *testing.T) {
+func TestStatus(t *testing.T) {
 	type step func(b *suspect.Registry, clk *clock.Manual)
 	end := func(key uint32, marks suspect.EndFlags) step {
 		return func(b *suspect.Registry, clk *clock.Manual) {
@@ -113,7 +113,7 @@
 // TestTargetsCrashTogether checks that a request which many callers repeat is never refused
 // where many targets that have it end at the same time by themselves, and is free again as
 // soon as one of its other runs is whole.
-func TestTargetsCrashTogether(t *testing.T) {
+func TestTargetsEndTogether(t *testing.T) {
 	c := quicktest.New(t)
 	clk := clock.NewManual(time.Unix(1000, 0))
 	b := &suspect.Registry{Clock: clk}
@@ -136,7 +136,7 @@
 
 // TestJoin checks that boxes come to the same belief in whatever order, and however often, they
 // hear what each other knows. A lifetime ends once.
-func TestJoin(t *testing.T) {
+func TestMerge(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		clk := clock.NewManual(time.Unix(1000, 0))
 		start := clk.Now()
@@ -181,7 +181,7 @@
 // whether it still did harm, and whatever it showed, the next refusal was for a minute again.
 // The ends of that day, 60 s apart but for the first three, prove it, each under an attempt
 // that ran alone.
-func TestKeepsComing(t *testing.T) {
+func TestRepeatedRequest(t *testing.T) {
 	const (
 		length  = 50 * time.Minute
 		mostAll = 3 + 3
@@ -231,7 +231,7 @@
 }
 
 // TestToldOf checks that what is new is told each time, and all else once a second.
-func TestToldOf(t *testing.T) {
+func TestGossipUpdate(t *testing.T) {
 	clk := clock.NewManual(time.Unix(1000, 0))
 	b := &suspect.Registry{Clock: clk}
 	b.RecordEnd(digest, size, suspect.NewEnd(1, clk.Now(), suspect.BeforeFirstEvent))
@@ -249,7 +249,7 @@
 }
 
 // TestNilBook checks that a box without a book suspects nobody.
-func TestNilBook(t *testing.T) {
+func TestNilRegistry(t *testing.T) {
 	c := quicktest.New(t)
 	var b *suspect.Registry
 	b.RecordEnd(digest, size, suspect.NewEnd(1, time.Time{}, suspect.BeforeFirstEvent))
--- a/internal/suspect/status.go
+++ b/internal/suspect/status.go
@@ -21,15 +21,15 @@
 	// refusedFrom is how many targets have ended under a request that is refused, one of them
 	// while it ran alone: targets that end by themselves, many at the same time, have requests
 	// in common that many callers repeat.
-	refusedFrom = 3
+	refusedEnds = 3
 	// aloneFrom is how many targets have ended, none of which had sent anything for it yet,
 	// under a request that runs alone. One that had not begun its answer does so from the
 	// first one on.
-	aloneFrom = 2
+	isolatedEnds = 2
 	// certainFrom is how many targets have ended under a request that ends targets beyond
 	// doubt, and certainLone how many of them while it ran alone.
-	certainFrom = 2 * refusedFrom
-	certainLone = 3
+	certainEnds     = 2 * refusedEnds
+	certainRanAlone = 3
 	// Memory is for how long a request is refused after a target has last ended under it.
 	// Then one attempt shows, alone, whether it still does harm.
 	RefusalPeriod = time.Minute
@@ -39,21 +39,21 @@
 	// mostKnown bounds the requests of which something is known: those that four targets have
 	// at the same time, with some twenty requests each. Those of which least is known, and the
 	// oldest of these, are forgotten first.
-	mostKnown = 80
+	maxRequests = 80
 	// clearTold is for how long the others are told that a request was cleared, or an answer
 	// to it begun. What is told by
 	// way of others looks younger each time, and must not clear what came later.
-	clearTold = 5 * time.Second
+	successGossipTime = 5 * time.Second
 	// mostTold bounds those of which a box tells the others at a time, in some 2 kB; those
 	// that changed last go first.
-	mostTold = 32
+	maxGossiped = 32
 	// newFor is for how long what was learnt is told as often as boxes tell each other
 	// anything, and tellAllEvery how often all else is.
-	newFor       = 5 * time.Second
-	tellAllEvery = time.Second
+	recentPeriod       = 5 * time.Second
+	fullUpdateInterval = time.Second
 )
 
-var standingNames = [...]string{"free", "alone", "refused"}
+var statusNames = [...]string{"free", "alone", "refused"}
 
 // String returns the standing's name for logs.
-func (s Status) String() string { return standingNames[s] }
+func (s Status) String() string { return statusNames[s] }
