--- a/internal/clock/alarm.go
+++ b/internal/clock/alarm.go
@@ -8,7 +8,7 @@
 
 // leastAlarm is the shortest timer that is looked at again on waking; a shorter one is late by
 // its own length at the most.
-const leastAlarm = 250 * time.Millisecond
+const minAlarm = 250 * time.Millisecond
 
 // alarms are the timers of this process that are looked at again on waking.
 var alarms alarmSet
@@ -21,7 +21,7 @@
 }
 
 // watched reports whether somebody looks at the timers on waking.
-func (s *alarmSet) watched() bool { return s.watchers.Load() > 0 }
+func (s *alarmSet) isWatched() bool { return s.watchers.Load() > 0 }
 
 // start starts a timer. It may be due before it is in the set, so that the lock is held.
 func (s *alarmSet) start(a *alarm, d time.Duration) {
--- a/internal/clock/suspension_internal_test.go
+++ b/internal/clock/suspension_internal_test.go
@@ -15,11 +15,11 @@
 type readings struct{ steady, day, boot time.Duration }
 
 // suspended returns a counter that goes by the readings.
-func (r *readings) suspended() *suspension {
+func (r *readings) counter() *suspension {
 	return &suspension{
-		start: time.Unix(1000, 0),
-		read:  func() (steady, day time.Duration) { return r.steady, r.day },
-		boot:  func() time.Duration { return r.boot },
+		start:      time.Unix(1000, 0),
+		readClocks: func() (steady, day time.Duration) { return r.steady, r.day },
+		readBoot:   func() time.Duration { return r.boot },
 	}
 }
 
@@ -43,7 +43,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			var r readings
-			clk := r.suspended()
+			clk := r.counter()
 			begin := clk.now()
 			r = tc.after
 			quicktest.Check(t, clk.now().Sub(begin), quicktest.Equals, tc.want)
@@ -54,10 +54,10 @@
 
 // TestSuspensionsAddUp checks that time never goes back, and that a suspension which the time of
 // day hides is found by the watcher's look.
-func TestSuspensionsAddUp(t *testing.T) {
+func TestSuspensionsAccumulate(t *testing.T) {
 	c := quicktest.New(t)
 	var r readings
-	clk := r.suspended()
+	clk := r.counter()
 	begin := clk.now()
 	r = readings{1 * time.Second, 3 * time.Second, 3 * time.Second}
 	c.Check(clk.now().Sub(begin), quicktest.Equals, 3*time.Second)
@@ -65,7 +65,7 @@
 	c.Check(clk.now().Sub(begin), quicktest.Equals, 8*time.Second)
 	r = readings{3 * time.Second, 9 * time.Second, 19 * time.Second} // And set back by as much.
 	c.Check(clk.now().Sub(begin), quicktest.Equals, 9*time.Second)
-	c.Check(clk.look(), quicktest.Equals, 16*time.Second)
+	c.Check(clk.measure(), quicktest.Equals, 16*time.Second)
 	c.Check(clk.now().Sub(begin), quicktest.Equals, 19*time.Second)
 }
 
@@ -73,9 +73,9 @@
 // that one which is not due does not, and that a stopped one stays so.
 func TestAlarms(t *testing.T) {
 	c := quicktest.New(t)
-	pretend.Do(func() {
-		boot := process.boot
-		process.boot = func() time.Duration { return boot() + time.Duration(pretended.Load()) }
+	simulate.Do(func() {
+		boot := processClock.readBoot
+		processClock.readBoot = func() time.Duration { return boot() + time.Duration(simulated.Load()) }
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -84,7 +84,7 @@
 		_ = (&Watcher{Log: &log.Logger{Level: log.PanicLevel}}).Serve(ctx)
 	}()
 	defer func() { cancel(); <-done }()
-	for !alarms.watched() {
+	for !alarms.isWatched() {
 		Sleep(ctx, System{}, time.Millisecond)
 	}
 	due, later, stopped := System{}.NewTimer(time.Hour), System{}.NewTimer(3*time.Hour), System{}.NewTimer(time.Hour)
@@ -96,19 +96,19 @@
 	c.Check(due.Stop(), quicktest.IsFalse)
 	c.Check(later.Stop(), quicktest.IsTrue)
 	c.Check(len(stopped.C()), quicktest.Equals, 0)
-	short := System{}.NewTimer(leastAlarm)
+	short := System{}.NewTimer(minAlarm)
 	<-short.C()
 	c.Check(short.Stop(), quicktest.IsFalse)
 }
 
 // pretended is for how long the machine looks as if it had been suspended, once pretend was done.
 var (
-	pretend   sync.Once
-	pretended atomic.Int64
+	simulate  sync.Once
+	simulated atomic.Int64
 )
 
 // suspend has the machine look as if it had been suspended.
 func suspend(d time.Duration) {
-	pretended.Add(int64(d))
-	process.look()
+	simulated.Add(int64(d))
+	processClock.measure()
 }
--- a/internal/clock/system.go
+++ b/internal/clock/system.go
@@ -15,12 +15,12 @@
 
 // Now returns the time of day at the start of the process and what has passed since. It follows
 // no change of the time of day; TimeOfDay does.
-func (System) Now() time.Time { return process.now() }
+func (System) Now() time.Time { return processClock.now() }
 
 // NewTimer returns a timer. While a Watcher runs, it fires on waking if it came due while the
 // machine was suspended.
 func (System) NewTimer(d time.Duration) barleystep.Timer {
-	if d < leastAlarm || !alarms.watched() {
+	if d < minAlarm || !alarms.isWatched() {
 		return systemTimer{time.NewTimer(d)}
 	}
 	return newAlarm(d)
--- a/internal/clock/watcher.go
+++ b/internal/clock/watcher.go
@@ -15,9 +15,9 @@
 
 const (
 	// watchEvery is how soon after waking it is noticed.
-	watchEvery = 250 * time.Millisecond
+	watchInterval = 250 * time.Millisecond
 	// leastGap is the shortest suspension of which there is a line.
-	leastGap  = 100 * time.Millisecond
+	minGap    = 100 * time.Millisecond
 	logPrefix = "clock: "
 )
 
@@ -28,11 +28,11 @@
 func (w *Watcher) Serve(ctx context.Context) error {
 	alarms.watchers.Add(1)
 	defer alarms.watchers.Add(-1)
-	before := process.look()
-	return Repeat(ctx, System{}, watchEvery, func(context.Context) {
-		total := process.look()
+	before := processClock.measure()
+	return Repeat(ctx, System{}, watchInterval, func(context.Context) {
+		total := processClock.measure()
 		gap := total - before
-		if gap < leastGap {
+		if gap < minGap {
 			return
 		}
 		before = total
--- a/internal/fleet/cost.go
+++ b/internal/fleet/cost.go
@@ -32,8 +32,8 @@
 }
 
 const (
-	million   = 1e6
-	pairsHalf = 2 // A token is paired with each one before it: half of the square.
+	million      = 1e6
+	pairsDivisor = 2 // A token is paired with each one before it: half of the square.
 )
 
 // Read returns how long one engine reads a prompt with nothing else to do.
@@ -43,7 +43,7 @@
 	}
 	n := float64(tokens)
 	linear := n / m.PrefillRate * float64(time.Second)
-	pairs := n * n / pairsHalf / million * float64(m.PerMillionPairs)
+	pairs := n * n / pairsDivisor / million * float64(m.PerMillionPairs)
 	return time.Duration(linear + pairs)
 }
 
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -12,7 +12,7 @@
 	hosts         map[string]map[string]*Route
 	accounts      map[string]*Account
 	services      map[string]*Service
-	pauses        map[string]time.Duration // pauses holds the tightest pause by service.
+	maxPauses     map[string]time.Duration // pauses holds the tightest pause by service.
 }
 
 // NewView indexes the configuration, which must not be changed afterwards.
@@ -22,7 +22,7 @@
 		hosts:         make(map[string]map[string]*Route),
 		accounts:      make(map[string]*Account),
 		services:      make(map[string]*Service),
-		pauses:        make(map[string]time.Duration),
+		maxPauses:     make(map[string]time.Duration),
 	}
 	for i := range c.Routes {
 		v.addRoute(&c.Routes[i])
@@ -48,8 +48,8 @@
 		return
 	}
 	for _, share := range r.Split {
-		if p, ok := v.pauses[share.Service]; !ok || r.MaxPause < p {
-			v.pauses[share.Service] = r.MaxPause
+		if p, ok := v.maxPauses[share.Service]; !ok || r.MaxPause < p {
+			v.maxPauses[share.Service] = r.MaxPause
 		}
 	}
 }
@@ -118,4 +118,4 @@
 
 // TightestPause returns the shortest pause between events that any stream of
 // the service may have, zero if it has no streams.
-func (v *View) MaxPause(service string) time.Duration { return v.pauses[service] }
+func (v *View) MaxPause(service string) time.Duration { return v.maxPauses[service] }
--- a/internal/strict/object.go
+++ b/internal/strict/object.go
@@ -48,7 +48,7 @@
 
 // into decodes a field. What encoding/json takes for "leave it as it is" is another type
 // here.
-func (o *Object) into(name string, out any) bool {
+func (o *Object) decode(name string, out any) bool {
 	raw, ok := o.fields[name]
 	if !ok {
 		o.fail(Errorf(ReasonMissing, "field %q is missing", name))
@@ -63,13 +63,13 @@
 
 // Text returns a text.
 func (o *Object) Text(name string) (s string) {
-	o.into(name, &s)
+	o.decode(name, &s)
 	return s
 }
 
 // Name returns a text that is not empty.
 func (o *Object) NonEmptyText(name string) (s string) {
-	if o.into(name, &s) && s == "" {
+	if o.decode(name, &s) && s == "" {
 		o.fail(Errorf(ReasonInvalidValue, "field %q is empty", name))
 	}
 	return s
@@ -77,7 +77,7 @@
 
 // OneOf returns a text, which must be one of those given.
 func (o *Object) OneOf(name string, known ...string) (s string) {
-	if o.into(name, &s) && !slices.Contains(known, s) {
+	if o.decode(name, &s) && !slices.Contains(known, s) {
 		o.fail(Errorf(ReasonUnknownValue, "field %q is none of %q", name, known))
 	}
 	return s
@@ -85,7 +85,7 @@
 
 // Address returns a text, which must be the IP and port of somebody.
 func (o *Object) AddrPort(name string) (s string) {
-	if !o.into(name, &s) {
+	if !o.decode(name, &s) {
 		return ""
 	}
 	a, err := netip.ParseAddrPort(s)
@@ -97,7 +97,7 @@
 
 // Whole returns a whole number.
 func (o *Object) Int(name string) (n int64) {
-	o.into(name, &n)
+	o.decode(name, &n)
 	return n
 }
 
@@ -113,20 +113,20 @@
 
 // Number returns a number.
 func (o *Object) Float(name string) (f float64) {
-	o.into(name, &f)
+	o.decode(name, &f)
 	return f
 }
 
 // Flag returns true or false.
 func (o *Object) Bool(name string) (b bool) {
-	o.into(name, &b)
+	o.decode(name, &b)
 	return b
 }
 
 // List returns the objects of a list.
 func (o *Object) Objects(name string) []*Object {
 	var raw []json.RawMessage
-	if !o.into(name, &raw) {
+	if !o.decode(name, &raw) {
 		return nil
 	}
 	list := make([]*Object, len(raw))
--- a/internal/strict/object_test.go
+++ b/internal/strict/object_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestFlawOf(t *testing.T) {
+func TestReasonOf(t *testing.T) {
 	wrapped := eris.Wrap(strict.Errorf(strict.ReasonWrongType, "t"), "outer")
 	quicktest.Check(t, strict.ReasonOf(wrapped), quicktest.Equals, strict.ReasonWrongType)
 	quicktest.Check(t, strict.ReasonOf(eris.New("other")), quicktest.Equals, strict.ReasonUnreadable)
--- a/internal/strict/reason.go
+++ b/internal/strict/reason.go
@@ -33,17 +33,17 @@
 
 // Error says why a record was refused.
 type Error struct {
-	flaw Reason
-	text string
+	reason Reason
+	text   string
 }
 
 // Errorf returns the error of a flaw with its description.
 func Errorf(f Reason, format string, args ...any) *Error {
-	return &Error{flaw: f, text: fmt.Sprintf(format, args...)}
+	return &Error{reason: f, text: fmt.Sprintf(format, args...)}
 }
 
 // Flaw returns what is wrong.
-func (e *Error) Reason() Reason { return e.flaw }
+func (e *Error) Reason() Reason { return e.reason }
 
 // Error describes the flaw.
 func (e *Error) Error() string { return e.text }
@@ -52,7 +52,7 @@
 func ReasonOf(err error) Reason {
 	var e *Error
 	if eris.As(err, &e) {
-		return e.flaw
+		return e.reason
 	}
 	return ReasonUnreadable
 }
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -11,9 +11,9 @@
 // Timeline is simulated time. Its zero value stands at the beginning. It is used by
 // one goroutine.
 type Timeline struct {
-	now    time.Duration
-	events eventHeap
-	serial int
+	now      time.Duration
+	events   eventHeap
+	sequence int
 }
 
 // epoch is the time at which every run begins.
@@ -30,8 +30,8 @@
 
 // After runs f once d has passed.
 func (t *Timeline) After(d time.Duration, f func()) {
-	t.serial++
-	heap.Push(&t.events, event{at: t.now + d, serial: t.serial, run: f})
+	t.sequence++
+	heap.Push(&t.events, event{at: t.now + d, sequence: t.sequence, run: f})
 }
 
 // Every runs f at intervals from now on.
@@ -52,9 +52,9 @@
 }
 
 type event struct {
-	at     time.Duration
-	serial int
-	run    func()
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
 type eventHeap []event
@@ -67,7 +67,7 @@
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
-	return h[i].serial < h[j].serial
+	return h[i].sequence < h[j].sequence
 }
 
 // Swap exchanges two events.
