--- a/internal/front/authenticate.go
+++ b/internal/front/authenticate.go
@@ -26,13 +26,13 @@
 	if account == nil {
 		return barleystep.NewRefusal(barleystep.ReasonInvalidKey, barleystep.OutcomeNotRun, "The key is not valid.")
 	}
-	bound := time.Duration(s.freshness.Load())
-	if bound > 0 && (x.age < 0 || x.age > bound) {
-		return notRun(barleystep.ReasonKeysNotConfirmed, "The box cannot tell whether the key is still valid.", restartPause)
+	maxAge := time.Duration(s.freshness.Load())
+	if maxAge > 0 && (x.viewAge < 0 || x.viewAge > maxAge) {
+		return notRunRefusal(barleystep.ReasonKeysNotConfirmed, "The box cannot tell whether the key is still valid.", unavailableRetryAfter)
 	}
 	x.account = account.Name
 	if account.HasPriority {
-		x.rank = account.Priority
+		x.priority = account.Priority
 	}
 	return next(ctx, x)
 }
--- a/internal/front/deliver.go
+++ b/internal/front/deliver.go
@@ -19,17 +19,17 @@
 // deliver sends the request to a target and relays the answer; where that is
 // safe it tries another target, or takes a stream up there.
 type deliver struct {
-	clock    barleystep.Clock
-	protocol barleystep.Protocol
-	balancer *balance.Balancer
-	pool     *conn.Pool
-	budget   *budget.Budget
-	meter    *metric.Meter
-	log      *log.Logger
-	stop     *stop
-	habit    habit
+	clock        barleystep.Clock
+	protocol     barleystep.Protocol
+	balancer     *balance.Balancer
+	pool         *conn.Pool
+	budget       *budget.Budget
+	meter        *metric.Meter
+	log          *log.Logger
+	shutdown     *shutdown
+	limitHistory limitHistory
 	// releasing counts the tries that have ended whose memory at helpers is being released.
-	releasing atomic.Int64
+	pendingReleases atomic.Int64
 }
 
 const (
@@ -37,11 +37,11 @@
 	// such tries reach no target and so do not count as sends.
 	maxDials = 4
 	// fullPause is when a caller may come back whose request no target took.
-	fullPause = 200 * time.Millisecond
+	noTargetRetryAfter = 200 * time.Millisecond
 	// returnPart is the part of its time, as a divisor, after which a caller may come back
 	// to targets that are full. Callers heed no longer a pause, and come back once: the
 	// later, the likelier the burst is over.
-	returnPart = 3
+	fullRetryDivisor = 3
 )
 
 // result says how one try of a request ended.
@@ -68,24 +68,24 @@
 
 // Run makes tries until one ends the request.
 func (d *deliver) Run(ctx context.Context, x *Exchange, next Next) error {
-	ctx, cancel := bound(ctx, d.clock, x)
+	ctx, cancel := withDeadline(ctx, d.clock, x)
 	defer cancel()
-	ctx, release := d.stop.bound(ctx, 0)
+	ctx, release := d.shutdown.withDeadline(ctx, 0)
 	defer release()
-	ctx, x.cut = context.WithCancelCause(ctx)
-	defer x.cut(nil)
+	ctx, x.abort = context.WithCancelCause(ctx)
+	defer x.abort(nil)
 	d.budget.CountRequest(x.service)
-	x.firstTry = d.habit.firstTry(d.clock, x)
+	x.firstTry = d.limitHistory.firstTry(d.clock, x)
 	job := d.job(x)
 	var failed *try // failed is the last try whose target gave a whole failure of its own.
 	for dials, tries := 0, 0; ; {
-		asked := d.clock.Now()
-		x.progress.enter(PhaseWaiting, asked)
-		job.FirstEventDeadline = x.patience()
+		queuedAt := d.clock.Now()
+		x.progress.enter(PhaseWaiting, queuedAt)
+		job.FirstEventDeadline = x.giveUpAt()
 		placement, err := d.place(ctx, x, &job)
-		x.queued += d.clock.Now().Sub(asked)
+		x.queued += d.clock.Now().Sub(queuedAt)
 		if err != nil {
-			return d.ended(ctx, x, failed, err)
+			return d.finish(ctx, x, failed, err)
 		}
 		tries++
 		t := &try{stage: d, exchange: x, placement: placement, number: tries, alone: job.EndedTargets > 0}
@@ -95,17 +95,17 @@
 			t.clear()
 			return next(ctx, x)
 		}
-		d.note(x, t, res, err)
-		t.accuse(ctx, res)
-		t.learn(&job, res)
+		d.logFailedTry(x, t, res, err)
+		t.recordEnds(ctx, res)
+		t.updateJob(&job, res)
 		if t.failure != nil {
 			failed = t
 		}
 		if res == resultNotSent {
 			dials++
 		}
-		if !d.again(ctx, t, res, dials) {
-			return d.ended(ctx, x, failed, err)
+		if !d.shouldRetry(ctx, t, res, dials) {
+			return d.finish(ctx, x, failed, err)
 		}
 		d.meter.AttemptRetried(res.String())
 	}
@@ -115,25 +115,25 @@
 // it returns errStopping, as soon as that is known. A stream that has begun is taken up
 // elsewhere for as long as the box serves: its caller could not have it otherwise.
 func (d *deliver) place(ctx context.Context, x *Exchange, job *balance.Job) (*balance.Placement, error) {
-	if err := d.judge(x, job); err != nil {
+	if err := d.checkSuspect(x, job); err != nil {
 		return nil, err
 	}
 	if x.answer.HeadSent() {
-		return d.ask(ctx, x, *job)
+		return d.requestPlacement(ctx, x, *job)
 	}
-	least := job.MinTotalTime()
-	if d.stop.before(least) {
+	minTime := job.MinTotalTime()
+	if d.shutdown.endsWithin(minTime) {
 		return nil, errStopping
 	}
-	ctx, release := d.stop.bound(ctx, least)
+	ctx, release := d.shutdown.withDeadline(ctx, minTime)
 	defer release()
-	p, err := d.ask(ctx, x, *job)
+	p, err := d.requestPlacement(ctx, x, *job)
 	switch {
 	case err != nil && eris.Is(context.Cause(ctx), errStopping):
 		return nil, errStopping
 	case err != nil:
 		return nil, err
-	case d.stop.before(p.ExpectedTTFT() + job.DecodeTime()):
+	case d.shutdown.endsWithin(p.ExpectedTTFT() + job.DecodeTime()):
 		p.Cancel()
 		return nil, errStopping
 	}
@@ -143,11 +143,11 @@
 // ask asks for a place. A request that a target may have run cannot be refused as not run,
 // and one whose answer has begun would be cut: where all targets are full, it is asked for
 // again for as long as its caller, and its box, are there.
-func (d *deliver) ask(ctx context.Context, x *Exchange, job balance.Job) (p *balance.Placement, err error) {
+func (d *deliver) requestPlacement(ctx context.Context, x *Exchange, job balance.Job) (p *balance.Placement, err error) {
 	since := d.clock.Now()
 	for {
 		p, err = d.balancer.Place(ctx, job)
-		if !x.ran || !eris.Is(err, balance.ErrFull) || !clock.Sleep(ctx, d.clock, moveRetry) {
+		if !x.mayHaveRun || !eris.Is(err, balance.ErrFull) || !clock.Sleep(ctx, d.clock, claimRetryInterval) {
 			return p, err
 		}
 		job.Arrival = since // It has waited, and is counted as demand, once.
@@ -158,14 +158,14 @@
 // blame is avoided, and the target otherwise. A helper in another hall that cannot be
 // reached is rarely the only one there. Where it is not known whom to blame, no helpers
 // are asked for again.
-func (t *try) learn(job *balance.Job, res result) {
-	job.Avoid = append(job.Avoid, t.silent...)
-	if t.unplaced {
+func (t *try) updateJob(job *balance.Job, res result) {
+	job.Avoid = append(job.Avoid, t.unreachable...)
+	if t.needsPlacement {
 		return
 	}
 	if t.blamed != "" {
 		job.Avoid = append(job.Avoid, t.blamed)
-		job.LocalHelpers = job.LocalHelpers || t.blamedFar()
+		job.LocalHelpers = job.LocalHelpers || t.blamedInOtherHall()
 		return
 	}
 	job.Avoid = append(job.Avoid, t.placement.Target.ID)
@@ -179,7 +179,7 @@
 		PromptTokens: x.call.PromptTokens,
 		OutputTokens: x.call.MaxOutputTokens,
 		Objective:    x.route.Objective,
-		Priority:     x.rank,
+		Priority:     x.priority,
 		FirstArrival: x.firstTry,
 		CallerRetry:  x.firstTry.Before(x.started),
 	}
@@ -191,7 +191,7 @@
 }
 
 // again decides whether the request is tried once more.
-func (d *deliver) again(ctx context.Context, t *try, res result, dials int) bool {
+func (d *deliver) shouldRetry(ctx context.Context, t *try, res result, dials int) bool {
 	x := t.exchange
 	if ctx.Err() != nil {
 		return false
@@ -202,92 +202,92 @@
 	if x.sends >= x.route.MaxTries {
 		return false
 	}
-	if x.ran && !x.route.Repeatable() {
+	if x.mayHaveRun && !x.route.Repeatable() {
 		return false
 	}
-	if x.answer.HeadSent() && (x.last == "" || !x.route.Resumable) {
+	if x.answer.HeadSent() && (x.lastEvent == "" || !x.route.Resumable) {
 		return false
 	}
-	return t.paid.Load() || d.budget.AllowRetry(x.service)
+	return t.retryPaid.Load() || d.budget.AllowRetry(x.service)
 }
 
 // ended ends a request for which nothing more is tried. A whole failure of a target's own is
 // passed on as it came, also where what was tried after it came to nothing.
-func (d *deliver) ended(ctx context.Context, x *Exchange, failed *try, err error) error {
+func (d *deliver) finish(ctx context.Context, x *Exchange, failed *try, err error) error {
 	outcome := barleystep.OutcomeNotRun
-	if x.ran {
+	if x.mayHaveRun {
 		outcome = barleystep.OutcomeUnknown
 	}
 	if eris.Is(err, balance.ErrSuspectRefused) || eris.Is(context.Cause(ctx), balance.ErrSuspectRefused) {
-		return d.endsTargets(x, outcome)
+		return d.suspectRefusal(x, outcome)
 	}
-	end := d.endOf(ctx, err)
+	end := d.endReasonOf(ctx, err)
 	switch {
-	case end == endCaller:
+	case end == endCallerGone:
 		return barleystep.NewRefusal(barleystep.ReasonCallerGone, outcome, "The caller went away.")
 	case failed != nil && !x.answer.HeadSent():
-		failed.pass(failed.failure)
+		failed.sendAnswer(failed.failure)
 		return nil
-	case end == endTime:
+	case end == endDeadline:
 		return barleystep.NewRefusal(barleystep.ReasonDeadline, outcome, "The time limit was reached.")
-	case end == endBox && x.ran:
+	case end == endShutdown && x.mayHaveRun:
 		return barleystep.NewRefusal(barleystep.ReasonStopping, outcome, "The box stopped before the target had answered.")
-	case end == endBox:
-		return stopping()
-	case !x.ran:
-		return d.notTaken(x, err)
+	case end == endShutdown:
+		return stoppingRefusal()
+	case !x.mayHaveRun:
+		return d.unservedRefusal(x, err)
 	default:
-		return barleystep.NewRefusal(barleystep.ReasonTargetFailed, outcome, "The target did not answer: "+rootOf(err)+".")
+		return barleystep.NewRefusal(barleystep.ReasonTargetFailed, outcome, "The target did not answer: "+errorText(err)+".")
 	}
 }
 
 // end says what ended a request besides its targets.
-type end uint8
+type endReason uint8
 
 const (
 	// endNone means that nothing else did.
-	endNone end = iota
+	endNone endReason = iota
 	// endCaller means that its caller went away, endTime that its time was over, and
 	// endBox that its box ends.
-	endCaller
-	endTime
-	endBox
+	endCallerGone
+	endDeadline
+	endShutdown
 )
 
 // endOf returns what ended a request by its context and last error. Once the box has ended
 // all requests, a caller that seems to have gone may be one whose connection it has stopped
 // reading: it is answered.
-func (d *deliver) endOf(ctx context.Context, err error) end {
+func (d *deliver) endReasonOf(ctx context.Context, err error) endReason {
 	cause := context.Cause(ctx)
 	switch {
 	case eris.Is(err, errStopping), eris.Is(cause, errStopping):
-		return endBox
+		return endShutdown
 	case eris.Is(cause, context.DeadlineExceeded):
-		return endTime
-	case cause != nil && d.stop.before(0):
-		return endBox
+		return endDeadline
+	case cause != nil && d.shutdown.endsWithin(0):
+		return endShutdown
 	case cause != nil:
-		return endCaller
+		return endCallerGone
 	default:
 		return endNone
 	}
 }
 
 // notTaken refuses a request that no target has run. It is in vain, or may come back.
-func (d *deliver) notTaken(x *Exchange, err error) *barleystep.Refusal {
-	x.passed = d.balancer.DecliningTargets(x.service)
+func (d *deliver) unservedRefusal(x *Exchange, err error) *barleystep.Refusal {
+	x.passedOver = d.balancer.DecliningTargets(x.service)
 	switch {
 	case eris.Is(err, balance.ErrCannotMeetDeadline):
-		return notRun(barleystep.ReasonDeadlineCannotBeMet, "No target could answer in the time that is left.", 0)
+		return notRunRefusal(barleystep.ReasonDeadlineCannotBeMet, "No target could answer in the time that is left.", 0)
 	case eris.Is(err, balance.ErrFull):
-		after := max(x.comeBack(d.clock.Now()), d.balancer.RestRemaining(d.job(x)))
-		return notRun(barleystep.ReasonQueueFull, "All targets are full.", after)
+		after := max(x.retryAfter(d.clock.Now()), d.balancer.RestRemaining(d.job(x)))
+		return notRunRefusal(barleystep.ReasonQueueFull, "All targets are full.", after)
 	default:
-		return notRun(barleystep.ReasonNoTarget, "No target took the request.", fullPause)
+		return notRunRefusal(barleystep.ReasonNoTarget, "No target took the request.", noTargetRetryAfter)
 	}
 }
 
-func rootOf(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return "no target is left"
 	}
@@ -295,10 +295,10 @@
 }
 
 // note writes a line about a try that did not end the request.
-func (d *deliver) note(x *Exchange, t *try, res result, err error) {
+func (d *deliver) logFailedTry(x *Exchange, t *try, res result, err error) {
 	e := d.log.Warn().Str("request", x.call.RequestID).Str("target", string(t.placement.Target.ID)).
 		Str("result", res.String()).Str("blamed", string(t.blamed)).Int("send", x.sends).Int("status", t.head.Status()).
-		Bool("sealed", t.head.Sealed()).Int("skipped", t.skipped).Bool("begun", x.answer.HeadSent()).Str("last_event", x.last)
+		Bool("sealed", t.head.Sealed()).Int("skipped", t.skippedAnswers).Bool("begun", x.answer.HeadSent()).Str("last_event", x.lastEvent)
 	if err != nil {
 		e.Str("error", err.Error())
 	}
--- a/internal/front/event.go
+++ b/internal/front/event.go
@@ -6,30 +6,30 @@
 )
 
 var (
-	eventBorder = []byte("\n\n")
-	idField     = []byte("id:")
+	eventDelimiter = []byte("\n\n")
+	idField        = []byte("id:")
 )
 
 // eventEnd returns where the last whole event of data ends, 0 if there is none.
-func eventEnd(data []byte) int {
-	i := bytes.LastIndex(data, eventBorder)
+func lastEventEnd(data []byte) int {
+	i := bytes.LastIndex(data, eventDelimiter)
 	if i < 0 {
 		return 0
 	}
-	return i + len(eventBorder)
+	return i + len(eventDelimiter)
 }
 
 // firstEvent returns where the first event of data ends.
-func firstEvent(data []byte) int {
-	i := bytes.Index(data, eventBorder)
+func firstEventEnd(data []byte) int {
+	i := bytes.Index(data, eventDelimiter)
 	if i < 0 {
 		return len(data)
 	}
-	return i + len(eventBorder)
+	return i + len(eventDelimiter)
 }
 
 // lastID returns the last event id in whole events, empty if there is none.
-func lastID(events []byte) string {
+func lastEventID(events []byte) string {
 	for end := len(events); end > 0; {
 		start := bytes.LastIndexByte(events[:end-1], '\n') + 1
 		line := events[start:end]
@@ -43,7 +43,7 @@
 
 // notAfter reports whether the event id is the other one or one before it. Ids
 // that are no numbers are only compared for equality.
-func notAfter(id, other string) bool {
+func isAtOrBefore(id, other string) bool {
 	a, err := strconv.ParseUint(id, 10, 64)
 	if err != nil {
 		return id == other
--- a/internal/front/fixture_test.go
+++ b/internal/front/fixture_test.go
@@ -119,7 +119,7 @@
 		return next
 	}
 	if len(s.steps) == 0 {
-		return raw("")
+		return rawAnswer("")
 	}
 	next := s.steps[0]
 	s.steps = s.steps[1:]
@@ -131,12 +131,12 @@
 }
 
 // listened counts the listeners of these tests.
-var listened atomic.Uint32
+var listenerCount atomic.Uint32
 
 // listen listens on a loopback address of its own: the ports of a single one would run
 // out while closed connections of thousands of cases linger.
 func listen(t *testing.T) net.Listener {
-	n := listened.Add(1)
+	n := listenerCount.Add(1)
 	l, err := net.Listen("tcp4", fmt.Sprintf("127.%d.%d.%d:0", 1+n>>16&0x3f, n>>8&0xff, n&0xff))
 	quicktest.Assert(t, err, quicktest.IsNil)
 	return l
@@ -173,35 +173,35 @@
 }
 
 // raw writes a text as it is; ID stands for the request's id.
-func raw(text string) step {
+func rawAnswer(text string) step {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = io.WriteString(c, strings.ReplaceAll(text, "ID", r.Header.Get("Id")))
 		return false
 	}
 }
 
-func whole(status int, headers, body string) step {
+func completeAnswer(status int, headers, body string) step {
 	text := fmt.Sprintf("HTTP/1.1 %d X\r\nId: ID\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
 	return func(c net.Conn, r *http.Request) bool {
-		raw(text)(c, r)
+		rawAnswer(text)(c, r)
 		return true
 	}
 }
 
 // events writes a stream of numbered events; cut leaves out its end.
-func events(from, to int, cut bool) step {
+func eventStream(from, to int, cut bool) step {
 	text := "HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for i := from; i <= to; i++ {
 		e := fmt.Sprintf("id: %d\ndata: x\n\n", i)
 		text += fmt.Sprintf("%x\r\n%s\r\n", len(e), e)
 	}
 	if cut {
-		return raw(text + "8\r\nid: 9")
+		return rawAnswer(text + "8\r\nid: 9")
 	}
-	return raw(text + "0\r\n\r\n")
+	return rawAnswer(text + "0\r\n\r\n")
 }
 
-func silent(_ net.Conn, r *http.Request) bool {
+func neverAnswer(_ net.Conn, r *http.Request) bool {
 	<-r.Context().Done()
 	return false
 }
@@ -302,8 +302,8 @@
 	for _, id := range []barleystep.TargetID{"x", "y", "z", "w"} {
 		f.targets = append(f.targets, fleet.Target{ID: id, Service: "engines", Addr: addr, Slots: 4})
 	}
-	spent := &budget.Budget{Clock: clk, Window: 10 * time.Second, BoxCount: func() int { return 1 }}
-	spent.SetLimits(1, 10)
+	retryBudget := &budget.Budget{Clock: clk, Window: 10 * time.Second, BoxCount: func() int { return 1 }}
+	retryBudget.SetLimits(1, 10)
 	quiet := &log.Logger{Level: log.PanicLevel}
 	f.front = &front.Server{
 		Clock:         clk,
@@ -311,7 +311,7 @@
 		Configuration: s,
 		Balancer:      &balance.Balancer{Clock: clk, Targets: f.list, Suspects: &suspect.Registry{Clock: clk}},
 		Pool:          &conn.Pool{Clock: clk, DialTimeout: 10 * time.Second},
-		Budget:        spent,
+		Budget:        retryBudget,
 		Meter:         metric.Discard(),
 		Log:           quiet,
 	}
@@ -332,11 +332,11 @@
 	broken bool
 }
 
-func (f *fixture) ask(t *testing.T, method, path, body string, headers ...string) reply {
-	return f.askIn(t, context.Background(), method, path, body, headers...)
+func (f *fixture) do(t *testing.T, method, path, body string, headers ...string) reply {
+	return f.doContext(t, context.Background(), method, path, body, headers...)
 }
 
-func (f *fixture) askIn(t *testing.T, ctx context.Context, method, path, body string, headers ...string) reply {
+func (f *fixture) doContext(t *testing.T, ctx context.Context, method, path, body string, headers ...string) reply {
 	req, err := http.NewRequestWithContext(ctx, method, f.url+path, strings.NewReader(body))
 	quicktest.Assert(t, err, quicktest.IsNil)
 	req.Host = "h"
@@ -354,7 +354,7 @@
 	return reply{resp.StatusCode, resp.Header, string(data), err != nil}
 }
 
-func (s *server) count() int {
+func (s *server) requestCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.requests)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -14,7 +14,7 @@
 	"github.com/barleystep/barleystep/internal/clock"
 )
 
-func stream(from, to int) string {
+func eventText(from, to int) string {
 	var b strings.Builder
 	for i := from; i <= to; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: x\n\n", i)
@@ -27,8 +27,8 @@
 // TestAnswers checks, for each kind of route, what becomes of what targets do:
 // the status and body for the caller, and how many times the request was sent.
 func TestAnswers(t *testing.T) {
-	ok := whole(200, sealed, "good")
-	shed := whole(503, "Not-Run: 1\r\n", "")
+	ok := completeAnswer(200, sealed, "good")
+	shed := completeAnswer(503, "Not-Run: 1\r\n", "")
 	cases := map[string]struct {
 		path   string
 		steps  []step
@@ -40,33 +40,33 @@
 		"whole answer":                     {"/once/", []step{ok}, 200, "good", 1, false},
 		"shed once, repeatable":            {"/again/", []step{shed, ok}, 200, "good", 2, false},
 		"shed twice":                       {"/again/", []step{shed, shed, ok}, 503, "", 2, false},
-		"closed, must not repeat":          {"/once/", []step{raw(""), ok}, 502, "", 1, false},
-		"closed, repeatable":               {"/again/", []step{raw(""), ok}, 200, "good", 2, false},
-		"closed, then shed":                {"/again/", []step{raw(""), shed}, 502, "", 2, false},
-		"not an answer":                    {"/again/", []step{raw("zzz\r\n\r\n"), ok}, 200, "good", 2, false},
-		"cut body, must not repeat":        {"/once/", []step{raw("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\nContent-Length: 9\r\n\r\nabc")}, 502, "", 1, false},
-		"success without digest":           {"/once/", []step{whole(200, "", "forged")}, 502, "", 1, false},
-		"encoded on its way":               {"/again/", []step{whole(200, sealed+"Content-Encoding: gzip\r\n", "zip"), ok}, 200, "good", 2, false},
-		"another request's answer":         {"/once/", []step{raw("HTTP/1.1 200 OK\r\nId: other\r\nSeal: s\r\nContent-Length: 3\r\n\r\nbad")}, 502, "", 1, false},
-		"own failure, must not repeat":     {"/once/", []step{whole(500, sealed, "bad"), ok}, 500, "bad", 1, false},
-		"own failure, repeatable":          {"/again/", []step{whole(500, sealed, "bad"), ok}, 200, "good", 2, false},
-		"own failure, then no place":       {"/lone/", []step{whole(500, sealed, "bad")}, 500, "bad", 1, false},
-		"own failure twice":                {"/again/", []step{whole(500, sealed, "bad"), whole(500, sealed, "bad2")}, 500, "bad2", 2, false},
-		"503 that may have run":            {"/once/", []step{whole(503, sealed, "x")}, 502, "The target did not answer: front: the target does not say that the request has not run.\n", 1, false},
-		"own 4xx goes through":             {"/again/", []step{whole(422, sealed, "no"), ok}, 422, "no", 1, false},
-		"length by close":                  {"/once/", []step{raw("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\n\r\nall")}, 200, "all", 1, false},
-		"stream":                           {"/stream/", []step{events(1, 3, false)}, 200, stream(1, 3), 1, false},
-		"stream resumed inside an event":   {"/stream/", []step{events(1, 3, true), events(4, 6, false)}, 200, stream(1, 6), 2, false},
-		"resumed with events twice":        {"/stream/", []step{events(1, 3, true), events(2, 6, false)}, 200, stream(1, 6), 2, false},
-		"stream broken twice looks broken": {"/stream/", []step{events(1, 3, true), events(4, 5, true)}, 200, stream(1, 5), 2, true},
-		"stream that must not resume":      {"/plainstream/", []step{events(1, 3, true), events(4, 6, false)}, 200, stream(1, 3), 1, true},
-		"stream shed, then served":         {"/plainstream/", []step{shed, events(1, 2, false)}, 200, stream(1, 2), 2, false},
+		"closed, must not repeat":          {"/once/", []step{rawAnswer(""), ok}, 502, "", 1, false},
+		"closed, repeatable":               {"/again/", []step{rawAnswer(""), ok}, 200, "good", 2, false},
+		"closed, then shed":                {"/again/", []step{rawAnswer(""), shed}, 502, "", 2, false},
+		"not an answer":                    {"/again/", []step{rawAnswer("zzz\r\n\r\n"), ok}, 200, "good", 2, false},
+		"cut body, must not repeat":        {"/once/", []step{rawAnswer("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\nContent-Length: 9\r\n\r\nabc")}, 502, "", 1, false},
+		"success without digest":           {"/once/", []step{completeAnswer(200, "", "forged")}, 502, "", 1, false},
+		"encoded on its way":               {"/again/", []step{completeAnswer(200, sealed+"Content-Encoding: gzip\r\n", "zip"), ok}, 200, "good", 2, false},
+		"another request's answer":         {"/once/", []step{rawAnswer("HTTP/1.1 200 OK\r\nId: other\r\nSeal: s\r\nContent-Length: 3\r\n\r\nbad")}, 502, "", 1, false},
+		"own failure, must not repeat":     {"/once/", []step{completeAnswer(500, sealed, "bad"), ok}, 500, "bad", 1, false},
+		"own failure, repeatable":          {"/again/", []step{completeAnswer(500, sealed, "bad"), ok}, 200, "good", 2, false},
+		"own failure, then no place":       {"/lone/", []step{completeAnswer(500, sealed, "bad")}, 500, "bad", 1, false},
+		"own failure twice":                {"/again/", []step{completeAnswer(500, sealed, "bad"), completeAnswer(500, sealed, "bad2")}, 500, "bad2", 2, false},
+		"503 that may have run":            {"/once/", []step{completeAnswer(503, sealed, "x")}, 502, "The target did not answer: front: the target does not say that the request has not run.\n", 1, false},
+		"own 4xx goes through":             {"/again/", []step{completeAnswer(422, sealed, "no"), ok}, 422, "no", 1, false},
+		"length by close":                  {"/once/", []step{rawAnswer("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\n\r\nall")}, 200, "all", 1, false},
+		"stream":                           {"/stream/", []step{eventStream(1, 3, false)}, 200, eventText(1, 3), 1, false},
+		"stream resumed inside an event":   {"/stream/", []step{eventStream(1, 3, true), eventStream(4, 6, false)}, 200, eventText(1, 6), 2, false},
+		"resumed with events twice":        {"/stream/", []step{eventStream(1, 3, true), eventStream(2, 6, false)}, 200, eventText(1, 6), 2, false},
+		"stream broken twice looks broken": {"/stream/", []step{eventStream(1, 3, true), eventStream(4, 5, true)}, 200, eventText(1, 5), 2, true},
+		"stream that must not resume":      {"/plainstream/", []step{eventStream(1, 3, true), eventStream(4, 6, false)}, 200, eventText(1, 3), 1, true},
+		"stream shed, then served":         {"/plainstream/", []step{shed, eventStream(1, 2, false)}, 200, eventText(1, 2), 2, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			f := newFixture(t, state{view: newView()}, tc.steps...)
-			got := f.ask(t, http.MethodPost, tc.path, "ask")
+			got := f.do(t, http.MethodPost, tc.path, "ask")
 			c.Check(got.status, quicktest.Equals, tc.status)
 			c.Check(got.broken, quicktest.Equals, tc.broken)
 			if tc.body != "" {
@@ -85,10 +85,10 @@
 
 // TestResumeAsksOn checks that a resumed stream asks for what comes after the
 // last event that the caller has.
-func TestResumeAsksOn(t *testing.T) {
+func TestResumeFromLastEvent(t *testing.T) {
 	c := quicktest.New(t)
-	f := newFixture(t, state{view: newView()}, events(1, 3, true), events(4, 6, false))
-	f.ask(t, http.MethodPost, "/stream/", "", "Last", "0")
+	f := newFixture(t, state{view: newView()}, eventStream(1, 3, true), eventStream(4, 6, false))
+	f.do(t, http.MethodPost, "/stream/", "", "Last", "0")
 	c.Assert(f.target.requests, quicktest.HasLen, 2)
 	c.Check(f.target.requests[0].Header.Get("Last"), quicktest.Equals, "0")
 	c.Check(f.target.requests[1].Header.Get("Last"), quicktest.Equals, "3")
@@ -118,8 +118,8 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			f := newFixture(t, tc.state, whole(200, sealed, "good"))
-			got := f.ask(t, http.MethodPost, tc.path, tc.body, tc.headers...)
+			f := newFixture(t, tc.state, completeAnswer(200, sealed, "good"))
+			got := f.do(t, http.MethodPost, tc.path, tc.body, tc.headers...)
 			c.Check(got.status, quicktest.Equals, tc.status)
 			if tc.status != http.StatusOK {
 				c.Check(f.target.requests, quicktest.HasLen, 0)
@@ -135,8 +135,8 @@
 // unchanged, and that headers of one connection do not.
 func TestForwarded(t *testing.T) {
 	c := quicktest.New(t)
-	f := newFixture(t, state{view: newView()}, whole(200, sealed, ""))
-	f.ask(t, http.MethodPut, "/once/a%2Fb/../c?x=%20&y", "body", "Connection", "X-Hop", "X-Hop", "1", "X-Kept", "2", "Limit", "3s")
+	f := newFixture(t, state{view: newView()}, completeAnswer(200, sealed, ""))
+	f.do(t, http.MethodPut, "/once/a%2Fb/../c?x=%20&y", "body", "Connection", "X-Hop", "X-Hop", "1", "X-Kept", "2", "Limit", "3s")
 	c.Assert(f.target.requests, quicktest.HasLen, 1)
 	r := f.target.requests[0]
 	c.Check(r.Method, quicktest.Equals, http.MethodPut)
@@ -154,14 +154,14 @@
 // its target says nothing, and that no promise is made.
 func TestTimeLimit(t *testing.T) {
 	c := quicktest.New(t)
-	f := newFixture(t, state{view: newView()}, silent)
-	got := f.ask(t, http.MethodPost, "/short/", "")
+	f := newFixture(t, state{view: newView()}, neverAnswer)
+	got := f.do(t, http.MethodPost, "/short/", "")
 	c.Check(got.status, quicktest.Equals, http.StatusGatewayTimeout)
 }
 
 // TestCallerLeaves checks that the target's connection ends when the caller has
 // gone.
-func TestCallerLeaves(t *testing.T) {
+func TestCallerGone(t *testing.T) {
 	arrived := make(chan struct{})
 	ended := make(chan struct{})
 	wait := func(c net.Conn, _ *http.Request) bool {
@@ -187,26 +187,26 @@
 
 // TestComeBack checks that a caller whose prompt finds all engines full is told to come
 // back as late as it heeds.
-func TestComeBack(t *testing.T) {
+func TestRetryAfterWhenFull(t *testing.T) {
 	c := quicktest.New(t)
 	manual := clock.NewManual(time.Unix(1000, 0))
 	f := newFixtureAt(t, manual, state{view: newView()})
-	got := f.ask(t, http.MethodPost, "/giant/", "", "Prompt", "9000")
+	got := f.do(t, http.MethodPost, "/giant/", "", "Prompt", "9000")
 	c.Check(got.status, quicktest.Equals, http.StatusServiceUnavailable)
 	c.Check(got.header.Get("Again"), quicktest.Equals, (20 * time.Second / 3).String())
 	c.Check(f.target.requests, quicktest.HasLen, 0)
-	got = f.ask(t, http.MethodPost, "/giant/", "", "Prompt", "9000", "Limit", "600ms")
+	got = f.do(t, http.MethodPost, "/giant/", "", "Prompt", "9000", "Limit", "600ms")
 	c.Check(got.status, quicktest.Equals, http.StatusServiceUnavailable)
 }
 
 // TestStop checks that a stopping box ends its connections and then refuses.
-func TestStop(t *testing.T) {
+func TestShutdownRejectsNew(t *testing.T) {
 	c := quicktest.New(t)
-	f := newFixture(t, state{view: newView()}, whole(200, sealed, "a"), whole(200, sealed, "b"))
+	f := newFixture(t, state{view: newView()}, completeAnswer(200, sealed, "a"), completeAnswer(200, sealed, "b"))
 	f.front.BeginShutdown(time.Now().Add(time.Hour))
-	c.Check(f.ask(t, http.MethodPost, "/once/", "").status, quicktest.Equals, http.StatusOK)
+	c.Check(f.do(t, http.MethodPost, "/once/", "").status, quicktest.Equals, http.StatusOK)
 	f.front.RejectNew()
-	got := f.ask(t, http.MethodPost, "/once/", "")
+	got := f.do(t, http.MethodPost, "/once/", "")
 	c.Check(got.status, quicktest.Equals, http.StatusServiceUnavailable)
 	c.Check(f.target.requests, quicktest.HasLen, 1)
 }
--- a/internal/front/helper_test.go
+++ b/internal/front/helper_test.go
@@ -17,7 +17,7 @@
 // TestEnginesThatLeft checks that long prompts are served where a part of the engines has
 // ended while the list still names them: an engine refuses a prompt if one of its helpers
 // is gone, and the route allows two sends.
-func TestEnginesThatLeft(t *testing.T) {
+func TestUnreachableHelpersLeftOut(t *testing.T) {
 	cases := map[string]struct {
 		prompt string
 		gone   int // gone is how many engines of eight have ended.
@@ -35,18 +35,18 @@
 			f := newFixture(t, state{view: newView()})
 			alive := f.targets[len(f.targets)-1].Addr
 			f.target.steps = slices.Repeat([]step{refuseWithout(alive)}, 2)
-			f.target.orders = []step{whole(http.StatusOK, "", "")}
+			f.target.orders = []step{completeAnswer(http.StatusOK, "", "")}
 			f.targets = nil
 			for i := range 8 {
 				e := fleet.Target{ID: barleystep.TargetID(fmt.Sprintf("e%d", i)), Service: "engines", Addr: alive, Slots: 4}
 				if i < tc.gone {
-					e.Addr = closedAddr(t)
+					e.Addr = unusedAddr(t)
 				}
 				f.targets = append(f.targets, e)
 			}
-			got := f.ask(t, http.MethodPost, "/giant/", "", "Prompt", tc.prompt)
+			got := f.do(t, http.MethodPost, "/giant/", "", "Prompt", tc.prompt)
 			c.Check(got.status, quicktest.Equals, http.StatusOK)
-			c.Check(f.target.sent(), quicktest.Equals, 1)
+			c.Check(f.target.sentCount(), quicktest.Equals, 1)
 		})
 	}
 }
@@ -57,22 +57,22 @@
 	return func(c net.Conn, r *http.Request) bool {
 		for _, at := range r.Header.Values("Helper-At") {
 			if at != alive {
-				return whole(http.StatusServiceUnavailable, "Not-Run: 1\r\nBlamed: "+at+"\r\n", "")(c, r)
+				return completeAnswer(http.StatusServiceUnavailable, "Not-Run: 1\r\nBlamed: "+at+"\r\n", "")(c, r)
 			}
 		}
-		return events(1, 2, false)(c, r)
+		return eventStream(1, 2, false)(c, r)
 	}
 }
 
 // closedAddr returns an address at which nobody listens.
-func closedAddr(t *testing.T) string {
+func unusedAddr(t *testing.T) string {
 	l := listen(t)
 	defer l.Close()
 	return l.Addr().String()
 }
 
 // sent counts the requests that are no orders.
-func (s *server) sent() int {
+func (s *server) sentCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -86,21 +86,21 @@
 
 // TestTargetThatLeftToo checks that a target which has ended itself is left alone, also when
 // helpers of the same plan have ended, whatever the order of the engines is by their names.
-func TestTargetThatLeftToo(t *testing.T) {
+func TestUnreachableTargetSkipped(t *testing.T) {
 	for order := range 12 {
 		t.Run(fmt.Sprint(order), func(t *testing.T) {
-			f := newFixture(t, state{view: newView()}, events(1, 2, false))
+			f := newFixture(t, state{view: newView()}, eventStream(1, 2, false))
 			alive := f.targets[len(f.targets)-1].Addr
-			gone := closedAddr(t)
+			gone := unusedAddr(t)
 			f.targets = []fleet.Target{{ID: "alive", Service: "engines", Addr: alive, Slots: 4}}
 			for i := range 6 {
 				id := barleystep.TargetID(fmt.Sprintf("e%d-%d", order, i))
 				f.targets = append(f.targets, fleet.Target{ID: id, Service: "engines", Addr: gone, Slots: 4})
 			}
-			told := balance.NewSnapshot()
-			told.Work[balance.KeyOf("alive")] = balance.Work{KVTokens: 990, Long: 1} // It is the last choice.
-			f.front.Balancer.SetOthers(told)
-			got := f.ask(t, http.MethodPost, "/giant/", "", "Prompt", "800")
+			peers := balance.NewSnapshot()
+			peers.Work[balance.KeyOf("alive")] = balance.Work{KVTokens: 990, Long: 1} // It is the last choice.
+			f.front.Balancer.SetOthers(peers)
+			got := f.do(t, http.MethodPost, "/giant/", "", "Prompt", "800")
 			quicktest.Check(t, got.status, quicktest.Equals, http.StatusOK)
 		})
 	}
--- a/internal/front/leaving_test.go
+++ b/internal/front/leaving_test.go
@@ -16,7 +16,7 @@
 // TestLeavingRead checks that a target which says in any answer that it leaves gets nothing
 // more, whatever became of the request, and that another one's answer at its address does not
 // speak for it.
-func TestLeavingRead(t *testing.T) {
+func TestLeavingStatement(t *testing.T) {
 	const leaves = "Leaves: 1\r\n"
 	cases := map[string]struct {
 		path   string
@@ -24,17 +24,17 @@
 		status int
 		left   bool
 	}{
-		"whole answer":       {"/once/", whole(200, sealed+leaves, "good"), 200, true},
-		"its own failure":    {"/once/", whole(500, sealed+leaves, "bad"), 500, true},
-		"not run":            {"/once/", whole(503, "Not-Run: 1\r\n"+leaves, ""), 503, true},
-		"without digest":     {"/once/", whole(200, leaves, "forged"), 502, true},
-		"stream that is cut": {"/plainstream/", raw("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\n" + leaves + "Transfer-Encoding: chunked\r\n\r\n1"), 502, true},
-		"another one's":      {"/once/", whole(421, "Not-Run: 1\r\n"+leaves, ""), 503, false},
+		"whole answer":       {"/once/", completeAnswer(200, sealed+leaves, "good"), 200, true},
+		"its own failure":    {"/once/", completeAnswer(500, sealed+leaves, "bad"), 500, true},
+		"not run":            {"/once/", completeAnswer(503, "Not-Run: 1\r\n"+leaves, ""), 503, true},
+		"without digest":     {"/once/", completeAnswer(200, leaves, "forged"), 502, true},
+		"stream that is cut": {"/plainstream/", rawAnswer("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\n" + leaves + "Transfer-Encoding: chunked\r\n\r\n1"), 502, true},
+		"another one's":      {"/once/", completeAnswer(421, "Not-Run: 1\r\n"+leaves, ""), 503, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newFixture(t, state{view: newView()}, answersAfter(tc.first)...)
-			got := sentOn(t, f, tc.path, tc.status)
+			f := newFixture(t, state{view: newView()}, withGoodAnswers(tc.first)...)
+			got := laterSends(t, f, tc.path, tc.status)
 			first := barleystep.TargetID(f.target.requests[0].Header.Get("Instance"))
 			quicktest.Check(t, f.front.Balancer.TargetStatus(first).Statement.Leaving.Value, quicktest.Equals, tc.left)
 			quicktest.Check(t, !tc.left || got == 0, quicktest.IsTrue, quicktest.Commentf("%d sent on", got))
@@ -44,11 +44,11 @@
 
 // TestLeavingHelper checks that what helpers say in their answers to orders counts, and that a
 // prompt is not sent with helpers that leave.
-func TestLeavingHelper(t *testing.T) {
+func TestLeavingHelperNotUsed(t *testing.T) {
 	c := quicktest.New(t)
-	f := newFixture(t, state{view: newView()}, events(1, 2, false))
-	f.target.orders = []step{whole(http.StatusOK, "Leaves: 1\r\n", "")}
-	got := f.ask(t, http.MethodPost, "/giant/", "", "Prompt", "1200")
+	f := newFixture(t, state{view: newView()}, eventStream(1, 2, false))
+	f.target.orders = []step{completeAnswer(http.StatusOK, "Leaves: 1\r\n", "")}
+	got := f.do(t, http.MethodPost, "/giant/", "", "Prompt", "1200")
 	c.Check(got.status, quicktest.Equals, http.StatusServiceUnavailable)
 	leaving := 0
 	for _, target := range f.targets {
@@ -66,17 +66,17 @@
 
 // TestOrderTakesNothingBack checks that a helper which leaves is not taken to stay since its answer
 // to a later order lacks the word: it was asked on.
-func TestOrderTakesNothingBack(t *testing.T) {
+func TestOrderAnswerDoesNotRevokeLeaving(t *testing.T) {
 	c := quicktest.New(t)
-	f := newFixture(t, state{view: newView()}, events(1, 2, false))
+	f := newFixture(t, state{view: newView()}, eventStream(1, 2, false))
 	f.target.orders = []step{func(k net.Conn, r *http.Request) bool {
 		headers := ""
 		if strings.HasPrefix(r.RequestURI, "/reserve/") {
 			headers = "Leaves: 1\r\n"
 		}
-		return whole(http.StatusOK, headers, "")(k, r)
+		return completeAnswer(http.StatusOK, headers, "")(k, r)
 	}}
-	f.ask(t, http.MethodPost, "/giant/", "", "Prompt", "1200")
+	f.do(t, http.MethodPost, "/giant/", "", "Prompt", "1200")
 	for f.front.PendingReleases() > 0 {
 		runtime.Gosched()
 	}
@@ -93,12 +93,12 @@
 // offered to, and by whose word.
 func TestPassedOver(t *testing.T) {
 	c := quicktest.New(t)
-	f := newFixture(t, state{view: newView()}, whole(http.StatusOK, sealed+"Leaves: 1\r\n", "good"))
+	f := newFixture(t, state{view: newView()}, completeAnswer(http.StatusOK, sealed+"Leaves: 1\r\n", "good"))
 	lines := make(lineReader, 16)
 	f.front.Log.Writer, f.front.Log.Level = &log.IOWriter{Writer: lines}, log.InfoLevel
-	c.Check(f.ask(t, http.MethodPost, "/lone/", "").status, quicktest.Equals, http.StatusOK)
+	c.Check(f.do(t, http.MethodPost, "/lone/", "").status, quicktest.Equals, http.StatusOK)
 	<-lines
-	c.Check(f.ask(t, http.MethodPost, "/lone/", "").status, quicktest.Equals, http.StatusServiceUnavailable)
+	c.Check(f.do(t, http.MethodPost, "/lone/", "").status, quicktest.Equals, http.StatusServiceUnavailable)
 	line := <-lines
 	c.Check(strings.Contains(line, `"passed_over":["c leaves, heard"]`), quicktest.IsTrue, quicktest.Commentf("%s", line))
 }
--- a/internal/front/habit_internal_test.go
+++ b/internal/front/limit_history_internal_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestHabit checks what a request's time limit tells of its caller's first try.
-func TestHabit(t *testing.T) {
+func TestLimitHistory(t *testing.T) {
 	const usual = 10 * time.Second
 	start := time.Unix(1000, 0)
 	cases := map[string]struct {
@@ -23,19 +23,19 @@
 		"another route":     {"other", 7 * time.Second, 0, 0},
 		"no limit":          {"r", 0, 0, 0},
 		"longer than usual": {"r", 2 * usual, 0, 0},
-		"the next period":   {"r", 7 * time.Second, habitPeriod + 1, 3 * time.Second},
+		"the next period":   {"r", 7 * time.Second, limitPeriod + 1, 3 * time.Second},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			var h habit
-			h.age(start, "r", usual)
-			quicktest.Assert(t, h.age(start.Add(tc.after), tc.route, tc.limit), quicktest.Equals, tc.want)
+			var h limitHistory
+			h.sinceFirstTry(start, "r", usual)
+			quicktest.Assert(t, h.sinceFirstTry(start.Add(tc.after), tc.route, tc.limit), quicktest.Equals, tc.want)
 		})
 	}
 	t.Run("forgotten", func(t *testing.T) {
-		var h habit
-		h.age(start, "r", usual)
-		h.age(start.Add(habitPeriod+1), "r", usual/2)
-		quicktest.Assert(t, h.age(start.Add(3*habitPeriod), "r", usual/2), quicktest.Equals, time.Duration(0))
+		var h limitHistory
+		h.sinceFirstTry(start, "r", usual)
+		h.sinceFirstTry(start.Add(limitPeriod+1), "r", usual/2)
+		quicktest.Assert(t, h.sinceFirstTry(start.Add(3*limitPeriod), "r", usual/2), quicktest.Equals, time.Duration(0))
 	})
 }
--- a/internal/front/limit_test.go
+++ b/internal/front/limit_test.go
@@ -9,42 +9,42 @@
 
 // TestLimitRead checks that a limit counts which a target names in any answer, whatever became
 // of the request: the next requests go to the other target until it is lifted.
-func TestLimitRead(t *testing.T) {
+func TestLimitStatement(t *testing.T) {
 	const takes = "Takes: 1\r\n"
 	cases := map[string]struct {
 		path   string
 		first  step
 		status int
 	}{
-		"whole answer":       {"/once/", whole(200, sealed+takes, "good"), 200},
-		"its own failure":    {"/once/", whole(500, sealed+takes, "bad"), 500},
-		"not run":            {"/once/", whole(503, "Not-Run: 1\r\n"+takes, ""), 503},
-		"without digest":     {"/once/", whole(200, takes, "forged"), 502},
-		"stream that is cut": {"/plainstream/", raw("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\n" + takes + "Transfer-Encoding: chunked\r\n\r\n1"), 502},
+		"whole answer":       {"/once/", completeAnswer(200, sealed+takes, "good"), 200},
+		"its own failure":    {"/once/", completeAnswer(500, sealed+takes, "bad"), 500},
+		"not run":            {"/once/", completeAnswer(503, "Not-Run: 1\r\n"+takes, ""), 503},
+		"without digest":     {"/once/", completeAnswer(200, takes, "forged"), 502},
+		"stream that is cut": {"/plainstream/", rawAnswer("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\n" + takes + "Transfer-Encoding: chunked\r\n\r\n1"), 502},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			quicktest.Check(t, sentOn(t, newFixture(t, state{view: newView()}, answersAfter(tc.first)...), tc.path, tc.status), quicktest.Equals, 0)
+			quicktest.Check(t, laterSends(t, newFixture(t, state{view: newView()}, withGoodAnswers(tc.first)...), tc.path, tc.status), quicktest.Equals, 0)
 		})
 	}
 }
 
 // answersAfter returns a first answer and some good ones.
-func answersAfter(first step) []step {
+func withGoodAnswers(first step) []step {
 	steps := []step{first}
 	for range 5 {
-		steps = append(steps, whole(200, sealed, "good"))
+		steps = append(steps, completeAnswer(200, sealed, "good"))
 	}
 	return steps
 }
 
 // sentOn asks once, for an answer with the status, and five times more, and returns how many of
 // these went to the target that got the first.
-func sentOn(t *testing.T, f *fixture, path string, status int) (count int) {
+func laterSends(t *testing.T, f *fixture, path string, status int) (count int) {
 	f.view.Route("h", path).MaxTries = 1
-	quicktest.Check(t, f.ask(t, http.MethodPost, path, "").status, quicktest.Equals, status)
+	quicktest.Check(t, f.do(t, http.MethodPost, path, "").status, quicktest.Equals, status)
 	for range 5 {
-		f.ask(t, http.MethodPost, "/once/", "")
+		f.do(t, http.MethodPost, "/once/", "")
 	}
 	first := f.target.requests[0].Header.Get("Instance")
 	for _, r := range f.target.requests[1:] {
--- a/internal/front/progress.go
+++ b/internal/front/progress.go
@@ -47,7 +47,7 @@
 }
 
 // sendTo notes the target to which the request is sent now.
-func (p *progress) sendTo(target barleystep.TargetID, now time.Time) {
+func (p *progress) enterSent(target barleystep.TargetID, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.phase, p.since, p.target = PhaseSent, now, target
@@ -55,7 +55,7 @@
 
 // look returns the phase, since when it lasts, and the target to which the request was
 // sent last, empty before the first one.
-func (p *progress) look() (phase Phase, since time.Time, target barleystep.TargetID) {
+func (p *progress) snapshot() (phase Phase, since time.Time, target barleystep.TargetID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.phase, p.since, p.target
--- a/internal/front/read.go
+++ b/internal/front/read.go
@@ -21,29 +21,29 @@
 	if x.r.ContentLength == 0 {
 		return next(ctx, x)
 	}
-	if err := s.take(x); err != nil {
+	if err := s.readBody(x); err != nil {
 		return err
 	}
 	return next(ctx, x)
 }
 
 // take takes the body in.
-func (*read) take(x *Exchange) error {
+func (*read) readBody(x *Exchange) error {
 	limit := x.view.Limits().BodyBytes
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultMaxBody
 	}
 	var buffer bytes.Buffer
 	if n := x.r.ContentLength; n > 0 && n <= limit {
 		buffer.Grow(int(n) + bytes.MinRead)
 	}
 	_, err := buffer.ReadFrom(x.answer.LimitBody(x.r.Body, limit))
-	var large *http.MaxBytesError
+	var tooLarge *http.MaxBytesError
 	switch {
-	case eris.As(err, &large):
+	case eris.As(err, &tooLarge):
 		return barleystep.NewRefusal(barleystep.ReasonBodyTooLarge, barleystep.OutcomeNotRun, "The body is too large.")
 	case eris.Is(err, os.ErrDeadlineExceeded): // The box ends.
-		return stopping()
+		return stoppingRefusal()
 	case err != nil && !eris.Is(err, io.EOF):
 		return barleystep.NewRefusal(barleystep.ReasonCallerGone, barleystep.OutcomeNotRun, "The body did not come whole.")
 	}
@@ -52,4 +52,4 @@
 }
 
 // defaultBody bounds bodies in bytes if the configuration does not.
-const defaultBody = 4 << 20
+const defaultMaxBody = 4 << 20
--- a/internal/front/reserve.go
+++ b/internal/front/reserve.go
@@ -25,23 +25,23 @@
 	// holdTime is how long memory is set aside at a time. If this box dies, its
 	// memory is free again after so long, well before the 4 s after which targets
 	// count it as lost.
-	holdTime = 3500 * time.Millisecond
+	reservationTTL = 3500 * time.Millisecond
 	// renewEvery is how often reservations are renewed: two renewals may fail
 	// before one ends.
-	renewEvery = time.Second
+	renewInterval = time.Second
 	// orderTimeout bounds one order to a target, which answers within
 	// milliseconds.
 	orderTimeout = 500 * time.Millisecond
 	// releaseTries is how often the release of a reservation is tried; after that
 	// it ends by itself.
-	releaseTries = 3
+	maxReleaseTries = 3
 )
 
 // errNoMemory means that a helper has not set memory aside.
 var errNoMemory = eris.New("front: a helper has no memory for the prompt")
 
 // helpers returns the helpers as the target is told of them.
-func (t *try) helpers() []barleystep.Helper {
+func (t *try) helperList() []barleystep.Helper {
 	var list []barleystep.Helper
 	for _, h := range t.placement.Helpers {
 		id := ""
@@ -63,17 +63,17 @@
 func (t *try) reserve(ctx context.Context) error {
 	for _, h := range t.placement.Helpers {
 		if h.KVTokens > 0 {
-			r := barleystep.Reservation{ID: t.reservationID(), Tokens: h.KVTokens, Hold: holdTime}
+			r := barleystep.Reservation{ID: t.reservationID(), Tokens: h.KVTokens, Hold: reservationTTL}
 			t.reserved = append(t.reserved, reservation{h.ID, h.Addr, r})
 		}
 	}
 	if len(t.reserved) == 0 {
 		return nil
 	}
-	t.renewals = make(chan struct{})
+	t.renewalsDone = make(chan struct{})
 	if !t.orderAll(ctx, t.reserveAt) {
 		t.noMemory = true
-		close(t.renewals)
+		close(t.renewalsDone)
 		return eris.Wrap(barleystep.ErrNotStarted, errNoMemory.Error())
 	}
 	go t.renew(ctx)
@@ -82,8 +82,8 @@
 
 // renew keeps the reservations until the context ends.
 func (t *try) renew(ctx context.Context) {
-	defer close(t.renewals)
-	for clock.Sleep(ctx, t.stage.clock, renewEvery) {
+	defer close(t.renewalsDone)
+	for clock.Sleep(ctx, t.stage.clock, renewInterval) {
 		if !t.orderAll(ctx, t.reserveAt) && ctx.Err() == nil {
 			t.stage.log.Warn().Str("request", t.exchange.call.RequestID).
 				Msg(logPrefix + "Memory at a helper could not be kept. It is tried again.")
@@ -97,32 +97,32 @@
 	if len(t.reserved) == 0 {
 		return
 	}
-	t.stage.releasing.Add(1)
+	t.stage.pendingReleases.Add(1)
 	go func() {
-		defer t.stage.releasing.Add(-1)
-		<-t.renewals
-		for range releaseTries {
+		defer t.stage.pendingReleases.Add(-1)
+		<-t.renewalsDone
+		for range maxReleaseTries {
 			if t.orderAll(ctx, t.releaseAt) {
 				return
 			}
 			clock.Sleep(ctx, t.stage.clock, orderTimeout)
 		}
-		t.stage.log.Warn().Str("request", t.exchange.call.RequestID).Dur("hold", holdTime).
+		t.stage.log.Warn().Str("request", t.exchange.call.RequestID).Dur("hold", reservationTTL).
 			Msg(logPrefix + "Memory at a helper could not be released. It ends by itself after its hold.")
 	}()
 }
 
 // orderAll gives an order to all helpers at once and reports whether all took it.
-func (t *try) orderAll(ctx context.Context, give func(context.Context, reservation) bool) bool {
+func (t *try) orderAll(ctx context.Context, send func(context.Context, reservation) bool) bool {
 	ctx, cancel := clock.WithDeadline(ctx, t.stage.clock, t.stage.clock.Now().Add(orderTimeout))
 	defer cancel()
-	taken := make([]bool, len(t.reserved))
+	accepted := make([]bool, len(t.reserved))
 	var wait sync.WaitGroup
 	for i, r := range t.reserved {
-		wait.Go(func() { taken[i] = give(ctx, r) })
+		wait.Go(func() { accepted[i] = send(ctx, r) })
 	}
 	wait.Wait()
-	for _, ok := range taken {
+	for _, ok := range accepted {
 		if !ok {
 			return false
 		}
@@ -137,12 +137,12 @@
 		return true
 	}
 	req, body := t.stage.protocol.ReserveRequest(r.Reservation)
-	return t.order(ctx, r, req, body) == http.StatusOK
+	return t.sendOrder(ctx, r, req, body) == http.StatusOK
 }
 
 func (t *try) releaseAt(ctx context.Context, r reservation) bool {
 	req, body := t.stage.protocol.ReleaseRequest(r.ID)
-	status := t.order(ctx, r, req, body)
+	status := t.sendOrder(ctx, r, req, body)
 	return status > 0 && status < http.StatusInternalServerError
 }
 
@@ -151,14 +151,14 @@
 //
 // Answers to orders name nothing that they belong to. So each order has a connection of
 // its own, on which no late answer to anything else can come.
-func (t *try) order(ctx context.Context, r reservation, req *http.Request, body []byte) int {
+func (t *try) sendOrder(ctx context.Context, r reservation, req *http.Request, body []byte) int {
 	c, err := t.stage.pool.Dial(ctx, r.addr)
 	if err != nil {
 		return 0
 	}
 	defer c.Discard()
 	req.Host = r.addr
-	resp, err := c.Send(ctx, req, body, t.answersOrder)
+	resp, err := c.Send(ctx, req, body, t.isOrderAnswer)
 	if err != nil {
 		return 0
 	}
@@ -167,13 +167,13 @@
 		// Answers to orders may lack words that others carry: they take nothing back.
 		t.placement.NoteStatement(r.target, t.stage.protocol.ReadResponseHead(resp.StatusCode, resp.Header).Statement, time.Time{})
 	}
-	if _, err = io.Copy(io.Discard, io.LimitReader(resp.Body, answerBytes)); err != nil {
+	if _, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswerBytes)); err != nil {
 		return 0
 	}
 	return resp.StatusCode
 }
 
 // answersOrder reports whether an answer may be one to an order: it names no request.
-func (t *try) answersOrder(h http.Header) bool {
+func (t *try) isOrderAnswer(h http.Header) bool {
 	return t.stage.protocol.ReadResponseHead(0, h).RequestID == ""
 }
--- a/internal/front/reserve_test.go
+++ b/internal/front/reserve_test.go
@@ -19,7 +19,7 @@
 // is set aside at helpers before the request is sent, and released after it,
 // whatever became of it.
 func TestReserve(t *testing.T) {
-	ok, full := whole(200, "", ""), whole(409, "", "")
+	ok, full := completeAnswer(200, "", ""), completeAnswer(409, "", "")
 	cases := map[string]struct {
 		steps []step
 		// order is how engines answer orders, each time in turn; the last one
@@ -31,9 +31,9 @@
 		sends    int
 		status   int
 	}{
-		"served":        {[]step{events(1, 2, false)}, []step{ok}, 2, 1, 200},
-		"breaks off":    {[]step{raw("")}, []step{ok}, 2, 1, 502},
-		"release fails": {[]step{events(1, 2, false)}, []step{failingOnce("/release/", ok)}, 2, 1, 200},
+		"served":        {[]step{eventStream(1, 2, false)}, []step{ok}, 2, 1, 200},
+		"breaks off":    {[]step{rawAnswer("")}, []step{ok}, 2, 1, 502},
+		"release fails": {[]step{eventStream(1, 2, false)}, []step{failingOnce("/release/", ok)}, 2, 1, 200},
 		"no memory":     {nil, []step{full}, 0, 0, 503},
 	}
 	for name, tc := range cases {
@@ -43,9 +43,9 @@
 			view.Route("h", "/giant/").MaxTries = 1
 			f := newFixture(t, state{view: view}, tc.steps...)
 			f.target.orders = tc.order
-			got := f.ask(t, http.MethodPost, "/giant/", "", "Prompt", "1200")
+			got := f.do(t, http.MethodPost, "/giant/", "", "Prompt", "1200")
 			c.Check(got.status, quicktest.Equals, tc.status)
-			orders := f.target.released()
+			orders := f.target.waitReleased()
 			before, _, sent := strings.Cut(orders, "S")
 			c.Check(sent, quicktest.Equals, tc.sends > 0)
 			c.Check(strings.Count(orders, "S"), quicktest.Equals, tc.sends)
@@ -59,18 +59,18 @@
 
 // TestReleasing checks that the front tells that memory is still being released after the
 // request's answer: a box that ends before has it set aside for the rest of its hold.
-func TestReleasing(t *testing.T) {
+func TestPendingReleases(t *testing.T) {
 	c := quicktest.New(t)
-	f := newFixture(t, state{view: newView()}, events(1, 2, false))
+	f := newFixture(t, state{view: newView()}, eventStream(1, 2, false))
 	over := make(chan struct{})
 	f.target.orders = []step{func(k net.Conn, r *http.Request) bool {
 		if strings.HasPrefix(r.RequestURI, "/release/") {
 			<-over
 		}
-		return whole(http.StatusOK, "", "")(k, r)
+		return completeAnswer(http.StatusOK, "", "")(k, r)
 	}}
 	c.Check(f.front.PendingReleases(), quicktest.Equals, 0)
-	c.Check(f.ask(t, http.MethodPost, "/giant/", "", "Prompt", "1200").status, quicktest.Equals, http.StatusOK)
+	c.Check(f.do(t, http.MethodPost, "/giant/", "", "Prompt", "1200").status, quicktest.Equals, http.StatusOK)
 	c.Check(f.front.PendingReleases(), quicktest.Equals, 1)
 	close(over)
 	for f.front.PendingReleases() > 0 {
@@ -80,14 +80,14 @@
 
 // TestBlamed checks that a prompt whose helper is to blame gets others, and that
 // helpers are not asked for again where it is not known which one is.
-func TestBlamed(t *testing.T) {
+func TestBlamedHelper(t *testing.T) {
 	refuse := func(blame bool) step {
 		return func(c net.Conn, r *http.Request) bool {
 			headers := "Not-Run: 1\r\n"
 			if blame {
 				headers += "Blamed: " + c.LocalAddr().String() + "\r\n" // All helpers have this address.
 			}
-			return whole(http.StatusServiceUnavailable, headers, "")(c, r)
+			return completeAnswer(http.StatusServiceUnavailable, headers, "")(c, r)
 		}
 	}
 	cases := map[string]struct {
@@ -99,9 +99,9 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newFixture(t, state{view: newView()}, refuse(tc.blame), events(1, 2, false))
-			f.target.orders = []step{whole(http.StatusOK, "", "")}
-			got := f.ask(t, http.MethodPost, "/giant/", "", "Prompt", "1200")
+			f := newFixture(t, state{view: newView()}, refuse(tc.blame), eventStream(1, 2, false))
+			f.target.orders = []step{completeAnswer(http.StatusOK, "", "")}
+			got := f.do(t, http.MethodPost, "/giant/", "", "Prompt", "1200")
 			quicktest.Check(t, got.status, quicktest.Equals, tc.status)
 		})
 	}
@@ -127,22 +127,22 @@
 				used.Store(k, true)
 				together.Done()
 				together.Wait()
-				return whole(http.StatusOK, sealed, "good")(k, r)
+				return completeAnswer(http.StatusOK, sealed, "good")(k, r)
 			}
 			refuse := func(k net.Conn, r *http.Request) bool {
 				if _, ok := used.Load(k); ok {
 					_, _ = io.WriteString(k, foreign)
 				}
-				return whole(http.StatusConflict, "", "")(k, r)
+				return completeAnswer(http.StatusConflict, "", "")(k, r)
 			}
-			f := newFixture(t, state{view: view}, first, first, events(1, 2, false))
+			f := newFixture(t, state{view: view}, first, first, eventStream(1, 2, false))
 			f.target.orders = []step{refuse}
 			var asked sync.WaitGroup
 			for range 2 {
-				asked.Go(func() { c.Check(f.ask(t, http.MethodPost, "/once/", "").status, quicktest.Equals, http.StatusOK) })
+				asked.Go(func() { c.Check(f.do(t, http.MethodPost, "/once/", "").status, quicktest.Equals, http.StatusOK) })
 			}
 			asked.Wait()
-			got := f.ask(t, http.MethodPost, "/giant/", "", "Prompt", "1200")
+			got := f.do(t, http.MethodPost, "/giant/", "", "Prompt", "1200")
 			c.Check(got.status, quicktest.Equals, http.StatusServiceUnavailable)
 			c.Check(strings.Count(f.target.kinds(), "S"), quicktest.Equals, 2)
 		})
@@ -151,7 +151,7 @@
 
 // TestBlamedFar checks that a prompt whose target cannot reach a helper in another hall
 // gets helpers of one hall, of which the others are as likely to be out of reach.
-func TestBlamedFar(t *testing.T) {
+func TestBlamedHelperInOtherHall(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(t, state{view: newView()})
 	halls := map[string]string{"x": "1", "y": "2", "z": "1", "w": "2"}
@@ -169,13 +169,13 @@
 	cut := func(k net.Conn, r *http.Request) bool {
 		for _, helper := range r.Header.Values("Helper-At") {
 			if addrs[helper] != addrs[k.LocalAddr().String()] {
-				return whole(http.StatusServiceUnavailable, "Not-Run: 1\r\nBlamed: "+helper+"\r\n", "")(k, r)
+				return completeAnswer(http.StatusServiceUnavailable, "Not-Run: 1\r\nBlamed: "+helper+"\r\n", "")(k, r)
 			}
 		}
-		return events(1, 2, false)(k, r)
+		return eventStream(1, 2, false)(k, r)
 	}
 	f.target.steps = []step{cut, cut}
-	got := f.ask(t, http.MethodPost, "/giant/", "", "Prompt", "800")
+	got := f.do(t, http.MethodPost, "/giant/", "", "Prompt", "800")
 	c.Check(got.status, quicktest.Equals, http.StatusOK)
 }
 
@@ -193,7 +193,7 @@
 // released returns the kinds of the requests that the engines got, R for a
 // reservation, F for its release and S for the request itself, once as many
 // releases as reservations have come.
-func (s *server) released() string {
+func (s *server) waitReleased() string {
 	for {
 		kinds := s.kinds()
 		if n := strings.Count(kinds, "R"); n > 0 && strings.Count(kinds, "F") >= n {
--- a/internal/front/restart.go
+++ b/internal/front/restart.go
@@ -15,14 +15,14 @@
 // leaveRestarted ends the try as soon as a target that it needs is known to have started anew,
 // if another target can take the request. One that may not run twice is left alone: there is
 // nothing to be won by ending it. It returns when the try ends.
-func (t *try) leaveRestarted(ctx context.Context, cancel context.CancelCauseFunc) {
+func (t *try) abandonRestarted(ctx context.Context, cancel context.CancelCauseFunc) {
 	select {
 	case <-ctx.Done():
 		return
 	case <-t.placement.Lost():
 	}
-	for !t.mayMove() {
-		if !clock.Sleep(ctx, t.stage.clock, moveRetry) {
+	for !t.claimRetry() {
+		if !clock.Sleep(ctx, t.stage.clock, claimRetryInterval) {
 			return
 		}
 	}
@@ -32,7 +32,7 @@
 }
 
 // movable reports whether the request may be sent once more after the send that comes.
-func (t *try) movable() bool {
+func (t *try) canResend() bool {
 	x := t.exchange
 	return x.route.Repeatable() && x.sends+1 < x.route.MaxTries
 }
--- a/internal/front/restart_test.go
+++ b/internal/front/restart_test.go
@@ -20,19 +20,19 @@
 const never = 24 * time.Hour
 
 // lives are the targets of a fixture, whose starts a test sets.
-type lives struct {
+type restartTargets struct {
 	mu      sync.Mutex
 	targets []fleet.Target
 }
 
-func (l *lives) list() []fleet.Target {
+func (l *restartTargets) list() []fleet.Target {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]fleet.Target(nil), l.targets...)
 }
 
 // say has the target say when it started; an empty id stands for all.
-func (l *lives) say(id barleystep.TargetID, born int64) {
+func (l *restartTargets) setStart(id barleystep.TargetID, born int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i := range l.targets {
@@ -43,15 +43,15 @@
 }
 
 // newLives returns a fixture whose targets were born at 100.
-func newLives(t *testing.T, s state, steps ...step) (*fixture, *lives, *clock.Manual) {
+func newRestartFixture(t *testing.T, s state, steps ...step) (*fixture, *restartTargets, *clock.Manual) {
 	manual := clock.NewManual(time.Unix(1000, 0))
 	for _, prefix := range []string{"/once/", "/again/", "/stream/", "/plainstream/", "/giant/"} {
 		r := s.view.Route("h", prefix)
 		r.Timeout, r.Objective, r.MaxPause = never, never, never
 	}
 	f := newFixtureAt(t, manual, s, steps...)
-	l := &lives{targets: f.targets}
-	l.say("", 100)
+	l := &restartTargets{targets: f.targets}
+	l.setStart("", 100)
 	f.front.Balancer.Targets = l.list
 	return f, l, manual
 }
@@ -60,9 +60,9 @@
 // those that may run elsewhere.
 func TestRestart(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n"
-	begun := raw(head + "11\r\nid: 1\ndata: xyz\n\n\r\n")
-	nothing := raw("")
-	good := whole(http.StatusOK, sealed, "good")
+	begun := rawAnswer(head + "11\r\nid: 1\ndata: xyz\n\n\r\n")
+	nothing := rawAnswer("")
+	good := completeAnswer(http.StatusOK, sealed, "good")
 	cases := map[string]struct {
 		path   string
 		first  step
@@ -71,11 +71,11 @@
 		moves  bool
 		end    string
 	}{
-		"a stream":                   {"/stream/", begun, events(2, 3, false), 2, true, stream(2, 3)},
-		"a stream before its head":   {"/stream/", nothing, events(1, 3, false), 2, true, stream(1, 3)},
+		"a stream":                   {"/stream/", begun, eventStream(2, 3, false), 2, true, eventText(2, 3)},
+		"a stream before its head":   {"/stream/", nothing, eventStream(1, 3, false), 2, true, eventText(1, 3)},
 		"a repeatable request":       {"/again/", nothing, good, 2, true, "good"},
 		"one that runs once":         {"/once/", nothing, good, 2, false, ""},
-		"a stream that runs once":    {"/plainstream/", begun, events(2, 3, false), 2, false, ""},
+		"a stream that runs once":    {"/plainstream/", begun, eventStream(2, 3, false), 2, false, ""},
 		"no further send is allowed": {"/again/", nothing, good, 1, false, ""},
 	}
 	for name, tc := range cases {
@@ -90,19 +90,19 @@
 				return false
 			}
 			view := newView()
-			f, lives, manual := newLives(t, state{view: view}, stall, tc.second)
+			f, targets, manual := newRestartFixture(t, state{view: view}, stall, tc.second)
 			view.Route("h", tc.path).MaxTries = tc.sends
 			answer := make(chan reply, 1)
-			go func() { answer <- f.ask(t, http.MethodPost, tc.path, "") }()
+			go func() { answer <- f.do(t, http.MethodPost, tc.path, "") }()
 			id := barleystep.TargetID(<-sent)
-			for i := 0; f.target.count() < 2 && (tc.moves || i < 1000); i++ {
+			for i := 0; f.target.requestCount() < 2 && (tc.moves || i < 1000); i++ {
 				// The try may have been heard of a moment ago: it is told again.
 				manual.Advance(300 * time.Millisecond)
-				lives.say(id, int64(200+i))
+				targets.setStart(id, int64(200+i))
 				f.front.Balancer.DetectRestarts()
 				runtime.Gosched()
 			}
-			c.Check(f.target.count() == 2, quicktest.Equals, tc.moves)
+			c.Check(f.target.requestCount() == 2, quicktest.Equals, tc.moves)
 			if !tc.moves {
 				close(over)
 			}
@@ -129,15 +129,15 @@
 		<-over
 		return false
 	}
-	f, lives, manual := newLives(t, state{view: view}, stall)
+	f, targets, manual := newRestartFixture(t, state{view: view}, stall)
 	view.Route("h", "/giant/").MaxTries = 1 // The request stays where it is.
-	f.target.orders = []step{whole(http.StatusOK, "", "")}
+	f.target.orders = []step{completeAnswer(http.StatusOK, "", "")}
 	answer := make(chan reply, 1)
-	go func() { answer <- f.ask(t, http.MethodPost, "/giant/", "", "Prompt", "1200") }()
+	go func() { answer <- f.do(t, http.MethodPost, "/giant/", "", "Prompt", "1200") }()
 	<-sent
 	before := strings.Count(f.target.kinds(), "R")
 	manual.Advance(300 * time.Millisecond)
-	lives.say("", 200)
+	targets.setStart("", 200)
 	f.front.Balancer.DetectRestarts()
 	for range 20 {
 		manual.Advance(time.Second)
@@ -153,7 +153,7 @@
 
 // TestMoved checks which target is left alone after a refusal that says that an address is
 // another's: the one that was asked, unless a helper is to blame.
-func TestMoved(t *testing.T) {
+func TestMisdirected(t *testing.T) {
 	cases := map[string]struct {
 		headers string
 		down    bool
@@ -170,11 +170,11 @@
 			refuse := func(k net.Conn, r *http.Request) bool {
 				asked = r.Header.Get("Instance")
 				headers := strings.ReplaceAll(tc.headers, "HELPER", k.LocalAddr().String()) // All have it.
-				return whole(http.StatusMisdirectedRequest, headers, "")(k, r)
+				return completeAnswer(http.StatusMisdirectedRequest, headers, "")(k, r)
 			}
 			f := newFixture(t, state{view: view}, refuse)
-			f.target.orders = []step{whole(http.StatusOK, "", "")}
-			f.ask(t, http.MethodPost, "/giant/", "", "Prompt", "1200")
+			f.target.orders = []step{completeAnswer(http.StatusOK, "", "")}
+			f.do(t, http.MethodPost, "/giant/", "", "Prompt", "1200")
 			c.Check(f.front.Balancer.IsDown(barleystep.TargetID(asked)), quicktest.Equals, tc.down)
 		})
 	}
--- a/internal/front/route.go
+++ b/internal/front/route.go
@@ -11,7 +11,7 @@
 
 // restartPause is when a caller may come back to a box that is not yet, or no
 // longer, able to serve: another box takes the next try, so it need not wait.
-const restartPause = 100 * time.Millisecond
+const unavailableRetryAfter = 100 * time.Millisecond
 
 // route finds the route of the request and the time by which it must end.
 type route struct {
@@ -22,18 +22,18 @@
 func (s *route) Run(ctx context.Context, x *Exchange, next Next) error {
 	x.view = s.configuration.View()
 	if x.view == nil {
-		return notRun(barleystep.ReasonNoConfiguration, "No configuration is known yet.", restartPause)
+		return notRunRefusal(barleystep.ReasonNoConfiguration, "No configuration is known yet.", unavailableRetryAfter)
 	}
-	x.age = s.configuration.Age()
+	x.viewAge = s.configuration.Age()
 	x.route = x.view.Route(x.r.Host, x.r.URL.Path)
 	if x.route == nil {
 		return barleystep.NewRefusal(barleystep.ReasonUnknownService, barleystep.OutcomeNotRun, "There is no such route.")
 	}
 	x.service = x.route.Pick(xxhash.Sum64String(x.call.RequestID))
-	x.rank = x.route.Priority
-	x.until = x.started.Add(x.route.Timeout)
+	x.priority = x.route.Priority
+	x.deadline = x.started.Add(x.route.Timeout)
 	if limit := x.call.TimeLimit; limit > 0 && limit < x.route.Timeout {
-		x.until = x.started.Add(limit)
+		x.deadline = x.started.Add(limit)
 	}
 	return next(ctx, x)
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -39,18 +39,18 @@
 	freshness atomic.Int64
 	pipeline  Pipeline
 	deliver   *deliver
-	running   roster
+	active    activeRequests
 	// leaving answers with the end of the connection; closed refuses.
-	leaving atomic.Bool
-	closed  atomic.Bool
-	stop    *stop
+	shuttingDown atomic.Bool
+	rejecting    atomic.Bool
+	shutdown     *shutdown
 }
 
 const logPrefix = "front: "
 
 // Handler returns the handler for callers. It is called once.
 func (s *Server) Handler() http.Handler {
-	s.stop = newStop(s.Clock)
+	s.shutdown = newShutdown(s.Clock)
 	s.deliver = &deliver{
 		clock:    s.Clock,
 		protocol: s.Protocol,
@@ -59,9 +59,9 @@
 		budget:   s.Budget,
 		meter:    s.Meter,
 		log:      s.Log,
-		stop:     s.stop,
+		shutdown: s.shutdown,
 	}
-	s.Balancer.Suspects.NotifyRefused(s.cutRefused)
+	s.Balancer.Suspects.NotifyRefused(s.cancelRefused)
 	s.pipeline = Pipeline{
 		&route{configuration: s.Configuration},
 		&authenticate{freshness: &s.freshness},
@@ -80,43 +80,43 @@
 // answered that are still being served; those whose answer could not be whole by then are
 // refused as soon as that is known, while their callers have time for another box.
 func (s *Server) BeginShutdown(end time.Time) {
-	s.leaving.Store(true)
-	s.stop.begin(end)
-	go s.endBodies(end)
+	s.shuttingDown.Store(true)
+	s.shutdown.begin(end)
+	go s.abortPendingBodies(end)
 }
 
 // endBodies ends the reading of the bodies that have not come whole by the given time. It
 // leaves requests that have come further alone: their connections are read on to notice
 // that the caller goes away.
-func (s *Server) endBodies(end time.Time) {
+func (s *Server) abortPendingBodies(end time.Time) {
 	clock.Sleep(context.Background(), s.Clock, end.Sub(s.Clock.Now()))
-	for _, x := range s.running.oldest(math.MaxInt) {
-		if phase, _, _ := x.progress.look(); phase == PhaseReading {
+	for _, x := range s.active.oldest(math.MaxInt) {
+		if phase, _, _ := x.progress.snapshot(); phase == PhaseReading {
 			x.answer.AbortRequestBody()
 		}
 	}
 }
 
 // Close refuses what still comes.
-func (s *Server) RejectNew() { s.closed.Store(true) }
+func (s *Server) RejectNew() { s.rejecting.Store(true) }
 
 // Running returns how many requests are being served.
-func (s *Server) Running() int { return s.running.size() }
+func (s *Server) Running() int { return s.active.count() }
 
 // Releasing returns how many tries have ended whose memory at helpers is still being
 // released. Their requests may have been answered.
-func (s *Server) PendingReleases() int { return int(s.deliver.releasing.Load()) }
+func (s *Server) PendingReleases() int { return int(s.deliver.pendingReleases.Load()) }
 
 // mostUnfinished bounds the lines that LogUnfinished writes: a box serves some dozens of
 // requests at a time, and a thousand lines may wait for their reader.
-const mostUnfinished = 100
+const maxUnfinishedLines = 100
 
 // LogUnfinished writes a line about each request that is being served: how far it has come
 // and since when. Requests that the process does not outlive write no other.
 func (s *Server) LogUnfinished() {
 	now := s.Clock.Now()
-	for _, x := range s.running.oldest(mostUnfinished) {
-		phase, since, target := x.progress.look()
+	for _, x := range s.active.oldest(maxUnfinishedLines) {
+		phase, since, target := x.progress.snapshot()
 		s.Log.Warn().Str("request", x.call.RequestID).Str("phase", phase.String()).Str("target", string(target)).
 			Int("prompt", x.call.PromptTokens).Dur("in_phase", now.Sub(since)).Dur("took", now.Sub(x.started)).
 			Msg(logPrefix + "A request is not finished.")
@@ -132,32 +132,32 @@
 		call:    s.Protocol.ReadCallerHeaders(r.Header),
 	}
 	x.progress.enter(PhaseReading, x.started)
-	s.running.add(x)
-	defer s.running.remove(x)
-	if s.leaving.Load() {
+	s.active.add(x)
+	defer s.active.remove(x)
+	if s.shuttingDown.Load() {
 		x.answer.SetConnectionClose()
 	}
-	if s.closed.Load() {
-		s.end(x, stopping())
+	if s.rejecting.Load() {
+		s.finish(x, stoppingRefusal())
 		return
 	}
-	s.end(x, s.pipeline.Run(r.Context(), x))
+	s.finish(x, s.pipeline.Run(r.Context(), x))
 }
 
 // end answers a request that was refused, and writes its line.
-func (s *Server) end(x *Exchange, err error) {
+func (s *Server) finish(x *Exchange, err error) {
 	if err == nil {
-		s.line(x, "", barleystep.OutcomeDone)
+		s.logEnd(x, "", barleystep.OutcomeDone)
 		return
 	}
 	r := barleystep.AsRefusal(err)
 	s.Meter.RequestRefused(string(r.Reason()), r.Outcome().String())
-	begun := x.answer.HeadSent()
-	if !begun && r.Reason() != barleystep.ReasonCallerGone {
+	headSent := x.answer.HeadSent()
+	if !headSent && r.Reason() != barleystep.ReasonCallerGone {
 		s.refuse(x, r)
 	}
-	s.line(x, r.Reason(), r.Outcome())
-	if begun || r.Reason() == barleystep.ReasonCallerGone {
+	s.logEnd(x, r.Reason(), r.Outcome())
+	if headSent || r.Reason() == barleystep.ReasonCallerGone {
 		// An answer that was cut must not look whole.
 		panic(http.ErrAbortHandler)
 	}
@@ -189,7 +189,7 @@
 	}
 }
 
-func (s *Server) line(x *Exchange, reason barleystep.Reason, outcome barleystep.Outcome) {
+func (s *Server) logEnd(x *Exchange, reason barleystep.Reason, outcome barleystep.Outcome) {
 	s.Meter.RequestEnded(outcome.String())
 	e := s.Log.Info()
 	if reason != "" {
@@ -201,19 +201,19 @@
 		Str("source", string(head.Source())).Bool("sealed", head.Sealed()).
 		Int("prompt", x.call.PromptTokens).Int("events", x.events)
 	if x.view != nil {
-		e.Int64("configuration", x.view.Version()).Dur("configuration_age", x.age)
+		e.Int64("configuration", x.view.Version()).Dur("configuration_age", x.viewAge)
 	}
 	if x.route != nil {
 		e.Str("route", x.route.Name).Str("account", x.account).
 			Dur("objective", x.route.Objective).Dur("max_pause", x.route.MaxPause)
 	}
-	if len(x.passed) > 0 {
-		e.Strs("passed_over", x.passed)
+	if len(x.passedOver) > 0 {
+		e.Strs("passed_over", x.passedOver)
 	}
-	e.Dur("queued", x.queued).Dur("expected", x.expected).Dur("first", x.first).Dur("pause", x.pause).Dur("took", s.Clock.Now().Sub(x.started)).Msg(logPrefix + "A request ended.")
+	e.Dur("queued", x.queued).Dur("expected", x.expected).Dur("first", x.timeToFirst).Dur("pause", x.maxPause).Dur("took", s.Clock.Now().Sub(x.started)).Msg(logPrefix + "A request ended.")
 }
 
 // bound returns a context that ends when the request's time is over.
-func bound(ctx context.Context, clk barleystep.Clock, x *Exchange) (context.Context, context.CancelFunc) {
-	return clock.WithDeadline(ctx, clk, x.until)
+func withDeadline(ctx context.Context, clk barleystep.Clock, x *Exchange) (context.Context, context.CancelFunc) {
+	return clock.WithDeadline(ctx, clk, x.deadline)
 }
--- a/internal/front/stop.go
+++ b/internal/front/shutdown.go
@@ -15,42 +15,42 @@
 var errStopping = eris.New("front: the box is stopping")
 
 // stop tells requests when the box ends. It is made by newStop.
-type stop struct {
+type shutdown struct {
 	clock barleystep.Clock
 	// planned ends when a stop begins; end is set before.
-	planned context.Context
-	plan    context.CancelFunc
+	started context.Context
+	start   context.CancelFunc
 	end     time.Time
 }
 
-func newStop(clk barleystep.Clock) *stop {
-	s := &stop{clock: clk}
-	s.planned, s.plan = context.WithCancel(context.Background())
+func newShutdown(clk barleystep.Clock) *shutdown {
+	s := &shutdown{clock: clk}
+	s.started, s.start = context.WithCancel(context.Background())
 	return s
 }
 
 // begin tells that the box ends at the given time. It is called once.
-func (s *stop) begin(end time.Time) {
+func (s *shutdown) begin(end time.Time) {
 	s.end = end
-	s.plan()
+	s.start()
 }
 
 // before reports whether the box ends before so much time has passed.
-func (s *stop) before(d time.Duration) bool {
-	return s.planned.Err() != nil && s.clock.Now().Add(d).After(s.end)
+func (s *shutdown) endsWithin(d time.Duration) bool {
+	return s.started.Err() != nil && s.clock.Now().Add(d).After(s.end)
 }
 
 // bound returns a context that ends with errStopping as its cause so long before the box
 // ends, also if the stop begins later. The cancel function must be called.
-func (s *stop) bound(ctx context.Context, margin time.Duration) (context.Context, context.CancelFunc) {
+func (s *shutdown) withDeadline(ctx context.Context, margin time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	forget := context.AfterFunc(s.planned, func() {
+	unregister := context.AfterFunc(s.started, func() {
 		if clock.Sleep(ctx, s.clock, s.end.Sub(s.clock.Now())-margin) {
 			cancel(errStopping)
 		}
 	})
 	return ctx, func() {
-		forget()
+		unregister()
 		cancel(context.Canceled)
 	}
 }
--- a/internal/front/stop_test.go
+++ b/internal/front/shutdown_test.go
@@ -22,20 +22,20 @@
 )
 
 // lines collects log lines.
-type lines struct {
+type logLines struct {
 	mu   sync.Mutex
 	data bytes.Buffer
 }
 
 // Write takes one line.
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logLines) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.data.Write(p)
 }
 
 // take returns the lines so far, and forgets them.
-func (l *lines) take(t *testing.T) []map[string]any {
+func (l *logLines) drain(t *testing.T) []map[string]any {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []map[string]any
@@ -52,64 +52,64 @@
 }
 
 // until waits for a line in which a field has a value, and forgets those before it.
-func (l *lines) until(t *testing.T, field, value string) {
+func (l *logLines) waitFor(t *testing.T, field, value string) {
 	has := func(line map[string]any) bool { return line[field] == value }
-	for !slices.ContainsFunc(l.take(t), has) {
+	for !slices.ContainsFunc(l.drain(t), has) {
 		runtime.Gosched()
 	}
 }
 
 // newOneEngine returns a front before one engine, which answers with the steps, at a clock
 // that stands still, and the lines that the front writes.
-func newOneEngine(t *testing.T, steps ...step) (*fixture, *clock.Manual, *lines) {
+func newSingleEngineFixture(t *testing.T, steps ...step) (*fixture, *clock.Manual, *logLines) {
 	manual := clock.NewManual(time.Unix(1000, 0))
 	view := newView()
 	route := view.Route("h", "/giant/")
 	route.Objective, route.Timeout, route.Resumable = time.Hour, time.Hour, false
 	f := newFixtureAt(t, manual, state{view: view}, steps...)
 	f.targets = f.targets[len(f.targets)-1:]
-	out := &lines{}
+	out := &logLines{}
 	f.front.Log = &log.Logger{Writer: &log.IOWriter{Writer: out}}
 	return f, manual, out
 }
 
 // askAside sends a long prompt from another goroutine.
-func (f *fixture) askAside(t *testing.T) <-chan reply {
+func (f *fixture) startLong(t *testing.T) <-chan reply {
 	answer := make(chan reply, 1)
-	go func() { answer <- f.askLong(t) }()
+	go func() { answer <- f.doLong(t) }()
 	return answer
 }
 
 // oneEvent begins a stream with one event.
-func oneEvent(c net.Conn, r *http.Request) bool {
-	return raw("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n11\r\nid: 1\ndata: xyz\n\n\r\n")(c, r)
+func writeOneEvent(c net.Conn, r *http.Request) bool {
+	return rawAnswer("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n11\r\nid: 1\ndata: xyz\n\n\r\n")(c, r)
 }
 
 // untilTimers waits until so many timers run.
-func untilTimers(clk *clock.Manual, n int) {
+func waitTimers(clk *clock.Manual, n int) {
 	for clk.PendingTimers() != n {
 		runtime.Gosched()
 	}
 }
 
 // askOpen is askAside that also tells when the head of the answer has come.
-func (f *fixture) askOpen(t *testing.T) (head <-chan struct{}, answer <-chan reply) {
+func (f *fixture) startLongTraced(t *testing.T) (head <-chan struct{}, answer <-chan reply) {
 	came := make(chan struct{})
 	trace := &httptrace.ClientTrace{GotFirstResponseByte: func() { close(came) }}
 	got := make(chan reply, 1)
 	go func() {
-		got <- f.askIn(t, httptrace.WithClientTrace(context.Background(), trace), http.MethodPost, "/giant/", "body", "Prompt", "900")
+		got <- f.doContext(t, httptrace.WithClientTrace(context.Background(), trace), http.MethodPost, "/giant/", "body", "Prompt", "900")
 	}()
 	return came, got
 }
 
 // askLong sends a long prompt, which the engine reads in 0.9 s.
-func (f *fixture) askLong(t *testing.T) reply {
-	return f.ask(t, http.MethodPost, "/giant/", "body", "Prompt", "900")
+func (f *fixture) doLong(t *testing.T) reply {
+	return f.do(t, http.MethodPost, "/giant/", "body", "Prompt", "900")
 }
 
 // untilRunning waits until so many requests are being served.
-func (f *fixture) untilRunning(n int) {
+func (f *fixture) waitRunning(n int) {
 	for f.front.Running() != n {
 		runtime.Gosched()
 	}
@@ -122,24 +122,24 @@
 		begin  func(t *testing.T, f *fixture)
 		target string
 	}{
-		"reading":   {beginBody, ""},
-		"waiting":   {beginTwo, ""},
-		"sent":      {beginOne, "w"},
-		"answering": {beginOne, "w"},
+		"reading":   {partialBody, ""},
+		"waiting":   {oneSentOneWaiting, ""},
+		"sent":      {oneSent, "w"},
+		"answering": {oneSent, "w"},
 	}
 	for phase, tc := range cases {
 		t.Run(phase, func(t *testing.T) {
 			over := make(chan struct{})
 			hang := func(net.Conn, *http.Request) bool { <-over; return false }
 			if phase == "answering" {
-				hang = func(c net.Conn, r *http.Request) bool { oneEvent(c, r); <-over; return false }
+				hang = func(c net.Conn, r *http.Request) bool { writeOneEvent(c, r); <-over; return false }
 			}
-			f, _, out := newOneEngine(t, hang, hang)
+			f, _, out := newSingleEngineFixture(t, hang, hang)
 			t.Cleanup(func() { close(over) }) // Before the front is closed, which waits for requests.
 			tc.begin(t, f)
 			for found := false; !found; {
 				f.front.LogUnfinished()
-				for _, line := range out.take(t) {
+				for _, line := range out.drain(t) {
 					found = found || line["phase"] == phase && line["target"] == tc.target && line["request"] == "r1"
 				}
 			}
@@ -148,51 +148,51 @@
 }
 
 // beginBody sends half of a request's body.
-func beginBody(t *testing.T, f *fixture) { f.sendHalf(t) }
+func partialBody(t *testing.T, f *fixture) { f.startPartialBody(t) }
 
 // sendHalf is beginBody that returns the caller's connection.
-func (f *fixture) sendHalf(t *testing.T) net.Conn {
+func (f *fixture) startPartialBody(t *testing.T) net.Conn {
 	c, err := net.Dial("tcp", f.url[len("http://"):])
 	quicktest.Assert(t, err, quicktest.IsNil)
 	t.Cleanup(func() { c.Close() })
 	_, err = io.WriteString(c, "POST /giant/ HTTP/1.1\r\nHost: h\r\nId: r1\r\nPrompt: 900\r\nContent-Length: 8\r\n\r\nhalf")
 	quicktest.Assert(t, err, quicktest.IsNil)
-	f.untilRunning(1)
+	f.waitRunning(1)
 	return c
 }
 
 // beginOne sends a request that reaches the engine.
-func beginOne(t *testing.T, f *fixture) { f.sendOne(t) }
+func oneSent(t *testing.T, f *fixture) { f.startSent(t) }
 
 // sendOne sends a request that reaches the engine, and returns the channel for its answer.
-func (f *fixture) sendOne(t *testing.T) <-chan reply {
-	answer := f.askAside(t)
-	for f.target.count() == 0 {
+func (f *fixture) startSent(t *testing.T) <-chan reply {
+	answer := f.startLong(t)
+	for f.target.requestCount() == 0 {
 		runtime.Gosched()
 	}
 	return answer
 }
 
 // beginTwo sends another one, which waits for the engine.
-func beginTwo(t *testing.T, f *fixture) {
-	beginOne(t, f)
-	f.askAside(t)
-	f.untilRunning(2)
+func oneSentOneWaiting(t *testing.T, f *fixture) {
+	oneSent(t, f)
+	f.startLong(t)
+	f.waitRunning(2)
 }
 
 // TestStopEnds checks what becomes of requests that are under way when a stop begins: all
 // are answered in time, by what is known of them, and nothing is sent that could not be
 // whole by then.
-func TestStopEnds(t *testing.T) {
+func TestShutdownEndsRequests(t *testing.T) {
 	const left = 10 * time.Second // left is how long the box still serves.
 	waits := func(t *testing.T, f *fixture) <-chan reply {
-		f.sendOne(t)
-		answer := f.askAside(t)
-		f.untilRunning(2)
+		f.startSent(t)
+		answer := f.startLong(t)
+		f.waitRunning(2)
 		return answer
 	}
 	streams := func(t *testing.T, f *fixture) <-chan reply {
-		head, answer := f.askOpen(t)
+		head, answer := f.startLongTraced(t)
 		<-head
 		return answer
 	}
@@ -207,7 +207,7 @@
 		broken bool
 	}{
 		"waits for a place":   {waits, 3, 50 * time.Millisecond, http.StatusServiceUnavailable, false},
-		"sent, no answer yet": {func(t *testing.T, f *fixture) <-chan reply { return f.sendOne(t) }, 1, 0, http.StatusBadGateway, false},
+		"sent, no answer yet": {func(t *testing.T, f *fixture) <-chan reply { return f.startSent(t) }, 1, 0, http.StatusBadGateway, false},
 		"a stream has begun":  {streams, 1, 0, http.StatusOK, true},
 	}
 	for name, tc := range cases {
@@ -216,22 +216,22 @@
 			over := make(chan struct{})
 			engine := func(k net.Conn, r *http.Request) bool {
 				if tc.status == http.StatusOK {
-					oneEvent(k, r)
+					writeOneEvent(k, r)
 				}
 				<-over
 				return false
 			}
-			f, manual, _ := newOneEngine(t, engine, engine)
+			f, manual, _ := newSingleEngineFixture(t, engine, engine)
 			t.Cleanup(func() { close(over) }) // Before the front is closed, which waits for requests.
 			answer := tc.begin(t, f)
-			untilTimers(manual, tc.timers)
+			waitTimers(manual, tc.timers)
 			f.front.BeginShutdown(manual.Now().Add(left))
-			untilTimers(manual, 2*tc.timers+1)
+			waitTimers(manual, 2*tc.timers+1)
 			manual.Advance(left - tc.early)
 			got := <-answer
 			c.Check(got.status, quicktest.Equals, tc.status)
 			c.Check(got.broken, quicktest.Equals, tc.broken)
-			c.Check(f.target.count(), quicktest.Equals, 1)
+			c.Check(f.target.requestCount(), quicktest.Equals, 1)
 		})
 	}
 }
@@ -239,7 +239,7 @@
 // TestStopTakesOn checks which requests a box still takes on once its stop has begun: those
 // whose answer can be whole by its end. The engine reads for 0.9 s; twelve idle ones would
 // for a sixteenth of that.
-func TestStopTakesOn(t *testing.T) {
+func TestShutdownAdmission(t *testing.T) {
 	cases := map[string]struct {
 		left   time.Duration
 		status int
@@ -253,10 +253,10 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			f, manual, _ := newOneEngine(t, events(1, 2, false))
+			f, manual, _ := newSingleEngineFixture(t, eventStream(1, 2, false))
 			f.front.BeginShutdown(manual.Now().Add(tc.left))
-			c.Check(f.askLong(t).status, quicktest.Equals, tc.status)
-			c.Check(f.target.count(), quicktest.Equals, tc.sends)
+			c.Check(f.doLong(t).status, quicktest.Equals, tc.status)
+			c.Check(f.target.requestCount(), quicktest.Equals, tc.sends)
 			c.Check(f.front.Balancer.Snapshot().Work, quicktest.HasLen, 0)
 		})
 	}
@@ -264,7 +264,7 @@
 
 // TestStopSilence checks that a silent target is left near the end of the box only if another
 // one could still give the whole answer: the silent one may go on.
-func TestStopSilence(t *testing.T) {
+func TestShutdownStalledStream(t *testing.T) {
 	const writing = 3 * time.Second // writing is how long the usual answer takes.
 	cases := map[string]struct {
 		left  time.Duration
@@ -278,12 +278,12 @@
 			c := quicktest.New(t)
 			goOn := make(chan struct{})
 			stall := func(k net.Conn, r *http.Request) bool {
-				oneEvent(k, r)
+				writeOneEvent(k, r)
 				<-goOn
-				raw("12\r\nid: 2\ndata: late\n\n\r\n0\r\n\r\n")(k, r)
+				rawAnswer("12\r\nid: 2\ndata: late\n\n\r\n0\r\n\r\n")(k, r)
 				return false
 			}
-			f, manual, _ := newOneEngine(t, stall, events(2, 3, false))
+			f, manual, _ := newSingleEngineFixture(t, stall, eventStream(2, 3, false))
 			f.targets = append(f.targets, f.targets[0])
 			f.targets[1].ID = "other"
 			route := f.view.Route("h", "/giant/")
@@ -291,32 +291,32 @@
 			cost := *engineCost
 			cost.MeanOutputTokens = int(writing / cost.Step)
 			f.view.Service("engines").Cost = &cost
-			head, answer := f.askOpen(t)
+			head, answer := f.startLongTraced(t)
 			<-head
 			// Those of the request's time, the box's end, for it and for bodies, and the silence.
 			const timers = 4
 			f.front.BeginShutdown(manual.Now().Add(tc.left))
-			untilTimers(manual, timers)
+			waitTimers(manual, timers)
 			for range 30 { // Three seconds in all; a target is left after half of that.
 				manual.Advance(100 * time.Millisecond)
-				for manual.PendingTimers() != timers && f.target.count() < 2 {
+				for manual.PendingTimers() != timers && f.target.requestCount() < 2 {
 					runtime.Gosched() // The silence is being looked at.
 				}
 			}
 			close(goOn)
 			c.Check((<-answer).broken, quicktest.IsFalse)
-			c.Check(f.target.count(), quicktest.Equals, tc.sends)
+			c.Check(f.target.requestCount(), quicktest.Equals, tc.sends)
 		})
 	}
 }
 
 // TestStopBody checks that a caller who has not sent its whole body by the end of the box is
 // told so: it knows that the request has not run.
-func TestStopBody(t *testing.T) {
+func TestShutdownIncompleteBody(t *testing.T) {
 	const left = 10 * time.Second
 	c := quicktest.New(t)
-	f, manual, _ := newOneEngine(t)
-	caller := f.sendHalf(t)
+	f, manual, _ := newSingleEngineFixture(t)
+	caller := f.startPartialBody(t)
 	f.front.BeginShutdown(manual.Now().Add(left))
 	manual.Advance(left)
 	c.Assert(caller.SetReadDeadline(time.Now().Add(20*time.Second)), quicktest.IsNil)
@@ -325,5 +325,5 @@
 	defer got.Body.Close()
 	c.Check(got.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
 	c.Check(got.Close, quicktest.IsTrue)
-	c.Check(f.target.count(), quicktest.Equals, 0)
+	c.Check(f.target.requestCount(), quicktest.Equals, 0)
 }
--- a/internal/front/source_test.go
+++ b/internal/front/source_test.go
@@ -18,48 +18,48 @@
 )
 
 // answered is what one target sent in answer to one try.
-type answered struct {
+type sentAnswer struct {
 	number int
 	status int
 	sealed bool
 	// ran is set if the target ran the request, or may have.
 	ran bool
 	// body is what the target sent of it, and whole is set if that is all.
-	body  string
-	whole bool
+	body    string
+	isWhole bool
 }
 
 // script is how the targets of one test answer, try by try.
 type script struct {
 	mu   sync.Mutex
-	sent []*answered
+	sent []*sentAnswer
 	// stalled is sent to when a target sends no more and keeps the connection.
 	stalled chan struct{}
 	ended   chan struct{}
 }
 
 // finish is what a target does with the connection after what it sends.
-type finish uint8
+type connAction uint8
 
 const (
-	keeps finish = iota
-	closes
-	stalls
+	keepOpen connAction = iota
+	closeConn
+	stallConn
 )
 
 // ending is one way in which a target's answer can end. It says what is sent, and notes
 // in the answer what that means.
-type ending func(a *answered, r *http.Request) (text string, then finish)
+type answerFunc func(a *sentAnswer, r *http.Request) (text string, then connAction)
 
 // step returns the ending as a step. It notes what is sent before it is.
-func (s *script) step(e ending) step {
+func (s *script) step(e answerFunc) step {
 	return func(c net.Conn, r *http.Request) bool {
-		text, then := s.note(e, r)
+		text, then := s.record(e, r)
 		_, _ = io.WriteString(c, text)
 		switch then {
-		case keeps:
+		case keepOpen:
 			return true
-		case stalls:
+		case stallConn:
 			s.stalled <- struct{}{}
 			<-s.ended
 		default:
@@ -71,10 +71,10 @@
 	}
 }
 
-func (s *script) note(e ending, r *http.Request) (text string, then finish) {
+func (s *script) record(e answerFunc, r *http.Request) (text string, then connAction) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := &answered{ran: true, number: len(s.sent) + 1}
+	a := &sentAnswer{ran: true, number: len(s.sent) + 1}
 	s.sent = append(s.sent, a)
 	return e(a, r)
 }
@@ -83,7 +83,7 @@
 const lastEvent = 6
 
 // wholeBody returns the body that a target has for a request.
-func (a *answered) wholeBody(r *http.Request) string {
+func (a *sentAnswer) wholeBody(r *http.Request) string {
 	if !isStreamPath(r.RequestURI) {
 		return fmt.Sprintf("mark-%d;mark-%d;", a.number, a.number)
 	}
@@ -110,7 +110,7 @@
 )
 
 // head returns the head of an answer.
-func (a *answered) head(r *http.Request, f framing, length int, extra string) string {
+func (a *sentAnswer) head(r *http.Request, f framing, length int, extra string) string {
 	text := fmt.Sprintf("HTTP/1.1 %d X\r\nId: %s\r\nMark: %d\r\nOnly-%d: 1\r\n%s", a.status, r.Header.Get("Id"), a.number, a.number, extra)
 	if a.sealed {
 		text += fmt.Sprintf("Seal: s%d\r\n", a.number)
@@ -127,7 +127,7 @@
 }
 
 // part returns a part of the body as it is sent.
-func (a *answered) part(f framing, text string) string {
+func (a *sentAnswer) part(f framing, text string) string {
 	a.body += text
 	if f == framedByChunks && text != "" {
 		return fmt.Sprintf("%x\r\n%s\r\n", len(text), text)
@@ -136,25 +136,25 @@
 }
 
 // wholly answers well, or with a failure, to the end.
-func wholly(status int, sealed, ran bool, f framing, extra string) ending {
-	return func(a *answered, r *http.Request) (string, finish) {
-		a.status, a.sealed, a.ran, a.whole = status, sealed, ran, true
+func complete(status int, sealed, ran bool, f framing, extra string) answerFunc {
+	return func(a *sentAnswer, r *http.Request) (string, connAction) {
+		a.status, a.sealed, a.ran, a.isWhole = status, sealed, ran, true
 		body := a.wholeBody(r)
 		text := a.head(r, f, len(body), extra) + a.part(f, body)
 		switch f {
 		case framedByChunks:
-			return text + "0\r\n\r\n", keeps
+			return text + "0\r\n\r\n", keepOpen
 		case framedByClose:
-			return text, closes
+			return text, closeConn
 		default:
-			return text, keeps
+			return text, keepOpen
 		}
 	}
 }
 
 // cutAfter sends the head and so much of the body.
-func cutAfter(status int, part float64, f framing, then finish) ending {
-	return func(a *answered, r *http.Request) (string, finish) {
+func truncated(status int, part float64, f framing, then connAction) answerFunc {
+	return func(a *sentAnswer, r *http.Request) (string, connAction) {
 		a.status, a.sealed = status, true
 		body := a.wholeBody(r)
 		return a.head(r, f, len(body), "") + a.part(f, body[:int(part*float64(len(body)))]), then
@@ -162,27 +162,27 @@
 }
 
 // empty sends a head and no body, which ends with the connection. A stream has events.
-func empty(a *answered, r *http.Request) (string, finish) {
-	a.status, a.sealed, a.whole = 200, true, !isStreamPath(r.RequestURI)
-	return a.head(r, framedByClose, 0, ""), closes
+func emptyBody(a *sentAnswer, r *http.Request) (string, connAction) {
+	a.status, a.sealed, a.isWhole = 200, true, !isStreamPath(r.RequestURI)
+	return a.head(r, framedByClose, 0, ""), closeConn
 }
 
 // text sends a text that is no answer to the request, and closes; ID stands for the
 // request's id.
-func text(t string) ending {
-	return func(_ *answered, r *http.Request) (string, finish) {
-		return strings.ReplaceAll(t, "ID", r.Header.Get("Id")), closes
+func rawText(t string) answerFunc {
+	return func(_ *sentAnswer, r *http.Request) (string, connAction) {
+		return strings.ReplaceAll(t, "ID", r.Header.Get("Id")), closeConn
 	}
 }
 
 // nothing sends nothing.
-func nothing(then finish) ending {
-	return func(*answered, *http.Request) (string, finish) { return "", then }
+func sendNothing(then connAction) answerFunc {
+	return func(*sentAnswer, *http.Request) (string, connAction) { return "", then }
 }
 
 // behind sends the text of another answer before the ending.
-func behind(foreign string, e ending) ending {
-	return func(a *answered, r *http.Request) (string, finish) {
+func precededBy(foreign string, e answerFunc) answerFunc {
+	return func(a *sentAnswer, r *http.Request) (string, connAction) {
 		own, then := e(a, r)
 		return foreign + own, then
 	}
@@ -190,62 +190,62 @@
 
 const (
 	foreignAnswer = "HTTP/1.1 200 X\r\nId: other\r\nMark: 77\r\nSeal: s77\r\nContent-Length: 8\r\n\r\nmark-77;"
-	namelessReply = "HTTP/1.1 200 X\r\nMark: 77\r\nSeal: s77\r\nContent-Length: 8\r\n\r\nmark-77;"
+	unnamedAnswer = "HTTP/1.1 200 X\r\nMark: 77\r\nSeal: s77\r\nContent-Length: 8\r\n\r\nmark-77;"
 )
 
 // endings are the ways in which an answer can end.
-var endings = map[string]ending{
-	"whole, by length":                wholly(200, true, true, framedByLength, ""),
-	"whole, by chunks":                wholly(200, true, true, framedByChunks, ""),
-	"whole, by close":                 wholly(200, true, true, framedByClose, ""),
-	"whole behind a foreign one":      behind(foreignAnswer, wholly(200, true, true, framedByLength, "")),
-	"whole behind a nameless one":     behind(namelessReply, wholly(200, true, true, framedByLength, "")),
-	"whole behind an interim one":     behind("HTTP/1.1 102 X\r\nMark: 77\r\nSeal: s77\r\n\r\n", wholly(200, true, true, framedByLength, "")),
-	"foreign one only":                text(foreignAnswer),
-	"nameless one only":               text(namelessReply),
-	"without seal":                    wholly(200, false, true, framedByLength, ""),
-	"encoded":                         wholly(200, true, true, framedByLength, "Content-Encoding: gzip\r\n"),
-	"failure":                         wholly(500, true, true, framedByLength, ""),
-	"failure of another kind":         wholly(507, true, true, framedByChunks, "Retry-After: 9\r\n"),
-	"failure without seal":            wholly(500, false, true, framedByLength, ""),
-	"its time limit":                  wholly(504, true, true, framedByLength, ""),
-	"rejection by the caller's fault": wholly(422, true, true, framedByLength, ""),
-	"busy, may have run":              wholly(503, true, true, framedByLength, "Retry-After: 9\r\n"),
-	"too many, may have run":          wholly(429, true, true, framedByLength, "Retry-After: 9\r\n"),
-	"too slow, may have run":          wholly(408, true, true, framedByLength, ""),
-	"shed":                            wholly(503, true, false, framedByLength, "Not-Run: 1\r\nRetry-After: 9\r\n"),
-	"shed without seal":               wholly(429, false, false, framedByLength, "Not-Run: 1\r\n"),
-	"failure cut":                     cutAfter(500, 0.5, framedByLength, closes),
-	"head cut off, by length":         cutAfter(200, 0, framedByLength, closes),
-	"head cut off, by chunks":         cutAfter(200, 0, framedByChunks, closes),
-	"head, then silence":              cutAfter(200, 0, framedByChunks, stalls),
-	"head cut off, by close":          empty,
-	"cut in the first piece":          cutAfter(200, 0.05, framedByChunks, closes),
-	"cut midway, by length":           cutAfter(200, 0.5, framedByLength, closes),
-	"cut midway, by chunks":           cutAfter(200, 0.5, framedByChunks, closes),
-	"silent midway":                   cutAfter(200, 0.5, framedByChunks, stalls),
-	"closed":                          nothing(closes),
-	"silent":                          nothing(stalls),
-	"not an answer":                   text("zzz\r\n\r\n"),
-	"head cut":                        text("HTTP/1.1 200 X\r\nId: ID\r\nSeal: s1\r\nMark: 1\r\n"),
+var answerCases = map[string]answerFunc{
+	"whole, by length":                complete(200, true, true, framedByLength, ""),
+	"whole, by chunks":                complete(200, true, true, framedByChunks, ""),
+	"whole, by close":                 complete(200, true, true, framedByClose, ""),
+	"whole behind a foreign one":      precededBy(foreignAnswer, complete(200, true, true, framedByLength, "")),
+	"whole behind a nameless one":     precededBy(unnamedAnswer, complete(200, true, true, framedByLength, "")),
+	"whole behind an interim one":     precededBy("HTTP/1.1 102 X\r\nMark: 77\r\nSeal: s77\r\n\r\n", complete(200, true, true, framedByLength, "")),
+	"foreign one only":                rawText(foreignAnswer),
+	"nameless one only":               rawText(unnamedAnswer),
+	"without seal":                    complete(200, false, true, framedByLength, ""),
+	"encoded":                         complete(200, true, true, framedByLength, "Content-Encoding: gzip\r\n"),
+	"failure":                         complete(500, true, true, framedByLength, ""),
+	"failure of another kind":         complete(507, true, true, framedByChunks, "Retry-After: 9\r\n"),
+	"failure without seal":            complete(500, false, true, framedByLength, ""),
+	"its time limit":                  complete(504, true, true, framedByLength, ""),
+	"rejection by the caller's fault": complete(422, true, true, framedByLength, ""),
+	"busy, may have run":              complete(503, true, true, framedByLength, "Retry-After: 9\r\n"),
+	"too many, may have run":          complete(429, true, true, framedByLength, "Retry-After: 9\r\n"),
+	"too slow, may have run":          complete(408, true, true, framedByLength, ""),
+	"shed":                            complete(503, true, false, framedByLength, "Not-Run: 1\r\nRetry-After: 9\r\n"),
+	"shed without seal":               complete(429, false, false, framedByLength, "Not-Run: 1\r\n"),
+	"failure cut":                     truncated(500, 0.5, framedByLength, closeConn),
+	"head cut off, by length":         truncated(200, 0, framedByLength, closeConn),
+	"head cut off, by chunks":         truncated(200, 0, framedByChunks, closeConn),
+	"head, then silence":              truncated(200, 0, framedByChunks, stallConn),
+	"head cut off, by close":          emptyBody,
+	"cut in the first piece":          truncated(200, 0.05, framedByChunks, closeConn),
+	"cut midway, by length":           truncated(200, 0.5, framedByLength, closeConn),
+	"cut midway, by chunks":           truncated(200, 0.5, framedByChunks, closeConn),
+	"silent midway":                   truncated(200, 0.5, framedByChunks, stallConn),
+	"closed":                          sendNothing(closeConn),
+	"silent":                          sendNothing(stallConn),
+	"not an answer":                   rawText("zzz\r\n\r\n"),
+	"head cut":                        rawText("HTTP/1.1 200 X\r\nId: ID\r\nSeal: s1\r\nMark: 1\r\n"),
 }
 
 // next is what the box can do after the first try.
-type next struct {
+type followUp struct {
 	// second is the second target's answer, nil if there is none to be had.
-	second ending
+	second answerFunc
 	// prepare takes the next try away from the box.
 	prepare func(f *fixture)
 }
 
-var nexts = map[string]next{
-	"another serves":              {second: endings["whole, by chunks"]},
-	"another sheds":               {second: endings["shed"]},
-	"another fails":               {second: endings["failure of another kind"]},
-	"another closes":              {second: endings["closed"]},
-	"another breaks at its head":  {second: endings["head cut off, by chunks"]},
-	"another is silent":           {second: endings["head, then silence"]},
-	"another answers for a third": {second: endings["foreign one only"]},
+var followUps = map[string]followUp{
+	"another serves":              {second: answerCases["whole, by chunks"]},
+	"another sheds":               {second: answerCases["shed"]},
+	"another fails":               {second: answerCases["failure of another kind"]},
+	"another closes":              {second: answerCases["closed"]},
+	"another breaks at its head":  {second: answerCases["head cut off, by chunks"]},
+	"another is silent":           {second: answerCases["head, then silence"]},
+	"another answers for a third": {second: answerCases["foreign one only"]},
 	"no other":                    {prepare: func(f *fixture) { f.targets = f.targets[:1] }},
 	"no retry is left":            {prepare: func(f *fixture) { f.front.Budget.SetLimits(0, 0) }},
 	"another is unreachable":      {prepare: func(f *fixture) { f.targets[1].Addr = "127.0.0.1:1" }},
@@ -255,10 +255,10 @@
 // whatever targets send and however many tries there were: all that a caller gets
 // comes from one target, whose digest it carries, or from the box itself. Only the
 // events of a stream may come from several, without a gap.
-func TestAnswerOfOneSource(t *testing.T) {
+func TestAnswerFromSingleSource(t *testing.T) {
 	for _, path := range []string{"/once/", "/again/", "/stream/", "/plainstream/"} {
-		for ended, first := range endings {
-			for name, then := range nexts {
+		for ended, first := range answerCases {
+			for name, then := range followUps {
 				t.Run(strings.Trim(path, "/")+"/"+ended+"/"+name, func(t *testing.T) {
 					t.Parallel()
 					checkSource(t, path, first, then)
@@ -268,7 +268,7 @@
 	}
 }
 
-func checkSource(t *testing.T, path string, first ending, then next) {
+func checkSource(t *testing.T, path string, first answerFunc, then followUp) {
 	c := quicktest.New(t)
 	s := &script{stalled: make(chan struct{}, 8), ended: make(chan struct{})}
 	defer close(s.ended)
@@ -285,13 +285,13 @@
 		then.prepare(f)
 	}
 	got := make(chan reply, 1)
-	go func() { got <- f.ask(t, http.MethodPost, path, "ask") }()
-	s.check(c, path, await(manual, s.stalled, got))
+	go func() { got <- f.do(t, http.MethodPost, path, "ask") }()
+	s.check(c, path, awaitReply(manual, s.stalled, got))
 }
 
 // await returns the answer; from the time on at which a target stalls, it lets time
 // pass.
-func await(manual *clock.Manual, stalled <-chan struct{}, got <-chan reply) reply {
+func awaitReply(manual *clock.Manual, stalled <-chan struct{}, got <-chan reply) reply {
 	select {
 	case r := <-got:
 		return r
@@ -314,10 +314,10 @@
 	defer s.mu.Unlock()
 	c.Assert(got.status, quicktest.Not(quicktest.Equals), 0)
 	c.Check(got.header.Get("Id"), quicktest.Equals, "r1")
-	s.checkPromises(c, path, got)
+	s.checkNotRunStatus(c, path, got)
 	seal := got.header.Get("Seal")
 	if seal == "" {
-		checkOwn(c, got)
+		checkBoxAnswer(c, got)
 		return
 	}
 	number, err := strconv.Atoi(strings.TrimPrefix(seal, "s"))
@@ -333,14 +333,14 @@
 		s.checkStream(c, got)
 		return
 	}
-	c.Check(from.whole, quicktest.IsTrue)
+	c.Check(from.isWhole, quicktest.IsTrue)
 	c.Check(got.broken, quicktest.IsFalse)
 	c.Check(got.body, quicktest.Equals, from.body)
 }
 
 // checkOwn checks an answer that carries no target's digest: it is the box's own, and
 // a failure.
-func checkOwn(c *quicktest.C, got reply) {
+func checkBoxAnswer(c *quicktest.C, got reply) {
 	c.Check(got.status >= http.StatusBadRequest, quicktest.IsTrue)
 	c.Check(got.broken, quicktest.IsFalse)
 	c.Check(got.body, quicktest.Not(quicktest.Contains), "mark-")
@@ -352,7 +352,7 @@
 
 // checkPromises checks that an answer that promises that the request has not run says
 // so truly, and that what must not be repeated has run once.
-func (s *script) checkPromises(c *quicktest.C, path string, got reply) {
+func (s *script) checkNotRunStatus(c *quicktest.C, path string, got reply) {
 	ran := 0
 	for _, a := range s.sent {
 		if a.ran {
@@ -380,6 +380,6 @@
 	}
 	if !got.broken {
 		c.Check(events, quicktest.HasLen, lastEvent)
-		c.Check(s.sent[len(s.sent)-1].whole, quicktest.IsTrue)
+		c.Check(s.sent[len(s.sent)-1].isWhole, quicktest.IsTrue)
 	}
 }
--- a/internal/front/silence_test.go
+++ b/internal/front/stall_test.go
@@ -16,30 +16,30 @@
 
 // TestSilence checks that a stream is taken from a silent target only if another
 // can take it, and goes on there.
-func TestSilence(t *testing.T) {
+func TestStalledStreamResumed(t *testing.T) {
 	for name, budgeted := range map[string]bool{"another can": true, "no retry is left": false} {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			stopped := make(chan struct{})
 			stall := func(k net.Conn, r *http.Request) bool {
-				raw("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n11\r\nid: 1\ndata: xyz\n\n\r\n")(k, r)
+				rawAnswer("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n11\r\nid: 1\ndata: xyz\n\n\r\n")(k, r)
 				<-stopped
-				raw("12\r\nid: 2\ndata: late\n\n\r\n0\r\n\r\n")(k, r)
+				rawAnswer("12\r\nid: 2\ndata: late\n\n\r\n0\r\n\r\n")(k, r)
 				return false
 			}
 			manual := clock.NewManual(time.Unix(1000, 0))
 			view := newView()
 			view.Route("h", "/stream/").Timeout = 24 * time.Hour
-			f := newFixtureAt(t, manual, state{view: view}, stall, events(2, 3, false))
+			f := newFixtureAt(t, manual, state{view: view}, stall, eventStream(2, 3, false))
 			if !budgeted {
 				f.front.Budget.SetLimits(0, 0)
 			}
 			answer := make(chan reply, 1)
-			go func() { answer <- f.ask(t, http.MethodPost, "/stream/", "") }()
-			for f.target.count() == 0 {
+			go func() { answer <- f.do(t, http.MethodPost, "/stream/", "") }()
+			for f.target.requestCount() == 0 {
 				runtime.Gosched()
 			}
-			for i := 0; f.target.count() < 2 && (budgeted || i < 1000); i++ {
+			for i := 0; f.target.requestCount() < 2 && (budgeted || i < 1000); i++ {
 				manual.Advance(100 * time.Millisecond)
 				runtime.Gosched()
 			}
@@ -47,10 +47,10 @@
 			got := <-answer
 			c.Check(got.broken, quicktest.IsFalse)
 			if budgeted {
-				c.Check(f.target.count(), quicktest.Equals, 2)
-				c.Check(strings.HasSuffix(got.body, stream(2, 3)), quicktest.IsTrue)
+				c.Check(f.target.requestCount(), quicktest.Equals, 2)
+				c.Check(strings.HasSuffix(got.body, eventText(2, 3)), quicktest.IsTrue)
 			} else {
-				c.Check(f.target.count(), quicktest.Equals, 1)
+				c.Check(f.target.requestCount(), quicktest.Equals, 1)
 				c.Check(strings.HasSuffix(got.body, "data: late\n\n"), quicktest.IsTrue)
 			}
 		})
@@ -59,14 +59,14 @@
 
 // TestSilentAndDown checks that a stream is taken early from a silent target that
 // other boxes cannot reach.
-func TestSilentAndDown(t *testing.T) {
+func TestStalledStreamOnDownTarget(t *testing.T) {
 	const never = 24 * time.Hour
 	c := quicktest.New(t)
 	stopped := make(chan struct{})
 	defer close(stopped)
 	begun := make(chan struct{})
 	stall := func(k net.Conn, r *http.Request) bool {
-		raw("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n11\r\nid: 1\ndata: xyz\n\n\r\n")(k, r)
+		rawAnswer("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n11\r\nid: 1\ndata: xyz\n\n\r\n")(k, r)
 		close(begun)
 		<-stopped
 		return false
@@ -75,36 +75,36 @@
 	view := newView()
 	route := view.Route("h", "/stream/")
 	route.Timeout, route.Objective, route.MaxPause = never, never, never
-	f := newFixtureAt(t, manual, state{view: view}, stall, events(2, 3, false))
+	f := newFixtureAt(t, manual, state{view: view}, stall, eventStream(2, 3, false))
 	answer := make(chan reply, 1)
-	go func() { answer <- f.ask(t, http.MethodPost, "/stream/", "") }()
+	go func() { answer <- f.do(t, http.MethodPost, "/stream/", "") }()
 	<-begun
-	told := balance.NewSnapshot()
+	peers := balance.NewSnapshot()
 	for _, id := range []string{"a", "b"} {
-		told.Work[balance.KeyOf(id)] = balance.Work{DownReports: 1}
+		peers.Work[balance.KeyOf(id)] = balance.Work{DownReports: 1}
 	}
-	f.front.Balancer.SetOthers(told)
-	for f.target.count() < 2 { // A target that is up would be given a day.
+	f.front.Balancer.SetOthers(peers)
+	for f.target.requestCount() < 2 { // A target that is up would be given a day.
 		manual.Advance(100 * time.Millisecond)
 		runtime.Gosched()
 	}
 	got := <-answer
 	c.Check(got.broken, quicktest.IsFalse)
-	c.Check(strings.HasSuffix(got.body, stream(2, 3)), quicktest.IsTrue)
+	c.Check(strings.HasSuffix(got.body, eventText(2, 3)), quicktest.IsTrue)
 }
 
 // TestStreamWaitsForAPlace checks that a stream which has begun, and whose target breaks off,
 // waits for a place elsewhere for longer than a request would that can be refused.
-func TestStreamWaitsForAPlace(t *testing.T) {
+func TestBrokenStreamWaitsForSlot(t *testing.T) {
 	c := quicktest.New(t)
 	over := make(chan struct{})
 	busy := func(k net.Conn, r *http.Request) bool {
 		<-over
-		events(1, 1, false)(k, r)
+		eventStream(1, 1, false)(k, r)
 		return true // The connection is kept, and may serve the other stream.
 	}
-	broken := func(k net.Conn, r *http.Request) bool { oneEvent(k, r); return false }
-	f, manual, out := newOneEngine(t, busy, broken, events(2, 3, false))
+	broken := func(k net.Conn, r *http.Request) bool { writeOneEvent(k, r); return false }
+	f, manual, out := newSingleEngineFixture(t, busy, broken, eventStream(2, 3, false))
 	f.targets[0].Slots = 1
 	f.targets = append(f.targets, f.targets[0])
 	f.targets[1].ID = "other"
@@ -112,17 +112,17 @@
 	route.Objective, route.Resumable = objective, true
 	route.Timeout = 24 * time.Hour                         // It asks again by a clock that runs ahead of it.
 	f.view.Route("h", "/plainstream/").Split = route.Split // Such a stream stays where it is.
-	ask := func(path string) <-chan reply {
+	do := func(path string) <-chan reply {
 		answer := make(chan reply, 1)
-		go func() { answer <- f.ask(t, http.MethodPost, path, "", "Prompt", "10") }()
+		go func() { answer <- f.do(t, http.MethodPost, path, "", "Prompt", "10") }()
 		return answer
 	}
-	first := ask("/plainstream/")
-	for f.target.count() < 1 {
+	first := do("/plainstream/")
+	for f.target.requestCount() < 1 {
 		runtime.Gosched()
 	}
-	second := ask("/giant/")
-	for f.target.count() < 2 {
+	second := do("/giant/")
+	for f.target.requestCount() < 2 {
 		runtime.Gosched()
 	}
 	// Time stands still while a request has a place: connections are real, and a clock that
@@ -142,12 +142,12 @@
 	}
 	close(over)
 	c.Check((<-first).broken, quicktest.IsFalse)
-	out.until(t, "route", "/plainstream/") // Its place is free, or taken again.
+	out.waitFor(t, "route", "/plainstream/") // Its place is free, or taken again.
 	for placed() == 0 && len(second) == 0 {
 		pass()
 	}
 	got := <-second
 	c.Check(got.broken, quicktest.IsFalse)
-	c.Check(strings.HasSuffix(got.body, stream(2, 3)), quicktest.IsTrue)
-	c.Check(f.target.count(), quicktest.Equals, 3)
+	c.Check(strings.HasSuffix(got.body, eventText(2, 3)), quicktest.IsTrue)
+	c.Check(f.target.requestCount(), quicktest.Equals, 3)
 }
