--- a/internal/lead/client_test.go
+++ b/internal/lead/client_test.go
@@ -19,7 +19,7 @@
 // TestSilentLead checks that after a question in vain a box places its short prompts
 // itself for a while, as they have no time for a second one, and asks again then; long
 // prompts are asked for each time.
-func TestSilentLead(t *testing.T) {
+func TestShortPromptsBypassFailedLead(t *testing.T) {
 	c := quicktest.New(t)
 	var asks atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -56,7 +56,7 @@
 // TestLeadCutOff checks for how long a box waits for a lead that says nothing: a short
 // prompt, which takes 120 ms from its engine, can still be in time by an objective of
 // 300 ms; a long one waits for its engines at the lead.
-func TestLeadCutOff(t *testing.T) {
+func TestSilentLeadTimeout(t *testing.T) {
 	cases := map[string]struct {
 		prompt int
 		most   time.Duration
@@ -67,7 +67,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			box, clk, _ := boxBeforeSilentLead(t)
+			box, clk, _ := newBoxWithSilentLead(t)
 			began := clk.Now()
 			placed := make(chan error, 1)
 			go func() {
@@ -86,9 +86,9 @@
 
 // TestCallerLeft checks that a caller who leaves while the lead is asked says nothing of
 // the lead: the next short prompt is asked for again.
-func TestCallerLeft(t *testing.T) {
+func TestCallerGoneKeepsLead(t *testing.T) {
 	c := quicktest.New(t)
-	box, clk, asks := boxBeforeSilentLead(t)
+	box, clk, asks := newBoxWithSilentLead(t)
 	ask := func(ctx context.Context) chan error {
 		placed := make(chan error, 1)
 		go func() {
@@ -117,7 +117,7 @@
 }
 
 // boxBeforeSilentLead returns a box whose lead takes questions and answers none.
-func boxBeforeSilentLead(t *testing.T) (box *balance.Balancer, clk *clock.Manual, asks *atomic.Int64) {
+func newBoxWithSilentLead(t *testing.T) (box *balance.Balancer, clk *clock.Manual, asks *atomic.Int64) {
 	asks = &atomic.Int64{}
 	over := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
--- a/internal/lead/lead_test.go
+++ b/internal/lead/lead_test.go
@@ -133,7 +133,7 @@
 
 // TestApart checks that two boxes that ask one after the other get engines of their
 // own to write at.
-func TestApart(t *testing.T) {
+func TestSeparateTargets(t *testing.T) {
 	p := newPair(t, view, engines)
 	other := newBalancer(p.clock, engines...)
 	other.Lead = p.box.Lead
@@ -147,7 +147,7 @@
 
 // TestDemand checks that the lead counts each long prompt as demand once, however
 // often its box asks for its engines.
-func TestDemand(t *testing.T) {
+func TestDemandCountedOnce(t *testing.T) {
 	p := newPair(t, view, engines)
 	demand := func() float64 { return p.lead.Snapshot().Demands[balance.KeyOf("s")].Long }
 	placed, err := p.box.Place(context.Background(), job(210_000))
@@ -169,7 +169,7 @@
 
 // TestRead checks that the lead gives engines the next prompt once a box has told
 // that the one before was read, and counts what was placed until then.
-func TestRead(t *testing.T) {
+func TestReadFreesEngines(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPair(t, view, engines)
 	placed, err := p.box.Place(context.Background(), job(210_000))
@@ -184,7 +184,7 @@
 
 // TestNotAdopted checks that the lead gives engines to others when a box does not take
 // its plan.
-func TestNotAdopted(t *testing.T) {
+func TestUnusedPlanReleased(t *testing.T) {
 	p := newPair(t, view, []barleystep.TargetID{"x"})
 	_, err := p.box.Place(context.Background(), job(210_000))
 	quicktest.Assert(t, err, quicktest.IsNil)
@@ -197,7 +197,7 @@
 
 // TestNumbers checks that a lead does not take what a box tells of another lead's plan
 // for its own.
-func TestNumbers(t *testing.T) {
+func TestPlanNumbersUnique(t *testing.T) {
 	manual := clock.NewManual(time.Unix(1000, 0))
 	seen := make(map[uint64]bool)
 	for range 5 {
@@ -210,7 +210,7 @@
 
 // TestGrantGone checks that nothing is placed for a box that no longer asks: no engine is kept
 // for a prompt that nobody sends there.
-func TestGrantGone(t *testing.T) {
+func TestGrantCancelled(t *testing.T) {
 	manual := clock.NewManual(time.Unix(1000, 0))
 	b := newBalancer(manual, engines...)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -222,7 +222,7 @@
 
 // TestGrantEnds checks that what was placed for others is forgotten once they
 // tell of it themselves, and its reading when it is late.
-func TestGrantEnds(t *testing.T) {
+func TestGrantExpires(t *testing.T) {
 	manual := clock.NewManual(time.Unix(1000, 0))
 	b := newBalancer(manual, engines...)
 	plan, err := b.PlaceForPeer(context.Background(), job(210_000), manual.Now())
@@ -239,7 +239,7 @@
 
 // TestHallOfTheAsker checks that the lead places a short prompt in the hall of the box that
 // asks, not in its own.
-func TestHallOfTheAsker(t *testing.T) {
+func TestHallOfRequestingBox(t *testing.T) {
 	p := newPair(t, view, engines)
 	targets := func() []fleet.Target {
 		var list []fleet.Target
--- a/internal/lead/server.go
+++ b/internal/lead/server.go
@@ -26,24 +26,24 @@
 
 	mu sync.Mutex
 	// second is that in which asked questions came.
-	second time.Time
-	asked  int
+	windowStart time.Time
+	windowCount int
 }
 
 // mostAsked is how many questions for short prompts the lead answers in a second, for which it
 // spends a fifth of a core at most. Boxes that are turned away place their prompts themselves
 // for a while.
-const mostAsked = 700
+const maxShortPerSecond = 700
 
 // busy counts a question for a short prompt and reports whether there are too many.
-func (s *Server) busy() bool {
+func (s *Server) isOverLimit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now := s.Clock.Now(); now.Sub(s.second) >= time.Second {
-		s.second, s.asked = now, 0
+	if now := s.Clock.Now(); now.Sub(s.windowStart) >= time.Second {
+		s.windowStart, s.windowCount = now, 0
 	}
-	s.asked++
-	return s.asked > mostAsked
+	s.windowCount++
+	return s.windowCount > maxShortPerSecond
 }
 
 // Handler returns the handler for other boxes.
@@ -56,15 +56,15 @@
 // longer, the fewer questions there are. A short prompt that has asked a dead lead in vain is
 // still to be in time.
 const (
-	longHold  = 250 * time.Millisecond
-	shortHold = 60 * time.Millisecond
+	longPromptHold  = 250 * time.Millisecond
+	shortPromptHold = 60 * time.Millisecond
 )
 
 func holdTime(j balance.Job) time.Duration {
 	if balance.IsLongPrompt(j) {
-		return longHold
+		return longPromptHold
 	}
-	return shortHold
+	return shortPromptHold
 }
 
 // Place chooses the targets of a request.
@@ -77,8 +77,8 @@
 		return nil, connect.NewError(connect.CodeUnavailable, eris.New("the service is not known"))
 	}
 	now := s.Clock.Now()
-	j := jobOf(view, r.Msg, now)
-	if !balance.IsLongPrompt(j) && s.busy() {
+	j := decodeJob(view, r.Msg, now)
+	if !balance.IsLongPrompt(j) && s.isOverLimit() {
 		return nil, connect.NewError(connect.CodeUnavailable, eris.New("too many boxes ask"))
 	}
 	plan, err := s.Balancer.PlaceForPeer(ctx, j, now.Add(holdTime(j)))
--- a/internal/lead/wire.go
+++ b/internal/lead/wire.go
@@ -11,7 +11,7 @@
 )
 
 // jobOf reads a question that has come now.
-func jobOf(view *fleet.View, m *placementv1.PlaceRequest, now time.Time) balance.Job {
+func decodeJob(view *fleet.View, m *placementv1.PlaceRequest, now time.Time) balance.Job {
 	j := balance.Job{
 		RequestID:    m.GetRequest(),
 		Service:      m.GetService(),
@@ -45,7 +45,7 @@
 	return j
 }
 
-func requestOf(j balance.Job) *placementv1.PlaceRequest {
+func encodeJob(j balance.Job) *placementv1.PlaceRequest {
 	m := &placementv1.PlaceRequest{
 		Request:     j.RequestID,
 		Service:     j.Service,
@@ -67,7 +67,7 @@
 	return m
 }
 
-func planOf(m *placementv1.PlaceResponse) balance.Plan {
+func decodePlan(m *placementv1.PlaceResponse) balance.Plan {
 	plan := balance.Plan{
 		ID:           m.GetNumber(),
 		Target:       barleystep.TargetID(m.GetTarget()),
--- a/internal/lead/wire_internal_test.go
+++ b/internal/lead/wire_internal_test.go
@@ -12,11 +12,11 @@
 
 // TestReturnedTold checks that the lead learns whether a caller has come back after a refusal: it
 // took each prompt for one that had.
-func TestReturnedTold(t *testing.T) {
+func TestReturnedEncoded(t *testing.T) {
 	for name, returned := range map[string]bool{"first try": false, "came back": true} {
 		t.Run(name, func(t *testing.T) {
 			j := balance.Job{Service: "s", PromptTokens: 1, CallerRetry: returned}
-			got := jobOf(fleet.NewView(fleet.Configuration{}), requestOf(j), time.Unix(1000, 0))
+			got := decodeJob(fleet.NewView(fleet.Configuration{}), encodeJob(j), time.Unix(1000, 0))
 			quicktest.Check(t, got.CallerRetry, quicktest.Equals, returned)
 		})
 	}
