--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -21,17 +21,17 @@
 
 // Conn is one connection to a target, used for one request at a time.
 type Conn struct {
-	pool   *Pool
-	addr   string
-	era    uint64 // era is that of the address when the connection was made.
-	raw    net.Conn
-	reader *bufio.Reader
-	idle   time.Time     // idle is since when the connection rests.
-	life   time.Duration // life is how long the target keeps it resting; zero if it does not say.
+	pool        *Pool
+	addr        string
+	generation  uint64 // era is that of the address when the connection was made.
+	raw         net.Conn
+	reader      *bufio.Reader
+	idle        time.Time     // idle is since when the connection rests.
+	idleTimeout time.Duration // life is how long the target keeps it resting; zero if it does not say.
 	// writing is closed when the request was written; writeErr is set before.
-	writing  chan struct{}
-	writeErr error
-	broken   bool
+	writeDone chan struct{}
+	writeErr  error
+	broken    bool
 	// skipped counts the surplus answers that were read before the last one.
 	skipped int
 }
@@ -41,7 +41,7 @@
 	// inlineBody is the largest body that is written before the answer is read:
 	// it fits the smallest socket buffers, so that a target that does not read
 	// it cannot hold the writer up.
-	inlineBody = 4 << 10
+	maxInlineBody = 4 << 10
 )
 
 // Send writes the request and reads the head of the answer whose request id is
@@ -60,7 +60,7 @@
 	if err := c.write(req, body); err != nil {
 		return nil, err
 	}
-	for c.skipped = 0; c.skipped < maxSurplus; c.skipped++ {
+	for c.skipped = 0; c.skipped < maxSkipped; c.skipped++ {
 		resp, err = http.ReadResponse(c.reader, req)
 		if err != nil {
 			return nil, eris.Wrap(err, "conn: read answer")
@@ -72,7 +72,7 @@
 			resp.Body = &answerBody{conn: c, body: resp.Body, stop: stop}
 			return resp, nil
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, surplusBytes)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSkippedBytes)); err != nil {
 			return nil, eris.Wrap(err, "conn: read surplus answer")
 		}
 		resp.Body.Close()
@@ -82,25 +82,25 @@
 
 const (
 	// maxSurplus is how many interim and surplus answers are skipped.
-	maxSurplus = 4
+	maxSkipped = 4
 	// surplusBytes bounds what is skipped of one surplus answer.
-	surplusBytes = 1 << 20
+	maxSkippedBytes = 1 << 20
 )
 
 // write sends the head and, unless it is long, the body. A long body is written
 // while the answer is awaited, since targets may answer before they have read it.
 func (c *Conn) write(req *http.Request, body []byte) error {
-	c.writing = make(chan struct{})
+	c.writeDone = make(chan struct{})
 	counter := &countingWriter{w: c.raw}
 	send := func() {
-		defer close(c.writing)
+		defer close(c.writeDone)
 		w := bufio.NewWriterSize(counter, readerSize)
 		c.writeErr = req.Write(w)
 		if c.writeErr == nil {
 			c.writeErr = w.Flush()
 		}
 	}
-	if len(body) > inlineBody {
+	if len(body) > maxInlineBody {
 		go send()
 		return nil
 	}
@@ -132,18 +132,18 @@
 
 // answerBody is the body of an answer; closing it gives the connection back.
 type answerBody struct {
-	conn *Conn
-	body io.ReadCloser
-	stop func() bool
-	done bool
-	end  bool
+	conn   *Conn
+	body   io.ReadCloser
+	stop   func() bool
+	closed bool
+	sawEOF bool
 }
 
 // Read reads the body. io.EOF is only returned when the body is whole.
 func (b *answerBody) Read(p []byte) (int, error) {
 	n, err := b.body.Read(p)
 	if err == io.EOF {
-		b.end = true
+		b.sawEOF = true
 	}
 	return n, err
 }
@@ -151,19 +151,19 @@
 // Close ends the use of the connection: it is kept if the answer was read to
 // its end and nothing speaks against the connection.
 func (b *answerBody) Close() error {
-	if b.done {
+	if b.closed {
 		return nil
 	}
-	b.done = true
+	b.closed = true
 	inTime := b.stop()
 	c := b.conn
 	written := false
 	select {
-	case <-c.writing:
+	case <-c.writeDone:
 		written = c.writeErr == nil
 	default:
 	}
-	if !b.end || !inTime || !written {
+	if !b.sawEOF || !inTime || !written {
 		c.broken = true
 	}
 	return nil
@@ -176,7 +176,7 @@
 		c.pool.discard(c)
 		return
 	}
-	c.life = keepAlive(resp.Header.Get("Keep-Alive"))
+	c.idleTimeout = keepAlive(resp.Header.Get("Keep-Alive"))
 	c.pool.put(c, c.pool.Clock.Now())
 }
 
@@ -196,7 +196,7 @@
 
 // quiet reports whether the connection is open and nothing has come on it since
 // its last answer.
-func (c *Conn) quiet() bool {
+func (c *Conn) isClean() bool {
 	s, ok := c.raw.(syscall.Conn)
 	if !ok {
 		return true
@@ -205,13 +205,13 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	isClean := false
 	err = raw.Control(func(fd uintptr) {
 		var one [1]byte
 		_, _, peeked := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = peeked == syscall.EAGAIN
+		isClean = peeked == syscall.EAGAIN
 	})
-	return err == nil && quiet
+	return err == nil && isClean
 }
 
 // Discard closes the connection instead of giving it back.
--- a/internal/conn/conn_test.go
+++ b/internal/conn/conn_test.go
@@ -98,7 +98,7 @@
 	return string(data), err
 }
 
-func TestReuse(t *testing.T) {
+func TestConnectionReused(t *testing.T) {
 	c := quicktest.New(t)
 	s := newTarget(t, answer("1", "a"), answer("2", "b"))
 	p := newPool()
@@ -130,7 +130,7 @@
 
 // TestSurplus checks that answers to other requests are skipped, and that bytes
 // behind an answer spoil the connection.
-func TestSurplus(t *testing.T) {
+func TestSkippedAnswers(t *testing.T) {
 	cases := map[string]struct {
 		text string
 		body string
@@ -156,7 +156,7 @@
 }
 
 // TestBroken checks that an answer that is not whole is an error.
-func TestBroken(t *testing.T) {
+func TestIncompleteAnswer(t *testing.T) {
 	cases := map[string]string{
 		"short body":   "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nabc",
 		"cut chunk":    "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nabc",
@@ -202,7 +202,7 @@
 
 // TestRest checks that a connection is not used when its target may have closed
 // it by now.
-func TestRest(t *testing.T) {
+func TestIdleTimeout(t *testing.T) {
 	cases := map[string]struct {
 		header string
 		rest   time.Duration
--- a/internal/conn/owner_test.go
+++ b/internal/conn/owner_test.go
@@ -16,7 +16,7 @@
 
 // TestOwner checks that a kept connection is used only as long as its address belongs to the
 // lifetime of the target to which it was made.
-func TestOwner(t *testing.T) {
+func TestAddressOwner(t *testing.T) {
 	at := func(id string, born int64) fleet.Target {
 		return fleet.Target{ID: barleystep.TargetID(id), StartMS: born}
 	}
@@ -45,7 +45,7 @@
 			s := newTarget(t, answer("1", "a"), answer("2", "b"))
 			p := newPool()
 			for i, targets := range tc.lists {
-				tell(p, s.addr(), targets)
+				setTargets(p, s.addr(), targets)
 				if i == 0 {
 					_, err := exchange(t, p, s.addr(), http.MethodGet, "1", nil)
 					c.Assert(err, quicktest.IsNil)
@@ -66,14 +66,14 @@
 
 // TestOwnerWhileInUse checks that a connection in use over a restart serves its request and is
 // not kept.
-func TestOwnerWhileInUse(t *testing.T) {
+func TestAddressOwnerWhileInUse(t *testing.T) {
 	c := quicktest.New(t)
 	s := newTarget(t, answer("1", "a"))
 	p := newPool()
-	tell(p, s.addr(), []fleet.Target{{ID: "i", StartMS: 100}})
+	setTargets(p, s.addr(), []fleet.Target{{ID: "i", StartMS: 100}})
 	k, err := p.Get(context.Background(), s.addr())
 	c.Assert(err, quicktest.IsNil)
-	tell(p, s.addr(), []fleet.Target{{ID: "i", StartMS: 200}})
+	setTargets(p, s.addr(), []fleet.Target{{ID: "i", StartMS: 200}})
 	req := &http.Request{Method: http.MethodGet, URL: &url.URL{Opaque: "/x"}, Host: "h", Header: http.Header{}}
 	resp, err := k.Send(context.Background(), req, nil, func(h http.Header) bool { return h.Get("Id") == "1" })
 	c.Assert(err, quicktest.IsNil)
@@ -86,7 +86,7 @@
 }
 
 // tell tells the pool of targets that all have the address.
-func tell(p *conn.Pool, addr string, targets []fleet.Target) {
+func setTargets(p *conn.Pool, addr string, targets []fleet.Target) {
 	list := make([]fleet.Target, len(targets))
 	for i, t := range targets {
 		t.Addr = addr
--- a/internal/conn/pool.go
+++ b/internal/conn/pool.go
@@ -25,21 +25,21 @@
 	open map[string]int
 	// owners are the targets that the addresses belong to, as last told; eras count, over
 	// all addresses, when one got a new owner or its owner started anew.
-	owners map[string]owner
-	eras   map[string]uint64
-	era    uint64
+	owners         map[string]owner
+	generations    map[string]uint64
+	lastGeneration uint64
 }
 
 const (
 	// restLimit is how long a connection rests before it is closed; targets
 	// close theirs after some seconds without saying so.
-	restLimit = 4 * time.Second
+	maxIdle = 4 * time.Second
 	// restMargin is how much earlier than its target a connection is given up,
 	// so that a request does not cross the target's close.
-	restMargin = 700 * time.Millisecond
+	idleMargin = 700 * time.Millisecond
 	// unackedLimit bounds how long sent bytes may stay unacknowledged, so that
 	// a target that lost power is noticed.
-	unackedLimit = 2 * time.Second
+	unackedTimeout = 2 * time.Second
 	// tcpUserTimeout is the option's number in Linux, which syscall lacks.
 	tcpUserTimeout = 0x12
 )
@@ -49,7 +49,7 @@
 // the error is barleystep.ErrNotStarted.
 func (p *Pool) Get(ctx context.Context, addr string) (c *Conn, err error) {
 	for {
-		c := p.take(addr)
+		c := p.takeIdle(addr)
 		if c == nil {
 			break
 		}
@@ -77,15 +77,15 @@
 }
 
 func (p *Pool) usable(c *Conn) bool {
-	rested := p.Clock.Now().Sub(c.idle)
-	limit := restLimit
-	if c.life > 0 {
-		limit = min(limit, c.life-restMargin)
+	idleFor := p.Clock.Now().Sub(c.idle)
+	limit := maxIdle
+	if c.idleTimeout > 0 {
+		limit = min(limit, c.idleTimeout-idleMargin)
 	}
-	return rested < limit && c.quiet()
+	return idleFor < limit && c.isClean()
 }
 
-func (p *Pool) take(addr string) *Conn {
+func (p *Pool) takeIdle(addr string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[addr]
@@ -99,7 +99,7 @@
 
 // Dial returns a new connection to the address. Its errors are those of Get.
 func (p *Pool) Dial(ctx context.Context, addr string) (c *Conn, err error) {
-	era := p.eraOf(addr) // It may end while the connection is made.
+	generation := p.generationOf(addr) // It may end while the connection is made.
 	raw, err := p.connect(ctx, addr)
 	if err != nil {
 		return nil, eris.Wrap(barleystep.ErrNotStarted, err.Error())
@@ -111,7 +111,7 @@
 		p.idle = make(map[string][]*Conn)
 	}
 	p.open[addr]++
-	return &Conn{pool: p, addr: addr, era: era, raw: raw, reader: bufio.NewReaderSize(raw, readerSize)}, nil
+	return &Conn{pool: p, addr: addr, generation: generation, raw: raw, reader: bufio.NewReaderSize(raw, readerSize)}, nil
 }
 
 // connect makes a connection to the address.
@@ -120,7 +120,7 @@
 	defer cancel()
 	d := net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2},
-		Control:         boundUnacked,
+		Control:         setUnackedTimeout,
 	}
 	return d.DialContext(ctx, "tcp4", addr)
 }
@@ -135,16 +135,16 @@
 	return eris.Is(err, syscall.ECONNREFUSED)
 }
 
-func (p *Pool) eraOf(addr string) uint64 {
+func (p *Pool) generationOf(addr string) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.eras[addr]
+	return p.generations[addr]
 }
 
-func boundUnacked(_, _ string, raw syscall.RawConn) error {
+func setUnackedTimeout(_, _ string, raw syscall.RawConn) error {
 	var set error
 	err := raw.Control(func(fd uintptr) {
-		set = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedLimit.Milliseconds()))
+		set = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
@@ -154,15 +154,15 @@
 
 // put keeps a connection that rests since then, unless its era is over.
 func (p *Pool) put(c *Conn, since time.Time) {
-	if !p.keep(c, since) {
+	if !p.addIdle(c, since) {
 		p.discard(c)
 	}
 }
 
-func (p *Pool) keep(c *Conn, since time.Time) bool {
+func (p *Pool) addIdle(c *Conn, since time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.era != p.eras[c.addr] {
+	if c.generation != p.generations[c.addr] {
 		return false
 	}
 	c.idle = since
@@ -191,26 +191,26 @@
 // Sweep closes the connections that have rested too long. It is called now and
 // then.
 func (p *Pool) CloseExpired() {
-	for _, c := range p.stale() {
+	for _, c := range p.expired() {
 		p.discard(c)
 	}
 }
 
-func (p *Pool) stale() []*Conn {
+func (p *Pool) expired() []*Conn {
 	now := p.Clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var stale []*Conn
+	var expired []*Conn
 	for addr, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Sub(c.idle) < restLimit {
+			if now.Sub(c.idle) < maxIdle {
 				kept = append(kept, c)
 			} else {
-				stale = append(stale, c)
+				expired = append(expired, c)
 			}
 		}
 		p.idle[addr] = kept
 	}
-	return stale
+	return expired
 }
