--- a/internal/reply/head.go
+++ b/internal/reply/head.go
@@ -47,7 +47,7 @@
 func (h Head) Sealed() bool { return h.sealed }
 
 // hopHeaders belong to one connection only.
-var hopHeaders = []string{
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
@@ -59,7 +59,7 @@
 			h.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 }
--- a/internal/reply/writer.go
+++ b/internal/reply/writer.go
@@ -13,10 +13,10 @@
 // Writer sends one answer to one caller. It is made by NewWriter and used by one
 // goroutine.
 type Writer struct {
-	w       http.ResponseWriter
-	head    Head
-	begun   bool
-	closing bool
+	w         http.ResponseWriter
+	head      Head
+	headSent  bool
+	closeConn bool
 }
 
 // NewWriter returns a writer whose answer has not begun.
@@ -24,10 +24,10 @@
 
 // CloseAfter has the answer end the caller's connection. It has no effect once the
 // answer has begun.
-func (w *Writer) SetConnectionClose() { w.closing = true }
+func (w *Writer) SetConnectionClose() { w.closeConn = true }
 
 // Begun reports whether the head went out, after which no other can.
-func (w *Writer) HeadSent() bool { return w.begun }
+func (w *Writer) HeadSent() bool { return w.headSent }
 
 // Head returns the head that went out.
 func (w *Writer) Head() Head { return w.head }
@@ -40,7 +40,7 @@
 
 // Whole sends a whole answer. It does nothing if one has begun.
 func (w *Writer) WriteFull(h Head, body []byte) {
-	if w.begun {
+	if w.headSent {
 		return
 	}
 	h.header = maps.Clone(h.header)
@@ -58,15 +58,15 @@
 // Begin sends the head of an answer whose body follows in parts. Only the first head
 // is sent: a stream that another target goes on with keeps its own.
 func (w *Writer) WriteHead(h Head) {
-	if w.begun {
+	if w.headSent {
 		return
 	}
-	w.begun = true
+	w.headSent = true
 	w.head = h
 	header := w.w.Header()
 	clear(header)
 	maps.Copy(header, h.header)
-	if w.closing {
+	if w.closeConn {
 		header.Set("Connection", "close")
 	}
 	w.w.WriteHeader(h.status)
--- a/internal/reply/writer_test.go
+++ b/internal/reply/writer_test.go
@@ -11,7 +11,7 @@
 )
 
 // target returns the head of a target's answer with fields of its own.
-func target(id string, status int) reply.Head {
+func targetHead(id string, status int) reply.Head {
 	answer := &http.Response{StatusCode: status, Header: http.Header{
 		"Mark":           {id},
 		"Only-" + id:     {"1"},
@@ -22,7 +22,7 @@
 	return reply.FromTarget("t", answer, true)
 }
 
-func own(status int) reply.Head {
+func boxHead(status int) reply.Head {
 	return reply.FromBox(status, http.Header{"Content-Type": {"text/plain"}})
 }
 
@@ -35,32 +35,32 @@
 		body   string
 	}{
 		"own": {
-			func(w *reply.Writer) { w.WriteFull(own(503), []byte("no")) },
+			func(w *reply.Writer) { w.WriteFull(boxHead(503), []byte("no")) },
 			503, http.Header{"Content-Type": {"text/plain"}, "Content-Length": {"2"}}, "no",
 		},
 		"a target's, whole": {
-			func(w *reply.Writer) { w.WriteFull(target("A", 500), []byte("bad")) },
+			func(w *reply.Writer) { w.WriteFull(targetHead("A", 500), []byte("bad")) },
 			500, http.Header{"Mark": {"A"}, "Only-A": {"1"}, "Date": nil, "Content-Length": {"3"}}, "bad",
 		},
 		"a target's head, then another's": {
 			func(w *reply.Writer) {
-				w.WriteHead(target("A", 200))
-				w.WriteHead(target("B", 206))
+				w.WriteHead(targetHead("A", 200))
+				w.WriteHead(targetHead("B", 206))
 			},
 			200, http.Header{"Mark": {"A"}, "Only-A": {"1"}, "Date": nil}, "",
 		},
 		"a refusal after the head is not sent": {
 			func(w *reply.Writer) {
-				w.WriteHead(target("A", 200))
+				w.WriteHead(targetHead("A", 200))
 				_ = w.Write([]byte("part")) // A recorder takes all.
-				w.WriteFull(own(502), []byte("no"))
+				w.WriteFull(boxHead(502), []byte("no"))
 			},
 			200, http.Header{"Mark": {"A"}, "Only-A": {"1"}, "Date": nil}, "part",
 		},
 		"closing": {
 			func(w *reply.Writer) {
 				w.SetConnectionClose()
-				w.WriteFull(own(200), nil)
+				w.WriteFull(boxHead(200), nil)
 			},
 			200, http.Header{"Content-Type": {"text/plain"}, "Content-Length": {"0"}, "Connection": {"close"}}, "",
 		},
