--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -20,14 +20,14 @@
 	BoxCount func() int
 
 	mu       sync.Mutex
-	origin   time.Time
+	start    time.Time
 	ratio    float64
 	extra    float64
-	services map[string]*account
+	services map[string]*serviceCounts
 }
 
 // account counts a service's requests and retries in buckets of a window.
-type account struct {
+type serviceCounts struct {
 	requests window
 	retries  window
 }
@@ -35,38 +35,38 @@
 const (
 	// buckets divide a window; the oldest one counts whole, so that a sliding
 	// window anywhere never holds more than what is counted here.
-	buckets = 10
+	bucketCount = 10
 	// ratioPart and extraPart are what a box uses of its even part. The rest is
 	// for requests that are spread unevenly over boxes, and for boxes that were
 	// started anew and have forgotten what they used.
-	ratioPart = 0.8
-	extraPart = 0.4
+	ratioShare = 0.8
+	extraShare = 0.4
 )
 
 type window struct {
-	counts [buckets + 1]float64
-	slot   int64
+	counts [bucketCount + 1]float64
+	bucket int64
 }
 
-func (w *window) advance(slot int64) {
-	if slot-w.slot > buckets {
-		w.counts = [buckets + 1]float64{}
-		w.slot = slot
+func (w *window) advance(bucket int64) {
+	if bucket-w.bucket > bucketCount {
+		w.counts = [bucketCount + 1]float64{}
+		w.bucket = bucket
 		return
 	}
-	for w.slot < slot {
-		w.slot++
-		w.counts[w.slot%(buckets+1)] = 0
+	for w.bucket < bucket {
+		w.bucket++
+		w.counts[w.bucket%(bucketCount+1)] = 0
 	}
 }
 
-func (w *window) add(slot int64) {
-	w.advance(slot)
-	w.counts[slot%(buckets+1)]++
+func (w *window) add(bucket int64) {
+	w.advance(bucket)
+	w.counts[bucket%(bucketCount+1)]++
 }
 
-func (w *window) sum(slot int64) float64 {
-	w.advance(slot)
+func (w *window) sum(bucket int64) float64 {
+	w.advance(bucket)
 	total := 0.0
 	for _, n := range w.counts {
 		total += n
@@ -76,21 +76,21 @@
 
 // slot numbers spans of time since the first call. It is a difference of times,
 // so that a step of the time of day does not empty the window.
-func (b *Budget) slot() int64 {
+func (b *Budget) bucket() int64 {
 	now := b.Clock.Now()
-	if b.origin.IsZero() {
-		b.origin = now
+	if b.start.IsZero() {
+		b.start = now
 	}
-	return int64(now.Sub(b.origin) / (b.Window / buckets))
+	return int64(now.Sub(b.start) / (b.Window / bucketCount))
 }
 
-func (b *Budget) account(service string) *account {
+func (b *Budget) serviceCounts(service string) *serviceCounts {
 	if b.services == nil {
-		b.services = make(map[string]*account)
+		b.services = make(map[string]*serviceCounts)
 	}
 	a, ok := b.services[service]
 	if !ok {
-		a = &account{}
+		a = &serviceCounts{}
 		b.services[service] = a
 	}
 	return a
@@ -108,7 +108,7 @@
 func (b *Budget) CountRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.account(service).requests.add(b.slot())
+	b.serviceCounts(service).requests.add(b.bucket())
 }
 
 // Retry reports whether a request may be sent once more, and counts it if so.
@@ -116,12 +116,12 @@
 	boxes := max(b.BoxCount(), 1)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a := b.account(service)
-	slot := b.slot()
-	allowed := ratioPart*b.ratio*a.requests.sum(slot) + extraPart*b.extra/float64(boxes)
-	if a.retries.sum(slot)+1 > allowed {
+	a := b.serviceCounts(service)
+	bucket := b.bucket()
+	allowed := ratioShare*b.ratio*a.requests.sum(bucket) + extraShare*b.extra/float64(boxes)
+	if a.retries.sum(bucket)+1 > allowed {
 		return false
 	}
-	a.retries.add(slot)
+	a.retries.add(bucket)
 	return true
 }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -56,7 +56,7 @@
 }
 
 // count returns the events of a kind in a span of time.
-func count(events []event, retry bool, from, to time.Duration) (n int) {
+func countEvents(events []event, retry bool, from, to time.Duration) (n int) {
 	for _, e := range events {
 		if e.retry == retry && e.at >= from && e.at < to {
 			n++
@@ -67,7 +67,7 @@
 
 // draw makes requests and retries at random times and returns those that were
 // made.
-func draw(t *rapid.T) (events []event) {
+func drawEvents(t *rapid.T) (events []event) {
 	b, manual := newBudget(1)
 	now := time.Duration(0)
 	for range rapid.IntRange(1, 300).Draw(t, "events") {
@@ -87,12 +87,12 @@
 
 // TestBound checks, for any order of requests and retries over time, that no
 // window of any place holds more retries than all boxes together may make.
-func TestBound(t *testing.T) {
+func TestFleetBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		events := draw(t)
+		events := drawEvents(t)
 		for _, start := range events {
-			retries := count(events, true, start.at, start.at+window)
-			requests := count(events, false, start.at-window, start.at+window)
+			retries := countEvents(events, true, start.at, start.at+window)
+			requests := countEvents(events, false, start.at-window, start.at+window)
 			if float64(retries) > 0.2*float64(requests)+100 {
 				t.Fatalf("%d retries for %d requests", retries, requests)
 			}
