--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -12,13 +12,13 @@
 
 // stage writes its name before and after the stages that follow, or ends there.
 type stage struct {
-	name string
-	ends bool
+	name  string
+	stops bool
 }
 
 func (s stage) Run(ctx context.Context, x *strings.Builder, next pipeline.Next[*strings.Builder]) error {
 	x.WriteString(s.name)
-	if s.ends {
+	if s.stops {
 		return context.Canceled
 	}
 	err := next(ctx, x)
