--- a/internal/gossip/bench_internal_test.go
+++ b/internal/gossip/bench_internal_test.go
@@ -27,7 +27,7 @@
 			size := 0
 			for b.Loop() {
 				d := &gossipv1.Datagram{Box: "edge-cluj-hala1-1", Hall: "cluj-hala1", Incarnation: 1 << 60, Sequence: 5000, SentNs: 1 << 40, EchoNs: 1 << 40, HeldNs: 1 << 25, EchoIncarnation: 1 << 60, Topics: []*gossipv1.TopicState{{Changed: 300, ProofAgeNs: 1 << 30}, {Changed: 3000, ProofAgeNs: 1 << 30}}}
-				fill(d, s, time.Time{})
+				encodeSnapshot(d, s, time.Time{})
 				for i := range tc.members {
 					d.Members = append(d.Members, &gossipv1.Member{Box: fmt.Sprint("edge-cluj-hala1-", i), Addr: "10.1.0.40:8229", Sequence: 5000, Incarnation: 1 << 60})
 				}
@@ -39,7 +39,7 @@
 				if err := proto.Unmarshal(data, &back); err != nil {
 					b.Fatal(err)
 				}
-				snapshotOf(&back, time.Time{})
+				decodeSnapshot(&back, time.Time{})
 				size = len(data)
 			}
 			b.ReportMetric(float64(size), "B")
@@ -64,7 +64,7 @@
 			size := 0
 			for b.Loop() {
 				d := &gossipv1.Datagram{}
-				fill(d, s, now)
+				encodeSnapshot(d, s, now)
 				data, err := proto.Marshal(d)
 				if err != nil {
 					b.Fatal(err)
@@ -74,7 +74,7 @@
 					b.Fatal(err)
 				}
 				sum := balance.NewSnapshot()
-				sum.Add(snapshotOf(&back, now))
+				sum.Add(decodeSnapshot(&back, now))
 				size = len(data)
 			}
 			b.ReportMetric(float64(size), "B")
@@ -103,7 +103,7 @@
 			size := 0
 			for b.Loop() {
 				d := &gossipv1.Datagram{}
-				fill(d, s, now)
+				encodeSnapshot(d, s, now)
 				data, err := proto.Marshal(d)
 				if err != nil {
 					b.Fatal(err)
--- a/internal/gossip/changes.go
+++ b/internal/gossip/changes.go
@@ -19,7 +19,7 @@
 }
 
 // topics are the topics on the wire.
-var topics = map[barleystep.Topic]gossipv1.Topic{
+var wireTopics = map[barleystep.Topic]gossipv1.Topic{
 	barleystep.TopicConfiguration: gossipv1.Topic_TOPIC_CONFIGURATION,
 	barleystep.TopicTargets:       gossipv1.Topic_TOPIC_TARGETS,
 }
@@ -27,7 +27,7 @@
 // GetChanges returns what changed after a revision, or the code Unavailable if
 // nothing is known of the topic.
 func (s *Server) GetChanges(_ context.Context, r *connect.Request[gossipv1.GetChangesRequest]) (*connect.Response[gossipv1.GetChangesResponse], error) {
-	for topic, name := range topics {
+	for topic, name := range wireTopics {
 		f := s.Followers[topic]
 		if name != r.Msg.GetTopic() || f == nil {
 			continue
@@ -58,7 +58,7 @@
 // Changes returns what changed at the box with the address after the revision.
 func (c *Client) Changes(ctx context.Context, addr string, topic barleystep.Topic, since barleystep.Revision) (u follow.Update, err error) {
 	client := gossipv1connect.NewChangeServiceClient(c.HTTP, "http://"+addr)
-	resp, err := client.GetChanges(ctx, connect.NewRequest(&gossipv1.GetChangesRequest{Topic: topics[topic], Since: uint64(since)}))
+	resp, err := client.GetChanges(ctx, connect.NewRequest(&gossipv1.GetChangesRequest{Topic: wireTopics[topic], Since: uint64(since)}))
 	if err != nil {
 		return follow.Update{}, err
 	}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -52,17 +52,17 @@
 }
 
 // books is a balancer that has one piece of work and keeps what others have.
-type books struct {
+type fakeBalancer struct {
 	own    balance.Snapshot
 	others chan balance.Snapshot
 }
 
-func (b *books) Snapshot() balance.Snapshot { return b.own }
+func (b *fakeBalancer) Snapshot() balance.Snapshot { return b.own }
 
 // SetRole takes in what these tests have no use for.
-func (*books) SetRole(balance.Role) {}
+func (*fakeBalancer) SetRole(balance.Role) {}
 
-func (b *books) SetOthers(s balance.Snapshot) {
+func (b *fakeBalancer) SetOthers(s balance.Snapshot) {
 	select {
 	case b.others <- s:
 	default: // The test has seen enough.
@@ -70,40 +70,40 @@
 }
 
 // known is a topic with a proof of a fixed age.
-type known struct {
-	mu      sync.Mutex
-	changed barleystep.Revision
-	age     time.Duration
-	vouched chan time.Time
+type fakeTopic struct {
+	mu        sync.Mutex
+	changed   barleystep.Revision
+	age       time.Duration
+	confirmed chan time.Time
 }
 
-func (k *known) State() (barleystep.Revision, time.Duration) {
+func (k *fakeTopic) State() (barleystep.Revision, time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.changed, k.age
 }
 
-func (k *known) Confirm(at time.Time, _ barleystep.Revision) {
+func (k *fakeTopic) Confirm(at time.Time, _ barleystep.Revision) {
 	select {
-	case k.vouched <- at:
+	case k.confirmed <- at:
 	default: // The test has seen enough.
 	}
 }
 
-func (k *known) Offer(_ context.Context, _ string, changed barleystep.Revision) {
+func (k *fakeTopic) Offer(_ context.Context, _ string, changed barleystep.Revision) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.changed = max(k.changed, changed)
 }
 
 type box struct {
-	node  *gossip.Node
-	books *books
-	known *known
+	node     *gossip.Node
+	balancer *fakeBalancer
+	topic    *fakeTopic
 }
 
 // given holds the addresses that freeAddr has returned.
-var given sync.Map
+var usedAddrs sync.Map
 
 // freeAddr returns an address on loopback that is free for UDP. It never returns
 // one twice: the box that got it may not have bound it yet.
@@ -113,25 +113,25 @@
 		quicktest.Assert(t, err, quicktest.IsNil)
 		addr := l.LocalAddr().String()
 		l.Close()
-		if _, twice := given.LoadOrStore(addr, true); !twice {
+		if _, used := usedAddrs.LoadOrStore(addr, true); !used {
 			return addr
 		}
 	}
 }
 
-func start(t *testing.T, r *registry, name, hall string, target int, conf *known) *box {
+func startBox(t *testing.T, r *registry, name, hall string, target int, topic *fakeTopic) *box {
 	own := balance.NewSnapshot()
 	own.Work[balance.Key(target)] = balance.Work{Short: 1, Backlog: time.Millisecond}
 	own.Demands[1] = balance.Demand{Short: 0.5}
-	b := &box{books: &books{own: own, others: make(chan balance.Snapshot, 1000)}, known: conf}
+	b := &box{balancer: &fakeBalancer{own: own, others: make(chan balance.Snapshot, 1000)}, topic: topic}
 	b.node = &gossip.Node{
 		Clock:     clock.System{},
 		Box:       barleystep.BoxID(name),
 		Hall:      barleystep.HallID(hall),
 		Addr:      freeAddr(t),
 		Catalogue: r,
-		Topics:    []gossip.TopicFollower{conf},
-		Balancer:  b.books,
+		Topics:    []gossip.TopicFollower{topic},
+		Balancer:  b.balancer,
 		Log:       &log.Logger{Level: log.PanicLevel},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -150,8 +150,8 @@
 	return b
 }
 
-func newKnown(changed barleystep.Revision, age time.Duration) *known {
-	return &known{changed: changed, age: age, vouched: make(chan time.Time, 1000)}
+func newFakeTopic(changed barleystep.Revision, age time.Duration) *fakeTopic {
+	return &fakeTopic{changed: changed, age: age, confirmed: make(chan time.Time, 1000)}
 }
 
 // TestSums checks that each box learns the work of all others, and no more:
@@ -161,26 +161,26 @@
 	halls := []string{"one", "one", "one", "two", "two", "three"}
 	var boxes []*box
 	for i, hall := range halls {
-		boxes = append(boxes, start(t, r, "box-"+string(rune('a'+i)), hall, i+1, newKnown(1, -1)))
+		boxes = append(boxes, startBox(t, r, "box-"+string(rune('a'+i)), hall, i+1, newFakeTopic(1, -1)))
 	}
 	for i, b := range boxes {
 		want := balance.NewSnapshot()
 		for k, o := range boxes {
 			if k != i {
-				want.Add(o.books.own)
+				want.Add(o.balancer.own)
 			}
 		}
 		for equal := false; !equal; {
-			equal = same(<-b.books.others, want)
+			equal = equalWork(<-b.balancer.others, want)
 		}
 		for b.node.BoxCount() != len(halls) {
-			<-b.books.others
+			<-b.balancer.others
 		}
 	}
 }
 
 // same compares snapshots without their empty entries.
-func same(a, b balance.Snapshot) bool {
+func equalWork(a, b balance.Snapshot) bool {
 	trim := func(s balance.Snapshot) map[balance.Key]balance.Work {
 		out := make(map[balance.Key]balance.Work)
 		for k, w := range s.Work {
@@ -204,19 +204,19 @@
 
 // TestProof checks that a box that cannot reach the store gets the proof of one
 // that can, never younger than it is, and hears of its newer change.
-func TestProof(t *testing.T) {
+func TestConfirmation(t *testing.T) {
 	c := quicktest.New(t)
 	const age = 2 * time.Second
 	r := &registry{boxes: make(map[string][]byte)}
-	start(t, r, "well", "one", 1, newKnown(7, age))
-	cut := newKnown(3, -1)
-	start(t, r, "cut", "two", 2, cut)
+	startBox(t, r, "well", "one", 1, newFakeTopic(7, age))
+	cut := newFakeTopic(3, -1)
+	startBox(t, r, "cut", "two", 2, cut)
 	for range 20 {
-		at := <-cut.vouched
+		at := <-cut.confirmed
 		c.Assert(time.Since(at) >= age, quicktest.IsTrue)
 	}
 	for changed, _ := cut.State(); changed != 7; changed, _ = cut.State() {
-		<-cut.vouched
+		<-cut.confirmed
 	}
 }
 
@@ -227,22 +227,22 @@
 	r := &registry{boxes: make(map[string][]byte)}
 	var hall []*box
 	for i := range boxes {
-		hall = append(hall, start(t, r, fmt.Sprint("box-", i), "one", i+1, newKnown(7, 0)))
+		hall = append(hall, startBox(t, r, fmt.Sprint("box-", i), "one", i+1, newFakeTopic(7, 0)))
 	}
 	for _, b := range hall {
 		for range rounds {
-			<-b.known.vouched
+			<-b.topic.confirmed
 		}
 	}
 	// A busy machine may hold a box up for so long that another one takes over for
 	// a moment.
-	for collectors(hall) != 1 {
-		<-hall[0].known.vouched
+	for countCollectors(hall) != 1 {
+		<-hall[0].topic.confirmed
 	}
 }
 
 // collectors counts the boxes that hold themselves for the collector.
-func collectors(hall []*box) int {
+func countCollectors(hall []*box) int {
 	n := 0
 	for _, b := range hall {
 		if b.node.IsCollector() {
--- a/internal/gossip/incarnation_internal_test.go
+++ b/internal/gossip/incarnation_internal_test.go
@@ -18,25 +18,25 @@
 // does not take the place of what the box says now.
 func TestLateIncarnation(t *testing.T) {
 	const target = 3
-	said := func(incarnation, sequence uint64, light int) *datagram {
+	newDatagram := func(incarnation, sequence uint64, light int) *datagram {
 		d := &datagram{Box: "other", Hall: "h", Incarnation: incarnation, Sequence: sequence}
 		s := balance.NewSnapshot()
 		s.Work[target] = balance.Work{Short: light}
-		fill(d, s, time.Time{})
+		encodeSnapshot(d, s, time.Time{})
 		return d
 	}
 	cases := map[string]struct {
 		datagrams []*datagram
 		want      int
 	}{
-		"in order":               {[]*datagram{said(7, 5, 1), said(7, 6, 2)}, 2},
-		"late within a life":     {[]*datagram{said(7, 6, 2), said(7, 5, 1)}, 2},
-		"a new life":             {[]*datagram{said(7, 5, 1), said(9, 1, 2)}, 2},
-		"late of the old life":   {[]*datagram{said(7, 5, 1), said(9, 1, 2), said(7, 6, 3)}, 2},
-		"the new one goes on":    {[]*datagram{said(7, 5, 1), said(9, 1, 2), said(7, 6, 3), said(9, 2, 4)}, 4},
-		"doubled after that":     {[]*datagram{said(7, 5, 1), said(9, 2, 2), said(7, 6, 3), said(9, 1, 4)}, 2},
-		"a third life":           {[]*datagram{said(7, 5, 1), said(9, 1, 2), said(4, 1, 5), said(9, 2, 3)}, 5},
-		"two lives before, late": {[]*datagram{said(7, 5, 1), said(9, 1, 2), said(4, 1, 5), said(7, 9, 3)}, 5},
+		"in order":               {[]*datagram{newDatagram(7, 5, 1), newDatagram(7, 6, 2)}, 2},
+		"late within a life":     {[]*datagram{newDatagram(7, 6, 2), newDatagram(7, 5, 1)}, 2},
+		"a new life":             {[]*datagram{newDatagram(7, 5, 1), newDatagram(9, 1, 2)}, 2},
+		"late of the old life":   {[]*datagram{newDatagram(7, 5, 1), newDatagram(9, 1, 2), newDatagram(7, 6, 3)}, 2},
+		"the new one goes on":    {[]*datagram{newDatagram(7, 5, 1), newDatagram(9, 1, 2), newDatagram(7, 6, 3), newDatagram(9, 2, 4)}, 4},
+		"doubled after that":     {[]*datagram{newDatagram(7, 5, 1), newDatagram(9, 2, 2), newDatagram(7, 6, 3), newDatagram(9, 1, 4)}, 2},
+		"a third life":           {[]*datagram{newDatagram(7, 5, 1), newDatagram(9, 1, 2), newDatagram(4, 1, 5), newDatagram(9, 2, 3)}, 5},
+		"two lives before, late": {[]*datagram{newDatagram(7, 5, 1), newDatagram(9, 1, 2), newDatagram(4, 1, 5), newDatagram(7, 9, 3)}, 5},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gossip/member.go
+++ b/internal/gossip/member.go
@@ -19,20 +19,20 @@
 	strength    uint32
 	incarnation uint64
 	// former are the incarnations before, the last of which are kept.
-	former []uint64
+	pastIncarnations []uint64
 	// heard is when the last word of it came, named when a box that had heard it
 	// last said so, and added when it became known.
-	heard time.Time
-	named time.Time
-	added time.Time
+	lastHeard time.Time
+	lastNamed time.Time
+	addedAt   time.Time
 	// asked is since when it was asked for a word in vain, zero if it was not.
-	asked   time.Time
-	alive   bool // alive is set while it is heard of directly.
-	leaving bool
+	unansweredSince time.Time
+	alive           bool // alive is set while it is heard of directly.
+	leaving         bool
 	// peerSent and gotAt are its clock and ours at its last datagram.
-	peerSent int64
-	gotAt    time.Time
-	sequence uint64
+	peerSent   int64
+	receivedAt time.Time
+	sequence   uint64
 	// own is the box's own work, from its datagram ownSequence.
 	own         balance.Snapshot
 	ownAt       time.Time
@@ -50,40 +50,40 @@
 	leadAddr string
 	// summed and summedHall are when it last showed itself to be a collector, to its
 	// hall and to others.
-	summed     time.Time
-	summedHall time.Time
+	sumAt     time.Time
+	hallSumAt time.Time
 }
 
 // formerKept is how many earlier lives of a box are known: datagrams come seconds late at most,
 // in which no box starts as often.
-const formerKept = 4
+const maxPastIncarnations = 4
 
 // last returns when the box was last known to live.
-func (m *member) last() time.Time {
-	last := m.heard
-	if m.named.After(last) {
-		last = m.named
+func (m *member) lastSeen() time.Time {
+	last := m.lastHeard
+	if m.lastNamed.After(last) {
+		last = m.lastNamed
 	}
 	if last.IsZero() {
-		return m.added
+		return m.addedAt
 	}
 	return last
 }
 
 // presumed reports whether the box is taken to live: it was heard a moment ago, or
 // it was told of since and has not left a question unanswered.
-func (m *member) presumed(now time.Time) bool {
-	if now.Sub(m.heard) <= aliveFor {
+func (m *member) presumedAlive(now time.Time) bool {
+	if now.Sub(m.lastHeard) <= aliveTimeout {
 		return true
 	}
-	told := m.named
-	if m.heard.IsZero() && told.IsZero() {
-		told = m.added
+	named := m.lastNamed
+	if m.lastHeard.IsZero() && named.IsZero() {
+		named = m.addedAt
 	}
-	if told.Before(m.heard) || now.Sub(told) > namedFor {
+	if named.Before(m.lastHeard) || now.Sub(named) > namedTimeout {
 		return false
 	}
-	return m.asked.IsZero() || now.Sub(m.asked) <= answerWithin
+	return m.unansweredSince.IsZero() || now.Sub(m.unansweredSince) <= answerTimeout
 }
 
 // rank orders the boxes that may become collector or lead, in the same way on all
@@ -110,4 +110,4 @@
 func (r rank) before(o rank) bool { return r.compare(o) < 0 }
 
 // byRank compares members for sorting.
-func byRank(a, b *member) int { return a.rank().compare(b.rank()) }
+func compareRank(a, b *member) int { return a.rank().compare(b.rank()) }
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -84,15 +84,15 @@
 	collecting      bool
 	collectingSince time.Time
 	// met is when the first word of another box came.
-	met time.Time
+	firstHeard time.Time
 	// stepped is when the last tick came, and weakUntil until when this box holds
 	// itself for weak.
-	stepped   time.Time
-	weakUntil time.Time
+	lastStep     time.Time
+	penaltyUntil time.Time
 	// askWidth is how many boxes are asked at a time for the collector.
-	askWidth int
+	fanout int
 	// turn counts the sums that were sent to the own hall.
-	turn int
+	rotation int
 }
 
 const (
@@ -101,14 +101,14 @@
 	tick = 50 * time.Millisecond
 	// aliveFor is how long after its last datagram a box counts as alive, which
 	// allows for some lost ones.
-	aliveFor = 500 * time.Millisecond
+	aliveTimeout = 500 * time.Millisecond
 	// snapshotLife is how long a box's or hall's last work counts.
-	snapshotLife = 1200 * time.Millisecond
+	snapshotTTL = 1200 * time.Millisecond
 	// sentKept is how many of the own snapshots are kept: those that may be in a
 	// sum that is still on its way.
-	sentKept = 64
+	maxSent = 64
 	// datagramBytes bounds a datagram.
-	datagramBytes = 64 << 10
+	maxDatagramBytes = 64 << 10
 	// probeTicks is how many ticks pass between datagrams to boxes that are
 	// silent, so that a healed partition is noticed.
 	probeTicks = 20
@@ -121,47 +121,47 @@
 	// at longest every longestTurn ticks, so that neither its link nor its processor is
 	// filled. In the model, news of a hall of 59 boxes is 130 ms old at the median; with
 	// sums every five ticks it was 200 ms.
-	sumRoom     = 10_000
-	longestTurn = 5
+	maxSumEntries = 10_000
+	maxSumTicks   = 5
 	// heirs is how many boxes a collector names that would be the next ones. They get
 	// its sums at every tick, so that they know soon and surely whether it lives.
 	// namedInTurn is how many others it names each time, so that all are named within
 	// seconds.
-	heirs       = 3
-	namedInTurn = 3
+	successors      = 3
+	namedInRotation = 3
 	// namedFor is how long a box that was told of is taken to live without a word of
 	// its own, as long as it leaves no question unanswered for answerWithin, some
 	// times what an answer takes.
-	namedFor     = 15 * time.Second
-	answerWithin = 250 * time.Millisecond
+	namedTimeout  = 15 * time.Second
+	answerTimeout = 250 * time.Millisecond
 	// doubtAfter is how long after a sum a box asks others whether its collector
 	// lives: five sums of a small hall, and one of the largest.
-	doubtAfter = 250 * time.Millisecond
+	sumTimeout = 250 * time.Millisecond
 	// firstAsked is how many boxes are asked at first for the collector; every
 	// widenTicks it is twice as many, so that a hall that lost most of its boxes has
 	// a collector within two seconds.
-	firstAsked = 2
-	widenTicks = 5
+	initialFanout = 2
+	fanoutTicks   = 5
 	// startPatience is how long a box that starts, or the first of a hall, waits for
 	// word of a collector once it has heard anybody, and lonePatience how long while it
 	// hears nobody, with up to loneSpread more that part the boxes: after all lost
 	// their power the seeds may be stale, and the registry is read first. settleFor is
 	// how long a box waits before it takes the role from a collector.
-	startPatience = 300 * time.Millisecond
-	lonePatience  = 1500 * time.Millisecond
-	loneSpread    = time.Second
-	settleFor     = 2 * time.Second
+	startWait      = 300 * time.Millisecond
+	isolatedWait   = 1500 * time.Millisecond
+	isolatedJitter = time.Second
+	takeoverWait   = 2 * time.Second
 	// heldUp is the gap between ticks from which on a box counts as held up, and
 	// weakFor how long it then leaves roles to others: machines that turn slow do so
 	// for some seconds.
-	heldUp  = 300 * time.Millisecond
-	weakFor = 15 * time.Second
+	stallThreshold = 300 * time.Millisecond
+	stallPenalty   = 15 * time.Second
 	// forgetAfter is how long a box may be silent before it is forgotten; its
 	// record in the store is then removed too.
 	forgetAfter = 5 * time.Minute
 	// countedFor is how long a silent box still counts among the boxes: it may
 	// be cut off from this one and not from targets.
-	countedFor = 30 * time.Second
+	countTimeout = 30 * time.Second
 )
 
 const logPrefix = "gossip: "
@@ -188,21 +188,21 @@
 	if err != nil {
 		return err
 	}
-	n.begin(socket)
+	n.initialize(socket)
 	stop := context.AfterFunc(ctx, func() { _ = socket.Close() }) // This ends the reading below.
 	defer stop()
-	go n.announce(ctx)
+	go n.registerLoop(ctx)
 	go func() { _ = clock.Repeat(ctx, n.Clock, tick, n.step) }()
-	return n.read(ctx, socket)
+	return n.readDatagrams(ctx, socket)
 }
 
-func (n *Node) begin(socket barleystep.Socket) {
+func (n *Node) initialize(socket barleystep.Socket) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.socket = socket
 	n.origin = n.Clock.Now()
 	n.incarnation = rand.Uint64() | 1
-	n.askWidth = firstAsked
+	n.fanout = initialFanout
 	n.sent = make(map[uint64]balance.Snapshot)
 	if n.members == nil {
 		n.members = make(map[barleystep.BoxID]*member)
@@ -221,7 +221,7 @@
 func (n *Node) BoxCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.count(n.Clock.Now())
+	return n.boxCount(n.Clock.Now())
 }
 
 // HallBoxes returns how many boxes of the own hall live as far as is known, this
@@ -231,7 +231,7 @@
 	defer n.mu.Unlock()
 	now, boxes := n.Clock.Now(), 1
 	for _, m := range n.members {
-		if m.hall == n.Hall && now.Sub(m.last()) < countedFor {
+		if m.hall == n.Hall && now.Sub(m.lastSeen()) < countTimeout {
 			boxes++
 		}
 	}
@@ -240,32 +240,32 @@
 
 // count returns the most boxes that the box itself, its collector or the
 // collectors of all halls together know of.
-func (n *Node) count(now time.Time) int {
-	known, told, local := 1, 0, 1
+func (n *Node) boxCount(now time.Time) int {
+	known, reported, local := 1, 0, 1
 	halls := make(map[barleystep.HallID]int)
 	for _, m := range n.members {
-		if now.Sub(m.last()) >= countedFor {
+		if now.Sub(m.lastSeen()) >= countTimeout {
 			continue
 		}
 		known++
 		if m.hall == n.Hall {
 			local++
 		}
-		if now.Sub(m.allAt) < countedFor {
-			told = max(told, m.boxes)
+		if now.Sub(m.allAt) < countTimeout {
+			reported = max(reported, m.boxes)
 		}
-		if now.Sub(m.hallAt) < countedFor {
+		if now.Sub(m.hallAt) < countTimeout {
 			halls[m.hall] = max(halls[m.hall], m.hallBoxes)
 		}
 	}
 	for _, boxes := range halls {
 		local += boxes
 	}
-	return max(known, told, local)
+	return max(known, reported, local)
 }
 
-func (n *Node) read(ctx context.Context, socket barleystep.Socket) error {
-	buffer := make([]byte, datagramBytes)
+func (n *Node) readDatagrams(ctx context.Context, socket barleystep.Socket) error {
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		size, from, err := socket.ReadFrom(buffer)
 		if ctx.Err() != nil {
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -17,19 +17,19 @@
 func (n *Node) receive(ctx context.Context, d *datagram, from netip.AddrPort) {
 	now := n.Clock.Now()
 	n.mu.Lock()
-	m := n.hear(barleystep.BoxID(d.GetBox()), barleystep.HallID(d.GetHall()), from, d.GetIncarnation(), now)
+	m := n.updateMember(barleystep.BoxID(d.GetBox()), barleystep.HallID(d.GetHall()), from, d.GetIncarnation(), now)
 	if m == nil || d.GetSequence() <= m.sequence {
 		n.mu.Unlock()
 		return // It is our own, or came late or twice.
 	}
 	m.sequence = d.GetSequence()
-	m.peerSent, m.gotAt = d.GetSentNs(), now
+	m.peerSent, m.receivedAt = d.GetSentNs(), now
 	m.leaving, m.strength = d.GetLeaving(), d.GetStrength()
-	n.takeWork(m, d, now)
+	n.storeWork(m, d, now)
 	if d.GetAsks() {
 		n.answer(m, now)
 	}
-	proofs := n.proofs(d)
+	confirmedAt := n.confirmations(d)
 	n.mu.Unlock()
 	for i, state := range d.GetTopics() {
 		if i >= len(n.Topics) {
@@ -37,86 +37,86 @@
 		}
 		changed := barleystep.Revision(state.GetChanged())
 		n.Topics[i].Offer(ctx, from.String(), changed)
-		if !proofs[i].IsZero() {
-			n.Topics[i].Confirm(proofs[i], changed)
+		if !confirmedAt[i].IsZero() {
+			n.Topics[i].Confirm(confirmedAt[i], changed)
 		}
 	}
 }
 
 // hear notes that a box lives and returns what is known of it, nil for this box and for word
 // of a life that is over.
-func (n *Node) hear(box barleystep.BoxID, hall barleystep.HallID, addr netip.AddrPort, incarnation uint64, now time.Time) *member {
+func (n *Node) updateMember(box barleystep.BoxID, hall barleystep.HallID, addr netip.AddrPort, incarnation uint64, now time.Time) *member {
 	if box == n.Box {
 		return nil
 	}
 	m, ok := n.members[box]
 	if !ok {
-		m = &member{box: box, hall: hall, added: now}
+		m = &member{box: box, hall: hall, addedAt: now}
 		n.members[box] = m
 	}
-	if slices.Contains(m.former, incarnation) {
+	if slices.Contains(m.pastIncarnations, incarnation) {
 		return nil
 	}
 	if m.incarnation != incarnation {
 		// A new life counts its datagrams anew, on a clock of its own.
-		m.renounce()
+		m.retireIncarnation()
 		m.incarnation, m.sequence, m.peerSent = incarnation, 0, 0
 	}
 	m.hall, m.addr = hall, addr
-	n.revive(m, now)
+	n.markAlive(m, now)
 	return m
 }
 
 // renounce notes that the life of the member is over that was heard last: what still comes of
 // it came late.
-func (m *member) renounce() {
+func (m *member) retireIncarnation() {
 	if m.incarnation == 0 {
 		return
 	}
-	m.former = append(m.former, m.incarnation)
-	if len(m.former) > formerKept {
-		m.former = m.former[1:]
+	m.pastIncarnations = append(m.pastIncarnations, m.incarnation)
+	if len(m.pastIncarnations) > maxPastIncarnations {
+		m.pastIncarnations = m.pastIncarnations[1:]
 	}
 }
 
 // revive notes that a box was heard of directly.
-func (n *Node) revive(m *member, now time.Time) {
-	m.heard, m.asked = now, time.Time{}
-	if n.met.IsZero() {
-		n.met = now
+func (n *Node) markAlive(m *member, now time.Time) {
+	m.lastHeard, m.unansweredSince = now, time.Time{}
+	if n.firstHeard.IsZero() {
+		n.firstHeard = now
 	}
 	if m.alive {
 		return
 	}
 	m.alive = true
-	n.watched(log.InfoLevel).Str("box", string(m.box)).Str("hall", string(m.hall)).Str("addr", m.addr.String()).
+	n.memberEvent(log.InfoLevel).Str("box", string(m.box)).Str("hall", string(m.hall)).Str("addr", m.addr.String()).
 		Msg(logPrefix + "A box is alive.")
 }
 
 // takeWork keeps the work that the datagram tells of.
-func (n *Node) takeWork(m *member, d *datagram, now time.Time) {
-	s := snapshotOf(d, now)
+func (n *Node) storeWork(m *member, d *datagram, now time.Time) {
+	s := decodeSnapshot(d, now)
 	switch d.GetScope() {
 	case gossipv1.Scope_SCOPE_HALL:
 		m.hallWork, m.hallAt, m.hallBoxes = s, now, int(d.GetBoxes())
-		m.summedHall = now
-		n.hearOf(m, d, now)
+		m.hallSumAt = now
+		n.storeNamed(m, d, now)
 	case gossipv1.Scope_SCOPE_ALL:
-		n.takeOut(s, d)
-		m.allWork, m.allAt, m.summed = s, now, now
+		n.subtractOwn(s, d)
+		m.allWork, m.allAt, m.sumAt = s, now, now
 		m.boxes = int(d.GetBoxes())
 		m.leadAddr = d.GetLeadAddr()
-		n.hearOf(m, d, now)
+		n.storeNamed(m, d, now)
 	default:
 		m.own, m.ownAt, m.ownSequence = s, now, d.GetSequence()
-		n.hearOf(m, d, now)
+		n.storeNamed(m, d, now)
 		return
 	}
-	n.Balancer.SetOthers(n.others(now))
+	n.Balancer.SetOthers(n.othersWork(now))
 }
 
 // hearOf notes the boxes that another one says it has heard.
-func (n *Node) hearOf(from *member, d *datagram, now time.Time) {
+func (n *Node) storeNamed(from *member, d *datagram, now time.Time) {
 	for _, o := range d.GetMembers() {
 		addr, err := netip.ParseAddrPort(o.GetAddr())
 		box := barleystep.BoxID(o.GetBox())
@@ -125,25 +125,25 @@
 		}
 		m, ok := n.members[box]
 		if !ok {
-			m = &member{box: box, added: now}
+			m = &member{box: box, addedAt: now}
 			n.members[box] = m
 		}
-		if now.Sub(m.heard) <= aliveFor {
+		if now.Sub(m.lastHeard) <= aliveTimeout {
 			continue // What it says itself is newer.
 		}
 		m.hall, m.strength = from.hall, o.GetStrength()
 		if o.GetHall() != "" {
 			m.hall = barleystep.HallID(o.GetHall())
 		}
-		m.addr, m.named = addr, now
-		if now.Sub(m.asked) > answerWithin {
-			m.asked = time.Time{} // Somebody else heard it since.
+		m.addr, m.lastNamed = addr, now
+		if now.Sub(m.unansweredSince) > answerTimeout {
+			m.unansweredSince = time.Time{} // Somebody else heard it since.
 		}
 	}
 }
 
 // takeOut removes this box's own work, as it was merged, from its hall's.
-func (n *Node) takeOut(s balance.Snapshot, d *datagram) {
+func (n *Node) subtractOwn(s balance.Snapshot, d *datagram) {
 	for _, o := range d.GetMembers() {
 		if barleystep.BoxID(o.GetBox()) != n.Box || o.GetIncarnation() != n.incarnation {
 			continue
@@ -159,7 +159,7 @@
 // change, on this box's clock, zero if it does not say. The sender's statement
 // was made after this box's datagram that it echoes, by at least the time that it
 // held it.
-func (n *Node) proofs(d *datagram) []time.Time {
+func (n *Node) confirmations(d *datagram) []time.Time {
 	list := make([]time.Time, len(d.GetTopics()))
 	if d.GetEchoNs() == 0 || d.GetEchoIncarnation() != n.incarnation {
 		return list
@@ -175,28 +175,28 @@
 // others returns the work and demand of all other boxes: as the collector tells
 // it or, at the collector, from the reports of its hall and the other halls'
 // sums.
-func (n *Node) others(now time.Time) balance.Snapshot {
+func (n *Node) othersWork(now time.Time) balance.Snapshot {
 	total := balance.NewSnapshot()
 	if !n.collecting {
-		if c := n.told(now); c != nil {
+		if c := n.latestTotal(now); c != nil {
 			total.Add(c.allWork)
 		}
 		return total
 	}
 	n.addReports(total, now)
-	n.addHalls(total, now)
+	n.addHallSums(total, now)
 	return total
 }
 
 // told returns the box whose sum counts: the one that this box goes by or, between
 // two collectors, the one that sent the last.
-func (n *Node) told(now time.Time) *member {
-	if c := n.source(now); c != nil {
+func (n *Node) latestTotal(now time.Time) *member {
+	if c := n.currentCollector(now); c != nil {
 		return c
 	}
 	var last *member
 	for _, m := range n.members {
-		if m.hall == n.Hall && now.Sub(m.allAt) <= snapshotLife && (last == nil || m.allAt.After(last.allAt)) {
+		if m.hall == n.Hall && now.Sub(m.allAt) <= snapshotTTL && (last == nil || m.allAt.After(last.allAt)) {
 			last = m
 		}
 	}
@@ -204,10 +204,10 @@
 }
 
 // addHalls adds the last sums of the other halls.
-func (n *Node) addHalls(total balance.Snapshot, now time.Time) {
+func (n *Node) addHallSums(total balance.Snapshot, now time.Time) {
 	latest := make(map[barleystep.HallID]*member)
 	for _, m := range n.members {
-		if m.hall == n.Hall || now.Sub(m.hallAt) > snapshotLife {
+		if m.hall == n.Hall || now.Sub(m.hallAt) > snapshotTTL {
 			continue
 		}
 		if best := latest[m.hall]; best == nil || m.hallAt.After(best.hallAt) {
@@ -222,7 +222,7 @@
 // addReports adds the last reports of the hall's other boxes.
 func (n *Node) addReports(total balance.Snapshot, now time.Time) {
 	for _, m := range n.members {
-		if m.hall == n.Hall && now.Sub(m.ownAt) <= snapshotLife {
+		if m.hall == n.Hall && now.Sub(m.ownAt) <= snapshotTTL {
 			total.Add(m.own)
 		}
 	}
--- a/internal/gossip/registry_internal_test.go
+++ b/internal/gossip/registry_internal_test.go
@@ -16,32 +16,32 @@
 )
 
 // shelf is a registry in memory.
-type shelf struct {
+type fakeRegistry struct {
 	records   []barleystep.Record
 	published int
 }
 
-func (s *shelf) Fetch(context.Context, barleystep.Topic) (barleystep.Batch, error) {
+func (s *fakeRegistry) Fetch(context.Context, barleystep.Topic) (barleystep.Batch, error) {
 	return barleystep.NewBatch(s.records, 1), nil
 }
 
-func (*shelf) Watch(context.Context, barleystep.Topic, barleystep.Revision, time.Duration) (barleystep.Batch, error) {
+func (*fakeRegistry) Watch(context.Context, barleystep.Topic, barleystep.Revision, time.Duration) (barleystep.Batch, error) {
 	return barleystep.Batch{}, barleystep.ErrUnavailable
 }
 
-func (s *shelf) Publish(context.Context, barleystep.Topic, string, []byte) error {
+func (s *fakeRegistry) Publish(context.Context, barleystep.Topic, string, []byte) error {
 	s.published++
 	return nil
 }
 
-func (*shelf) Withdraw(context.Context, barleystep.Topic, string) error { return nil }
+func (*fakeRegistry) Withdraw(context.Context, barleystep.Topic, string) error { return nil }
 
 // TestRegisterForeign checks that records that no box wrote neither name a box, nor keep
 // this one from registering itself, nor fill the log, and that the others hold.
-func TestRegisterForeign(t *testing.T) {
-	var foreign []barleystep.Record
+func TestRegisterInvalidRecords(t *testing.T) {
+	var invalid []barleystep.Record
 	for i := range 50 {
-		foreign = append(foreign, barleystep.NewRecord(fmt.Sprint("f", i), []byte(`{"hall":"h","addr":7}`)))
+		invalid = append(invalid, barleystep.NewRecord(fmt.Sprint("f", i), []byte(`{"hall":"h","addr":7}`)))
 	}
 	other := barleystep.NewRecord("b1", []byte(`{"hall":"h","addr":"10.0.0.1:80"}`))
 	cases := map[string]struct {
@@ -51,8 +51,8 @@
 	}{
 		"nobody":                 {nil, 0, 0, 1},
 		"another box":            {[]barleystep.Record{other}, 1, 0, 0},
-		"foreign records":        {foreign, 0, 1, 1},
-		"foreign ones and a box": {append(foreign, other), 1, 1, 0},
+		"foreign records":        {invalid, 0, 1, 1},
+		"foreign ones and a box": {append(invalid, other), 1, 1, 0},
 		"this box under another's hand": {
 			[]barleystep.Record{barleystep.NewRecord("own", []byte(`{}`))}, 0, 1, 1,
 		},
@@ -61,7 +61,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			var out bytes.Buffer
-			store := &shelf{records: tc.records}
+			store := &fakeRegistry{records: tc.records}
 			n := &Node{
 				Clock: clock.NewManual(time.Unix(1000, 0)), Box: "own", Catalogue: store,
 				Log:     &log.Logger{Writer: log.IOWriter{Writer: &out}},
--- a/internal/gossip/send.go
+++ b/internal/gossip/send.go
@@ -21,42 +21,42 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.ticks++
-	n.rouse(now)
-	n.age(now)
+	n.detectStall(now)
+	n.detectSilent(now)
 	n.sequence++
-	n.remember(own)
-	n.choose(own, now)
+	n.recordSent(own)
+	n.updateRole(own, now)
 	if n.collecting {
-		n.distribute(own, now)
-	} else if c := n.source(now); c != nil {
+		n.distributeSums(own, now)
+	} else if c := n.currentCollector(now); c != nil {
 		n.send(n.report(own, now), now, c)
 	}
 	if n.collecting && n.ticks%probeTicks == 1 {
 		n.probe(own, now)
 	}
-	n.Balancer.SetOthers(n.others(now))
+	n.Balancer.SetOthers(n.othersWork(now))
 	n.Balancer.SetRole(n.role(now))
 }
 
-func (n *Node) remember(own balance.Snapshot) {
+func (n *Node) recordSent(own balance.Snapshot) {
 	n.sent[n.sequence] = own
-	delete(n.sent, n.sequence-sentKept)
+	delete(n.sent, n.sequence-maxSent)
 }
 
 // age notes which boxes have fallen silent.
-func (n *Node) age(now time.Time) {
+func (n *Node) detectSilent(now time.Time) {
 	for box, m := range n.members {
-		silent := now.Sub(m.last())
-		if m.alive && now.Sub(m.heard) > aliveFor {
+		silent := now.Sub(m.lastSeen())
+		if m.alive && now.Sub(m.lastHeard) > aliveTimeout {
 			m.alive = false
-			n.watched(log.WarnLevel).Str("box", string(box)).Dur("silent", silent).Msg(logPrefix + "A box is silent.")
+			n.memberEvent(log.WarnLevel).Str("box", string(box)).Dur("silent", silent).Msg(logPrefix + "A box is silent.")
 		}
 		if silent <= forgetAfter {
 			continue
 		}
 		delete(n.members, box)
 		if n.collecting && m.hall == n.Hall {
-			go n.withdraw(box)
+			go n.removeRecord(box)
 		}
 	}
 }
@@ -64,7 +64,7 @@
 // watched begins a line on another box's life: for the log of a collector, which
 // hears its whole hall, and for debugging elsewhere, where boxes are heard now and
 // then only.
-func (n *Node) watched(level log.Level) *log.Entry {
+func (n *Node) memberEvent(level log.Level) *log.Entry {
 	if n.collecting {
 		return n.Log.WithLevel(level)
 	}
@@ -73,13 +73,13 @@
 
 func (n *Node) report(own balance.Snapshot, now time.Time) *datagram {
 	d := n.datagram(now)
-	fill(d, own, now)
+	encodeSnapshot(d, own, now)
 	return d
 }
 
 // distribute sends the sum of the hall to the other halls, and that of all halls
 // to its own boxes.
-func (n *Node) distribute(own balance.Snapshot, now time.Time) {
+func (n *Node) distributeSums(own balance.Snapshot, now time.Time) {
 	sum := balance.NewSnapshot()
 	sum.Add(own)
 	n.addReports(sum, now)
@@ -87,56 +87,56 @@
 	d.Scope = gossipv1.Scope_SCOPE_HALL
 	members := n.hallMembers(now)
 	d.Boxes = int32(len(members) + 1)
-	fill(d, sum, now)
-	n.tellHalls(d, now)
-	n.addHalls(sum, now)
+	encodeSnapshot(d, sum, now)
+	n.sendHallSum(d, now)
+	n.addHallSums(sum, now)
 	d = n.datagram(now)
 	d.Scope = gossipv1.Scope_SCOPE_ALL
-	d.Boxes = int32(n.count(now))
+	d.Boxes = int32(n.boxCount(now))
 	d.LeadAddr = n.leadAddr(now)
-	fill(d, sum, now)
-	n.tellHall(d, members, now)
+	encodeSnapshot(d, sum, now)
+	n.sendTotal(d, members, now)
 }
 
 // tellHalls sends the hall's sum to the collectors of the other halls, and asks for
 // them where none is known. Now and then it names the collectors to each other: halls
 // without a seed would not meet otherwise.
-func (n *Node) tellHalls(d *datagram, now time.Time) {
+func (n *Node) sendHallSum(d *datagram, now time.Time) {
 	if n.ticks%probeTicks == 0 {
 		d.Members = n.otherCollectors(now)
 	}
-	for _, hall := range n.halls() {
+	for _, hall := range n.otherHalls() {
 		d.Asks = false
 		if m := n.collectorOf(hall, now); m != nil {
 			n.send(d, now, m)
 			continue
 		}
 		d.Asks = true
-		m := n.first(func(m *member) bool { return m.hall == hall && m.presumed(now) })
+		m := n.best(func(m *member) bool { return m.hall == hall && m.presumedAlive(now) })
 		if m != nil {
-			n.question(d, now, m)
+			n.query(d, now, m)
 		}
 	}
 }
 
 // tellHall sends the sum of all halls to the own hall's boxes: to the next
 // collectors at every tick, to all others in their turn.
-func (n *Node) tellHall(d *datagram, members []*gossipv1.Member, now time.Time) {
-	turn := n.ticks%turnTicks(len(members), len(d.GetWork())) == 0
-	if turn {
-		n.turn++
+func (n *Node) sendTotal(d *datagram, members []*gossipv1.Member, now time.Time) {
+	due := n.ticks%sumIntervalTicks(len(members), len(d.GetWork())) == 0
+	if due {
+		n.rotation++
 	}
 	others := n.otherCollectors(now)
 	for _, m := range n.members {
 		if m.hall != n.Hall || !m.alive {
 			continue
 		}
-		next := isNamed(members[:min(heirs, len(members))], m.box)
-		if !turn && !next {
+		isSuccessor := containsBox(members[:min(successors, len(members))], m.box)
+		if !due && !isSuccessor {
 			continue
 		}
-		d.Members = n.named(members, m.box)
-		if next {
+		d.Members = n.namedMembers(members, m.box)
+		if isSuccessor {
 			d.Members = append(d.Members, others...)
 		}
 		n.send(d, now, m)
@@ -146,20 +146,20 @@
 // otherCollectors lists the collectors of the other halls.
 func (n *Node) otherCollectors(now time.Time) []*gossipv1.Member {
 	var list []*gossipv1.Member
-	for _, hall := range n.halls() {
+	for _, hall := range n.otherHalls() {
 		if m := n.collectorOf(hall, now); m != nil {
-			list = append(list, m.wire())
+			list = append(list, m.toProto())
 		}
 	}
 	return list
 }
 
-func isNamed(members []*gossipv1.Member, box barleystep.BoxID) bool {
+func containsBox(members []*gossipv1.Member, box barleystep.BoxID) bool {
 	return slices.ContainsFunc(members, func(m *gossipv1.Member) bool { return m.GetBox() == string(box) })
 }
 
 // wire returns the member as it is named to others.
-func (m *member) wire() *gossipv1.Member {
+func (m *member) toProto() *gossipv1.Member {
 	return &gossipv1.Member{
 		Box:         string(m.box),
 		Hall:        string(m.hall),
@@ -174,41 +174,41 @@
 // collector.
 func (n *Node) answer(m *member, now time.Time) {
 	d := n.datagram(now)
-	for _, o := range n.hallFirst(m.hall, now) {
+	for _, o := range n.hallCandidates(m.hall, now) {
 		if o != m {
-			d.Members = append(d.Members, o.wire())
+			d.Members = append(d.Members, o.toProto())
 		}
 	}
-	if c := n.source(now); c != nil && c != m && now.Sub(c.summed) <= doubtAfter {
-		d.Members = append(d.Members, c.wire())
+	if c := n.currentCollector(now); c != nil && c != m && now.Sub(c.sumAt) <= sumTimeout {
+		d.Members = append(d.Members, c.toProto())
 	}
 	n.send(d, now, m)
 }
 
 // hallFirst returns the first boxes of a hall that were heard a moment ago.
-func (n *Node) hallFirst(hall barleystep.HallID, now time.Time) []*member {
+func (n *Node) hallCandidates(hall barleystep.HallID, now time.Time) []*member {
 	var list []*member
 	for _, m := range n.members {
-		if m.hall == hall && !m.leaving && now.Sub(m.heard) <= doubtAfter {
+		if m.hall == hall && !m.leaving && now.Sub(m.lastHeard) <= sumTimeout {
 			list = append(list, m)
 		}
 	}
-	slices.SortFunc(list, byRank)
-	return list[:min(heirs, len(list))]
+	slices.SortFunc(list, compareRank)
+	return list[:min(successors, len(list))]
 }
 
 // turnTicks returns every how many ticks a sum over so many targets is sent to so many
 // boxes.
-func turnTicks(boxes, targets int) int { return min(1+boxes*targets/sumRoom, longestTurn) }
+func sumIntervalTicks(boxes, targets int) int { return min(1+boxes*targets/maxSumEntries, maxSumTicks) }
 
 // named returns the boxes of which a receiver is told: itself, whose work it takes
 // out of the sum, the next collectors, and some others in turn.
-func (n *Node) named(members []*gossipv1.Member, receiver barleystep.BoxID) []*gossipv1.Member {
-	list := slices.Clone(members[:min(heirs, len(members))])
+func (n *Node) namedMembers(members []*gossipv1.Member, receiver barleystep.BoxID) []*gossipv1.Member {
+	list := slices.Clone(members[:min(successors, len(members))])
 	rest := members[len(list):]
 	for i, m := range rest {
-		next := n.turn * namedInTurn % len(rest)
-		inTurn := (i-next+len(rest))%len(rest) < namedInTurn
+		next := n.rotation * namedInRotation % len(rest)
+		inTurn := (i-next+len(rest))%len(rest) < namedInRotation
 		if inTurn || m.GetBox() == string(receiver) {
 			list = append(list, m)
 		}
@@ -217,7 +217,7 @@
 }
 
 // halls returns the other halls.
-func (n *Node) halls() []barleystep.HallID {
+func (n *Node) otherHalls() []barleystep.HallID {
 	var halls []barleystep.HallID
 	for _, m := range n.members {
 		if m.hall != n.Hall && !slices.Contains(halls, m.hall) {
@@ -233,14 +233,14 @@
 func (n *Node) hallMembers(now time.Time) []*gossipv1.Member {
 	var heard []*member
 	for _, m := range n.members {
-		if m.hall == n.Hall && now.Sub(m.heard) <= aliveFor {
+		if m.hall == n.Hall && now.Sub(m.lastHeard) <= aliveTimeout {
 			heard = append(heard, m)
 		}
 	}
-	slices.SortFunc(heard, byRank)
+	slices.SortFunc(heard, compareRank)
 	list := make([]*gossipv1.Member, len(heard))
 	for i, m := range heard {
-		list[i] = m.wire()
+		list[i] = m.toProto()
 		list[i].Hall = "" // It is the sender's own.
 	}
 	return list
@@ -257,15 +257,15 @@
 			n.send(d, now, m)
 		}
 	}
-	n.askSeeds(d, now)
+	n.querySeeds(d, now)
 }
 
 // askSeeds asks the seeds; a collector leaves out the boxes that it knows, which it
 // probes itself.
-func (n *Node) askSeeds(d *datagram, now time.Time) {
+func (n *Node) querySeeds(d *datagram, now time.Time) {
 	known := make(map[netip.AddrPort]bool)
 	for _, m := range n.members {
-		known[m.addr] = n.collecting || now.Sub(m.heard) <= aliveFor
+		known[m.addr] = n.collecting || now.Sub(m.lastHeard) <= aliveTimeout
 	}
 	for _, seed := range n.Seeds {
 		addr, err := netip.ParseAddrPort(seed)
@@ -284,7 +284,7 @@
 		Incarnation: n.incarnation,
 		Sequence:    n.sequence,
 		Leaving:     n.leaving,
-		Strength:    n.strength(now),
+		Strength:    n.currentStrength(now),
 	}
 }
 
@@ -301,7 +301,7 @@
 	}
 	d.EchoNs, d.HeldNs, d.EchoIncarnation = 0, 0, 0
 	if m.peerSent != 0 {
-		d.EchoNs, d.HeldNs, d.EchoIncarnation = m.peerSent, int64(now.Sub(m.gotAt)), m.incarnation
+		d.EchoNs, d.HeldNs, d.EchoIncarnation = m.peerSent, int64(now.Sub(m.receivedAt)), m.incarnation
 	}
 	n.write(d, m.addr)
 }
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -16,7 +16,7 @@
 const perMilli = 1000
 
 // fill writes a snapshot into a datagram.
-func fill(d *datagram, s balance.Snapshot, now time.Time) {
+func encodeSnapshot(d *datagram, s balance.Snapshot, now time.Time) {
 	for key, w := range s.Work {
 		if w == (balance.Work{}) {
 			continue
@@ -39,14 +39,14 @@
 			HeavyMilli: int32(demand.Long * perMilli),
 		})
 	}
-	fillSuspects(d, s.Suspects, now)
+	encodeSuspects(d, s.Suspects, now)
 	for key, said := range s.Statements {
-		d.Statements = append(d.Statements, statement(key, said, now))
+		d.Statements = append(d.Statements, encodeStatement(key, said, now))
 	}
 }
 
 // statement writes what a target has said of itself.
-func statement(key balance.Key, said balance.TimedStatement, now time.Time) *gossipv1.TargetStatement {
+func encodeStatement(key balance.Key, said balance.TimedStatement, now time.Time) *gossipv1.TargetStatement {
 	w := &gossipv1.TargetStatement{Target: uint32(key)}
 	if l := said.Limit; !l.At.IsZero() {
 		w.Limit = &gossipv1.LimitWord{Named: l.Value.IsSet(), PerSecond: l.Value.PerSecond(), AgeUs: now.Sub(l.At).Microseconds()}
@@ -64,7 +64,7 @@
 }
 
 // saidIn reads what a target has said of itself.
-func saidIn(w *gossipv1.TargetStatement, now time.Time) (said balance.TimedStatement) {
+func decodeStatement(w *gossipv1.TargetStatement, now time.Time) (said balance.TimedStatement) {
 	if l := w.GetLimit(); l != nil {
 		said.Limit.At = ago(now, l.GetAgeUs())
 		if l.GetNamed() {
@@ -87,7 +87,7 @@
 func ago(now time.Time, us int64) time.Time { return now.Add(-time.Duration(us) * time.Microsecond) }
 
 // fillSuspects writes what is known of suspects into a datagram.
-func fillSuspects(d *datagram, known map[suspect.Digest]suspect.Evidence, now time.Time) {
+func encodeSuspects(d *datagram, known map[suspect.Digest]suspect.Evidence, now time.Time) {
 	for digest, e := range known {
 		s := &gossipv1.Suspect{Digest: digest[:], Size: int64(e.BodySize())}
 		if !e.LastSuccess().IsZero() {
@@ -109,7 +109,7 @@
 }
 
 // suspectsOf reads what is known of suspects out of a datagram that has come now.
-func suspectsOf(d *datagram, now time.Time) map[suspect.Digest]suspect.Evidence {
+func decodeSuspects(d *datagram, now time.Time) map[suspect.Digest]suspect.Evidence {
 	known := make(map[suspect.Digest]suspect.Evidence)
 	for _, s := range d.GetSuspects() {
 		digest, ok := suspect.DigestFromBytes(s.GetDigest())
@@ -118,7 +118,7 @@
 		}
 		var ends []suspect.End
 		for _, end := range s.GetEnds() {
-			ends = append(ends, suspect.NewEnd(end.GetTarget(), ago(now, end.GetAgeUs()), marksOf(end)))
+			ends = append(ends, suspect.NewEnd(end.GetTarget(), ago(now, end.GetAgeUs()), decodeMarks(end)))
 		}
 		var cleared, begun time.Time
 		if s.GetCleared() {
@@ -133,7 +133,7 @@
 }
 
 // marksOf reads how a request ran at a target that ended.
-func marksOf(end *gossipv1.TargetEnd) (marks suspect.EndFlags) {
+func decodeMarks(end *gossipv1.TargetEnd) (marks suspect.EndFlags) {
 	if end.GetUnread() {
 		marks |= suspect.BeforeFirstEvent
 	}
@@ -144,7 +144,7 @@
 }
 
 // snapshotOf reads a snapshot out of a datagram that has come now.
-func snapshotOf(d *datagram, now time.Time) balance.Snapshot {
+func decodeSnapshot(d *datagram, now time.Time) balance.Snapshot {
 	s := balance.NewSnapshot()
 	for _, w := range d.GetWork() {
 		s.Work[balance.Key(w.GetTarget())] = balance.Work{
@@ -163,9 +163,9 @@
 			Long:  float64(demand.GetHeavyMilli()) / perMilli,
 		}
 	}
-	s.Suspects = suspectsOf(d, now)
+	s.Suspects = decodeSuspects(d, now)
 	for _, w := range d.GetStatements() {
-		s.Statements[balance.Key(w.GetTarget())] = saidIn(w, now)
+		s.Statements[balance.Key(w.GetTarget())] = decodeStatement(w, now)
 	}
 	return s
 }
