--- a/internal/follow/calls.go
+++ b/internal/follow/calls.go
@@ -11,17 +11,17 @@
 }
 
 // callKinds is one count for each duty and outcome.
-type callKinds [RolePassive + 1][2]int64
+type callCounts [RolePassive + 1][2]int64
 
 // count notes a call.
-func (f *Follower) count(d ReaderRole, err error) {
+func (f *Follower) countCall(role ReaderRole, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	failed := 0
 	if err != nil {
 		failed = 1
 	}
-	f.calls[d][failed]++
+	f.calls[role][failed]++
 }
 
 // Calls returns how many calls to the store were made, by reason and outcome.
--- a/internal/follow/feed.go
+++ b/internal/follow/changelog.go
@@ -17,13 +17,13 @@
 
 // feed is a copy of a topic that remembers when each record changed. Its zero
 // value holds nothing.
-type feed struct {
+type changeLog struct {
 	entries map[string]entry
 	removed map[string]barleystep.Revision
 	// floor is the revision from which on all changes are known.
-	floor barleystep.Revision
+	completeSince barleystep.Revision
 	// changed is the revision of the last change.
-	changed barleystep.Revision
+	lastChange barleystep.Revision
 }
 
 type entry struct {
@@ -33,18 +33,18 @@
 
 // removalsKept bounds the removals that are remembered: some minutes of targets
 // that come and go.
-const removalsKept = 1024
+const maxRemovals = 1024
 
-func (f *feed) reset(records []barleystep.Record, revision barleystep.Revision) {
+func (f *changeLog) reset(records []barleystep.Record, revision barleystep.Revision) {
 	f.entries = make(map[string]entry, len(records))
 	for _, r := range records {
 		f.entries[r.Key()] = entry{r, revision}
 	}
 	f.removed = make(map[string]barleystep.Revision)
-	f.floor, f.changed = revision, revision
+	f.completeSince, f.lastChange = revision, revision
 }
 
-func (f *feed) apply(records []barleystep.Record, revision barleystep.Revision) {
+func (f *changeLog) apply(records []barleystep.Record, revision barleystep.Revision) {
 	for _, r := range records {
 		if r.Removed() {
 			delete(f.entries, r.Key())
@@ -53,17 +53,17 @@
 			delete(f.removed, r.Key())
 			f.entries[r.Key()] = entry{r, revision}
 		}
-		f.changed = revision
+		f.lastChange = revision
 	}
-	if len(f.removed) > removalsKept {
+	if len(f.removed) > maxRemovals {
 		clear(f.removed)
-		f.floor = revision
+		f.completeSince = revision
 	}
 }
 
 // since returns what changed after the revision.
-func (f *feed) since(revision, now barleystep.Revision) Update {
-	u := Update{Full: revision < f.floor, Revision: now}
+func (f *changeLog) since(revision, now barleystep.Revision) Update {
+	u := Update{Full: revision < f.completeSince, Revision: now}
 	for _, key := range slices.Sorted(maps.Keys(f.entries)) {
 		if e := f.entries[key]; u.Full || e.revision > revision {
 			u.Records = append(u.Records, e.record)
--- a/internal/follow/configuration.go
+++ b/internal/follow/configuration.go
@@ -20,14 +20,14 @@
 	Decode func(value []byte) (fleet.Configuration, error)
 	Log    *log.Logger
 
-	view  atomic.Pointer[fleet.View]
-	proof atomic.Int64 // proof is when the last proof was asked for, in nanoseconds after origin.
+	view      atomic.Pointer[fleet.View]
+	confirmed atomic.Int64 // proof is when the last proof was asked for, in nanoseconds after origin.
 
 	mu     sync.Mutex
 	origin time.Time
 	// refused is set while the newest version cannot be used, so that nothing
 	// proves that keys are current.
-	refused bool
+	invalid bool
 	// refusals counts what cannot be used.
 	refusals refusals
 }
@@ -56,30 +56,30 @@
 	if origin.IsZero() {
 		return -1
 	}
-	return c.Clock.Now().Sub(origin) - time.Duration(c.proof.Load())
+	return c.Clock.Now().Sub(origin) - time.Duration(c.confirmed.Load())
 }
 
-func (c *Configuration) prove(at time.Time) {
+func (c *Configuration) recordConfirmation(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.refused {
+	if c.invalid {
 		return
 	}
 	if c.origin.IsZero() {
 		c.origin = at
 	}
-	if since := int64(at.Sub(c.origin)); since > c.proof.Load() {
-		c.proof.Store(since)
+	if since := int64(at.Sub(c.origin)); since > c.confirmed.Load() {
+		c.confirmed.Store(since)
 	}
 }
 
 // apply puts an encoded configuration in force unless it is older than the one
 // in force. One that cannot be read leaves the last good one in force.
-func (c *Configuration) apply(value []byte) {
+func (c *Configuration) install(value []byte) {
 	decoded, err := c.Decode(value)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.refused = err != nil
+	c.invalid = err != nil
 	if err != nil {
 		if line := c.refusals.add(recordName, err, c.Clock.Now(), c.Log); line != nil {
 			line.Msg(logPrefix + "A configuration was refused. The last good one stays in force.")
@@ -107,16 +107,16 @@
 // one that cannot be read proves nothing about keys.
 func (c *Configuration) Apply(r barleystep.Record) {
 	if r.Removed() {
-		c.removed()
+		c.handleRemoval()
 		return
 	}
-	c.apply(r.Value())
+	c.install(r.Value())
 }
 
 // errRemoved is why there is no configuration to read.
 var errRemoved = strict.Errorf(strict.ReasonMissing, "the record was removed")
 
-func (c *Configuration) removed() {
+func (c *Configuration) handleRemoval() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if line := c.refusals.add(recordName, errRemoved, c.Clock.Now(), c.Log); line != nil {
@@ -129,13 +129,13 @@
 func (c *Configuration) RefusalCounts() []RefusalCount {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.refusals.list()
+	return c.refusals.byReason()
 }
 
 // Proved is part of Handler.
-func (c *Configuration) Confirmed(asked time.Time, _ barleystep.Revision) {
+func (c *Configuration) Confirmed(requestedAt time.Time, _ barleystep.Revision) {
 	if c.view.Load() != nil {
-		c.prove(asked)
+		c.recordConfirmation(requestedAt)
 	}
 }
 
--- a/internal/follow/configuration_test.go
+++ b/internal/follow/configuration_test.go
@@ -34,7 +34,7 @@
 
 // TestNeverBack checks that no source brings back an older version, and that one
 // that cannot be read leaves the last good one in force.
-func TestNeverBack(t *testing.T) {
+func TestNoRollback(t *testing.T) {
 	cases := map[string]struct {
 		values []string
 		want   int64
@@ -78,7 +78,7 @@
 
 // TestUnreadableProvesNothing checks that keys are not taken for current while
 // the newest version cannot be read.
-func TestUnreadableProvesNothing(t *testing.T) {
+func TestUnreadableConfirmsNothing(t *testing.T) {
 	c := quicktest.New(t)
 	conf, manual := newConfiguration()
 	conf.Apply(record("1"))
--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -27,7 +27,7 @@
 	Apply(record barleystep.Record)
 	// Proved is told that what is known includes all that was acknowledged before
 	// asked.
-	Confirmed(asked time.Time, revision barleystep.Revision)
+	Confirmed(requestedAt time.Time, revision barleystep.Revision)
 	// Lost is told that the store cannot be read, with the time of the first
 	// failure in a row.
 	Unavailable(since time.Time)
@@ -61,45 +61,45 @@
 	Peers Peers
 
 	mu       sync.Mutex
-	known    bool
+	loaded   bool
 	revision barleystep.Revision
-	feed     feed
+	changes  changeLog
 	// proved is the time before which no change was missed.
-	proved  time.Time
-	pulling bool // pulling is set while a change is read from another box.
-	relying bool // relying is set while others read the store for this box.
+	confirmedAt time.Time
+	pulling     bool // pulling is set while a change is read from another box.
+	relying     bool // relying is set while others read the store for this box.
 
-	failing  time.Time
-	failures int
-	calls    callKinds
+	failingSince time.Time
+	failures     int
+	calls        callCounts
 }
 
 const (
 	// firstPause is the wait after a first failed call; it doubles up to
 	// longestPause. Calls are priced even when they are refused, and the first
 	// answer after an outage should not come later than this.
-	firstPause   = 50 * time.Millisecond
-	longestPause = 400 * time.Millisecond
+	minRetryPause = 50 * time.Millisecond
+	maxRetryPause = 400 * time.Millisecond
 	// changePause is the wait after an answer with changes: more of them often come
 	// soon after, and are then read by one call. It is little against the two seconds
 	// in which a change must be in force.
-	changePause = 100 * time.Millisecond
+	batchDelay = 100 * time.Millisecond
 	// relayLook is how often a box that relies on others looks at the age of their
 	// proof.
-	relayLook = 100 * time.Millisecond
+	ageCheckInterval = 100 * time.Millisecond
 	// pullPause is the least time between two updates from other boxes, so that
 	// changes in quick succession come together.
-	pullPause = 150 * time.Millisecond
+	minPullInterval = 150 * time.Millisecond
 	// pullTimeout bounds the call to another box.
 	pullTimeout = time.Second
 	// defaultWithin is Within where none is set.
-	defaultWithin = 2 * time.Second
+	defaultMaxDelay = 2 * time.Second
 )
 
 const logPrefix = "follow: "
 
 // errBehind means that the whole topic was read as it was before what this box knows.
-var errBehind = eris.New("follow: the store answers with less than was read before")
+var errStaleSnapshot = eris.New("follow: the store answers with less than was read before")
 
 // String names the follower in the supervisor's lines.
 func (f *Follower) String() string { return "follower of " + f.Topic.String() }
@@ -107,18 +107,18 @@
 // Serve reads until ctx ends.
 func (f *Follower) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if f.relies() {
-			clock.Sleep(ctx, f.Clock, relayLook)
+		if f.reliesOnOthers() {
+			clock.Sleep(ctx, f.Clock, ageCheckInterval)
 			continue
 		}
-		asked := f.Clock.Now()
-		duty := f.duty()
-		changed, err := f.step(ctx, asked, f.wait())
-		f.count(duty, err)
+		requestedAt := f.Clock.Now()
+		role := f.role()
+		changed, err := f.step(ctx, requestedAt, f.callWait())
+		f.countCall(role, err)
 		if err == nil {
-			f.recovered()
+			f.handleRecovery()
 			if changed {
-				clock.Sleep(ctx, f.Clock, changePause)
+				clock.Sleep(ctx, f.Clock, batchDelay)
 			}
 			continue
 		}
@@ -126,11 +126,11 @@
 			break
 		}
 		if eris.Is(err, barleystep.ErrHistoryLost) {
-			f.forget()
+			f.invalidate()
 			continue
 		}
-		f.failed(asked, err)
-		clock.Sleep(ctx, f.Clock, f.pause())
+		f.handleFailure(requestedAt, err)
+		clock.Sleep(ctx, f.Clock, f.retryPause())
 	}
 	return ctx.Err()
 }
@@ -138,14 +138,14 @@
 // relies reports whether this box leaves the reading to others, and logs when
 // that changes. A box that starts reads at once: callers who waited for it to come back
 // are refused meanwhile, which costs them a try; 300 boxes make 600 calls of it.
-func (f *Follower) relies() bool {
-	duty := f.duty()
+func (f *Follower) reliesOnOthers() bool {
+	role := f.role()
 	age := f.Age()
 	_, known := f.position()
-	relies := duty != RoleReader && known && age >= 0 && age < f.limit(duty)
+	relies := role != RoleReader && known && age >= 0 && age < f.maxAge(role)
 	if relies != f.relying {
 		f.relying = relies
-		f.Log.Info().Str("topic", f.Topic.String()).Str("duty", duty.String()).Bool("relies_on_others", relies).
+		f.Log.Info().Str("topic", f.Topic.String()).Str("duty", role.String()).Bool("relies_on_others", relies).
 			Dur("age", age).Msg(logPrefix + "The source of changes is another one now.")
 	}
 	return relies
@@ -156,14 +156,14 @@
 func (f *Follower) Age() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.age()
+	return f.confirmationAge()
 }
 
-func (f *Follower) age() time.Duration {
-	if f.proved.IsZero() {
+func (f *Follower) confirmationAge() time.Duration {
+	if f.confirmedAt.IsZero() {
 		return -1
 	}
-	return f.Clock.Now().Sub(f.proved)
+	return f.Clock.Now().Sub(f.confirmedAt)
 }
 
 // State returns the revision of the last change, zero if nothing is known, and
@@ -171,7 +171,7 @@
 func (f *Follower) State() (changed barleystep.Revision, age time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.feed.changed, f.age()
+	return f.changes.lastChange, f.confirmationAge()
 }
 
 // Since returns what changed after the revision; ok is false if nothing is
@@ -179,7 +179,7 @@
 func (f *Follower) ChangesSince(revision barleystep.Revision) (u Update, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.feed.since(revision, f.revision), f.known
+	return f.changes.since(revision, f.revision), f.loaded
 }
 
 // Vouch notes that a box whose last change has the given revision had missed
@@ -187,8 +187,8 @@
 func (f *Follower) Confirm(at time.Time, changed barleystep.Revision) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.known && changed != 0 && changed <= f.revision {
-		f.prove(at)
+	if f.loaded && changed != 0 && changed <= f.revision {
+		f.recordConfirmation(at)
 	}
 }
 
@@ -197,13 +197,13 @@
 func (f *Follower) Offer(ctx context.Context, addr string, changed barleystep.Revision) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.pulling || f.Peers == nil || changed == 0 || (f.known && changed <= f.revision) {
+	if f.pulling || f.Peers == nil || changed == 0 || (f.loaded && changed <= f.revision) {
 		return
 	}
 	f.pulling = true
 	go func() {
 		f.pull(ctx, addr)
-		clock.Sleep(ctx, f.Clock, pullPause)
+		clock.Sleep(ctx, f.Clock, minPullInterval)
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.pulling = false
@@ -225,18 +225,18 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.take(u)
+	f.applyUpdate(u)
 }
 
 func (f *Follower) position() (revision barleystep.Revision, known bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.revision, f.known
+	return f.revision, f.loaded
 }
 
 // step makes one call to the store and applies its answer; changed reports whether
 // it held changes.
-func (f *Follower) step(ctx context.Context, asked time.Time, wait time.Duration) (changed bool, err error) {
+func (f *Follower) step(ctx context.Context, requestedAt time.Time, wait time.Duration) (changed bool, err error) {
 	since, known := f.position()
 	var b barleystep.Batch
 	if known {
@@ -249,69 +249,69 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.take(Update{Records: b.Records(), Full: !known, Revision: b.Revision()}) {
-		f.prove(asked)
-	} else if !f.known {
-		return false, errBehind
+	if f.applyUpdate(Update{Records: b.Records(), Full: !known, Revision: b.Revision()}) {
+		f.recordConfirmation(requestedAt)
+	} else if !f.loaded {
+		return false, errStaleSnapshot
 	}
 	return known && len(b.Records()) > 0, nil
 }
 
 // take applies an update, unless it is older than what was read before, even if the topic is
 // to be read anew: another box may tell late of a target's lifetime that is over.
-func (f *Follower) take(u Update) bool {
+func (f *Follower) applyUpdate(u Update) bool {
 	if u.Revision < f.revision {
 		return false
 	}
-	if !f.known && !u.Full {
+	if !f.loaded && !u.Full {
 		return false // The topic is to be read anew, which has not happened yet.
 	}
 	if u.Full {
 		f.Handler.Reset(u.Records)
-		f.feed.reset(u.Records, u.Revision)
+		f.changes.reset(u.Records, u.Revision)
 	} else {
 		for _, r := range u.Records {
 			f.Handler.Apply(r)
 		}
-		f.feed.apply(u.Records, u.Revision)
+		f.changes.apply(u.Records, u.Revision)
 	}
-	f.known, f.revision = true, u.Revision
+	f.loaded, f.revision = true, u.Revision
 	return true
 }
 
-func (f *Follower) prove(at time.Time) {
-	if at.After(f.proved) {
-		f.proved = at
+func (f *Follower) recordConfirmation(at time.Time) {
+	if at.After(f.confirmedAt) {
+		f.confirmedAt = at
 	}
 	f.Handler.Confirmed(at, f.revision)
 }
 
 // forget has the topic read anew.
-func (f *Follower) forget() {
+func (f *Follower) invalidate() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.known = false
+	f.loaded = false
 	f.Log.Warn().Str("topic", f.Topic.String()).Uint64("revision", uint64(f.revision)).
 		Msg(logPrefix + "The store has dropped its history. The topic is read anew.")
 }
 
-func (f *Follower) failed(asked time.Time, err error) {
+func (f *Follower) handleFailure(requestedAt time.Time, err error) {
 	f.failures++
-	if f.failing.IsZero() {
-		f.failing = asked
+	if f.failingSince.IsZero() {
+		f.failingSince = requestedAt
 		f.Log.Warn().Str("topic", f.Topic.String()).Err(err).Msg(logPrefix + "The store does not answer.")
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.Handler.Unavailable(f.failing)
+	f.Handler.Unavailable(f.failingSince)
 }
 
-func (f *Follower) recovered() {
-	if f.failing.IsZero() {
+func (f *Follower) handleRecovery() {
+	if f.failingSince.IsZero() {
 		return
 	}
 	f.Log.Info().Str("topic", f.Topic.String()).Int("failed_calls", f.failures).
-		Dur("away", f.Clock.Now().Sub(f.failing)).Msg(logPrefix + "The store answers again.")
-	f.failing = time.Time{}
+		Dur("away", f.Clock.Now().Sub(f.failingSince)).Msg(logPrefix + "The store answers again.")
+	f.failingSince = time.Time{}
 	f.failures = 0
 }
--- a/internal/follow/follower_test.go
+++ b/internal/follow/follower_test.go
@@ -49,9 +49,9 @@
 func (*catalogue) Withdraw(context.Context, barleystep.Topic, string) error { return nil }
 
 // instant is a clock whose timers fire at once.
-type instant struct{ clock.Manual }
+type instantClock struct{ clock.Manual }
 
-func (i *instant) NewTimer(d time.Duration) barleystep.Timer {
+func (i *instantClock) NewTimer(d time.Duration) barleystep.Timer {
 	i.Advance(d)
 	return i.Manual.NewTimer(0)
 }
@@ -84,7 +84,7 @@
 			defer cancel()
 			source := &catalogue{replies: tc.replies, end: cancel}
 			conf := &follow.Configuration{Clock: &clock.Manual{}, Decode: decode, Log: quiet}
-			f := &follow.Follower{Clock: &instant{}, Catalogue: source, Handler: conf, Log: quiet}
+			f := &follow.Follower{Clock: &instantClock{}, Catalogue: source, Handler: conf, Log: quiet}
 			c.Check(f.Serve(ctx), quicktest.Equals, context.Canceled)
 			c.Check(source.asked, quicktest.DeepEquals, tc.asked)
 			c.Check(conf.Version(), quicktest.Equals, tc.version)
--- a/internal/follow/lifetime_internal_test.go
+++ b/internal/follow/incarnation_internal_test.go
@@ -32,7 +32,7 @@
 }
 
 // bornNow returns when the only target started, -1 without one.
-func bornNow(t *Targets) int64 {
+func currentBorn(t *Targets) int64 {
 	if list := t.List(); len(list) == 1 {
 		return list[0].StartMS
 	}
@@ -41,20 +41,20 @@
 
 // TestLateLifetime checks that what is relayed late of an old lifetime does not take the
 // place of a newer one, whose clock may have been set back.
-func TestLateLifetime(t *testing.T) {
+func TestLateIncarnation(t *testing.T) {
 	const (
 		oldBorn = 900
 		newBorn = 100
 	)
 	whole := func(rev barleystep.Revision, born int64) func(*Follower) {
 		return func(f *Follower) {
-			f.take(Update{Records: []barleystep.Record{bornRecord(born)}, Full: true, Revision: rev})
+			f.applyUpdate(Update{Records: []barleystep.Record{bornRecord(born)}, Full: true, Revision: rev})
 		}
 	}
 	change := func(rev barleystep.Revision, records ...barleystep.Record) func(*Follower) {
-		return func(f *Follower) { f.take(Update{Records: records, Revision: rev}) }
+		return func(f *Follower) { f.applyUpdate(Update{Records: records, Revision: rev}) }
 	}
-	lost := func(f *Follower) { f.forget() }
+	lost := func(f *Follower) { f.invalidate() }
 	type steps []func(*Follower)
 	cases := map[string]struct {
 		steps steps
@@ -75,14 +75,14 @@
 			for _, step := range tc.steps {
 				step(f)
 			}
-			quicktest.Check(t, bornNow(targets), quicktest.Equals, tc.want)
+			quicktest.Check(t, currentBorn(targets), quicktest.Equals, tc.want)
 		})
 	}
 }
 
 // TestLifetimesInOrder checks, over drawn histories of a store and any order in which parts of
 // them come from it and from other boxes, that a box never goes back to an earlier lifetime.
-func TestLifetimesInOrder(t *testing.T) {
+func TestIncarnationsInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		// The target's entry at each revision is the start of its lifetime then.
 		births := rapid.SliceOfN(rapid.Int64Range(1, 1000), 2, 12).Draw(t, "births")
@@ -96,13 +96,13 @@
 			u := Update{Records: []barleystep.Record{bornRecord(births[at])}, Revision: barleystep.Revision(at + 1)}
 			switch rapid.IntRange(0, 3).Draw(t, "kind") {
 			case 0:
-				f.forget()
+				f.invalidate()
 				continue
 			case 1:
 				u.Full = true
 			}
-			f.take(u)
-			seen := slices.Index(births, bornNow(targets))
+			f.applyUpdate(u)
+			seen := slices.Index(births, currentBorn(targets))
 			if seen < newest {
 				t.Fatalf("lifetime %d was taken after lifetime %d", seen, newest)
 			}
--- a/internal/follow/relay_test.go
+++ b/internal/follow/peers_test.go
@@ -14,21 +14,21 @@
 )
 
 // timed notes when the store was asked.
-type timed struct {
+type timedCatalogue struct {
 	catalogue
-	clock *instant
+	clock *instantClock
 	at    []time.Duration
 }
 
-func (s *timed) note() { s.at = append(s.at, s.clock.Now().Sub(time.Time{})) }
+func (s *timedCatalogue) recordTime() { s.at = append(s.at, s.clock.Now().Sub(time.Time{})) }
 
-func (s *timed) Fetch(ctx context.Context, topic barleystep.Topic) (barleystep.Batch, error) {
-	s.note()
+func (s *timedCatalogue) Fetch(ctx context.Context, topic barleystep.Topic) (barleystep.Batch, error) {
+	s.recordTime()
 	return s.catalogue.Fetch(ctx, topic)
 }
 
-func (s *timed) Watch(ctx context.Context, topic barleystep.Topic, since barleystep.Revision, wait time.Duration) (barleystep.Batch, error) {
-	s.note()
+func (s *timedCatalogue) Watch(ctx context.Context, topic barleystep.Topic, since barleystep.Revision, wait time.Duration) (barleystep.Batch, error) {
+	s.recordTime()
 	return s.catalogue.Watch(ctx, topic, since, wait)
 }
 
@@ -38,7 +38,7 @@
 
 // TestRelies checks when a box that does not read for others asks the store: not
 // before the last proof is too old.
-func TestRelies(t *testing.T) {
+func TestReadTimingByRole(t *testing.T) {
 	cases := map[string]struct {
 		duty  follow.ReaderRole
 		least time.Duration
@@ -53,9 +53,9 @@
 			c := quicktest.New(t)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			clk := &instant{}
+			clk := &instantClock{}
 			clk.Advance(time.Hour)
-			source := &timed{clock: clk}
+			source := &timedCatalogue{clock: clk}
 			source.end = cancel
 			source.replies = []reply{{batch: batchOf(3, record("1"))}, {batch: batchOf(3)}}
 			f := &follow.Follower{
@@ -71,7 +71,7 @@
 }
 
 // read returns a follower that has read one batch, with its configuration.
-func read(t *testing.T, manual *clock.Manual, peers follow.Peers, records ...barleystep.Record) (*follow.Follower, *follow.Configuration) {
+func newLoadedFollower(t *testing.T, manual *clock.Manual, peers follow.Peers, records ...barleystep.Record) (*follow.Follower, *follow.Configuration) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	conf := &follow.Configuration{Clock: manual, Decode: decode, Log: quiet}
@@ -82,7 +82,7 @@
 }
 
 // TestVouch checks which proofs of other boxes count.
-func TestVouch(t *testing.T) {
+func TestConfirm(t *testing.T) {
 	cases := map[string]struct {
 		age     time.Duration
 		changed barleystep.Revision
@@ -98,7 +98,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			manual := clock.NewManual(time.Unix(1000, 0))
-			f, conf := read(t, manual, nil, record("1"))
+			f, conf := newLoadedFollower(t, manual, nil, record("1"))
 			manual.Advance(2 * time.Second)
 			f.Confirm(manual.Now().Add(-tc.age), tc.changed)
 			quicktest.Check(t, conf.Age(), quicktest.Equals, tc.want)
@@ -108,12 +108,12 @@
 }
 
 // peers answers with one update and tells that it was asked.
-type peers struct {
+type fakePeers struct {
 	update follow.Update
 	asked  chan barleystep.Revision
 }
 
-func (p *peers) Changes(_ context.Context, _ string, _ barleystep.Topic, since barleystep.Revision) (follow.Update, error) {
+func (p *fakePeers) Changes(_ context.Context, _ string, _ barleystep.Topic, since barleystep.Revision) (follow.Update, error) {
 	p.asked <- since
 	return p.update, nil
 }
@@ -133,9 +133,9 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			p := &peers{update: tc.update, asked: make(chan barleystep.Revision, 1)}
+			p := &fakePeers{update: tc.update, asked: make(chan barleystep.Revision, 1)}
 			manual := clock.NewManual(time.Unix(1000, 0))
-			f, conf := read(t, manual, p, record("1"))
+			f, conf := newLoadedFollower(t, manual, p, record("1"))
 			f.Offer(context.Background(), "box", 3) // It is no news.
 			f.Offer(context.Background(), "box", 5)
 			c.Assert(<-p.asked, quicktest.Equals, barleystep.Revision(3))
@@ -155,7 +155,7 @@
 }
 
 // TestSince checks what a box passes on.
-func TestSince(t *testing.T) {
+func TestChangesSince(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	put := func(key, value string) barleystep.Record { return barleystep.NewRecord(key, []byte(value)) }
@@ -165,8 +165,8 @@
 		{batch: batchOf(7, put("c", "1"))},
 	}}
 	f := &follow.Follower{
-		Clock: &instant{}, Catalogue: source, Log: quiet,
-		Handler: &follow.Targets{Clock: &instant{}, Decode: announce, Log: quiet},
+		Clock: &instantClock{}, Catalogue: source, Log: quiet,
+		Handler: &follow.Targets{Clock: &instantClock{}, Decode: decodeDraining, Log: quiet},
 	}
 	quicktest.Assert(t, f.Serve(ctx), quicktest.Equals, context.Canceled)
 	cases := map[string]struct {
@@ -202,12 +202,12 @@
 
 // TestTogether checks that a box waits a moment after a change, so that those that
 // come soon after it take one call.
-func TestTogether(t *testing.T) {
+func TestBatchDelay(t *testing.T) {
 	c := quicktest.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	clk := &instant{}
-	source := &timed{clock: clk}
+	clk := &instantClock{}
+	source := &timedCatalogue{clock: clk}
 	source.end = cancel
 	source.replies = []reply{{batch: batchOf(3, record("1"))}, {batch: batchOf(4, record("2"))}, {batch: batchOf(4)}, {batch: batchOf(4)}}
 	f := &follow.Follower{
@@ -224,11 +224,11 @@
 
 // TestCalls checks that calls are counted by what the box reads for others and by their
 // outcome.
-func TestCalls(t *testing.T) {
+func TestCallCounts(t *testing.T) {
 	c := quicktest.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	clk := &instant{}
+	clk := &instantClock{}
 	source := &catalogue{end: cancel, replies: []reply{{batch: batchOf(3, record("1"))}, {err: barleystep.ErrUnavailable}, {batch: batchOf(3)}}}
 	f := &follow.Follower{
 		Clock: clk, Catalogue: source, Log: quiet,
--- a/internal/follow/refusals.go
+++ b/internal/follow/refusals.go
@@ -12,22 +12,22 @@
 	// refusalLines is the most lines about refused records in refusalWindow: whoever
 	// writes such records writes as many as he likes, and the lines share their room
 	// with those about requests.
-	refusalLines  = 20
-	refusalWindow = 10 * time.Second
+	maxRefusalLines = 20
+	refusalWindow   = 10 * time.Second
 )
 
 // refusal is why a record is refused now.
 type refusal struct {
 	text string
 	// told is set if there was a line about it.
-	told bool
+	logged bool
 }
 
 // refusals holds the records of a topic that are refused, and counts how often that
 // was. Its zero value holds none.
 type refusals struct {
-	now    map[string]refusal
-	counts [len(strict.Reasons)]int64
+	current map[string]refusal
+	counts  [len(strict.Reasons)]int64
 
 	window   time.Time // window is when the lines began to be counted.
 	lines    int
@@ -39,15 +39,15 @@
 func (r *refusals) add(key string, err error, now time.Time, l *log.Logger) *log.Entry {
 	flaw := strict.ReasonOf(err)
 	r.counts[flaw]++
-	if old, had := r.now[key]; had && old.text == err.Error() {
+	if old, found := r.current[key]; found && old.text == err.Error() {
 		return nil
 	}
-	if r.now == nil {
-		r.now = make(map[string]refusal)
+	if r.current == nil {
+		r.current = make(map[string]refusal)
 	}
-	told := r.mayTell(now)
-	r.now[key] = refusal{text: err.Error(), told: told}
-	if !told {
+	logged := r.allowLine(now)
+	r.current[key] = refusal{text: err.Error(), logged: logged}
+	if !logged {
 		return nil
 	}
 	line := l.Error().Str("reason", flaw.String()).Err(err).Int("unlogged", r.unlogged)
@@ -55,11 +55,11 @@
 	return line
 }
 
-func (r *refusals) mayTell(now time.Time) bool {
+func (r *refusals) allowLine(now time.Time) bool {
 	if now.Sub(r.window) >= refusalWindow {
 		r.window, r.lines = now, 0
 	}
-	if r.lines == refusalLines {
+	if r.lines == maxRefusalLines {
 		r.unlogged++
 		return false
 	}
@@ -70,9 +70,9 @@
 // drop notes that a record is refused no longer. It reports whether it was refused
 // without a line, so that its return needs none.
 func (r *refusals) drop(key string) (silent bool) {
-	old, had := r.now[key]
-	delete(r.now, key)
-	return had && !old.told
+	old, found := r.current[key]
+	delete(r.current, key)
+	return found && !old.logged
 }
 
 // Refused is how many records were refused for a reason.
@@ -82,7 +82,7 @@
 }
 
 // list returns the counts by reason.
-func (r *refusals) list() []RefusalCount {
+func (r *refusals) byReason() []RefusalCount {
 	list := make([]RefusalCount, 0, len(r.counts))
 	for flaw, n := range r.counts {
 		list = append(list, RefusalCount{Flaw: strict.Reason(flaw), Count: n})
--- a/internal/follow/refusals_test.go
+++ b/internal/follow/refusals_test.go
@@ -19,8 +19,8 @@
 
 // noSlots and noState are two foreign entries.
 var (
-	noSlots = strings.Replace(own, `"slots":16,`, ``, 1)
-	noState = strings.Replace(own, `"ready"`, `"up"`, 1)
+	noSlots = strings.Replace(validValue, `"slots":16,`, ``, 1)
+	noState = strings.Replace(validValue, `"ready"`, `"up"`, 1)
 )
 
 // refusedLine and announcedLine are the lines whose number is bounded.
@@ -44,7 +44,7 @@
 	}{
 		"once and for all":  {alternate(noSlots), 1, 0, writes, writes, `"unlogged":0`},
 		"two reasons":       {alternate(noSlots, noState), 20, 0, writes / 2, writes, `"unlogged":80`},
-		"own and another's": {alternate(noSlots, own), 20, 20, writes / 2, writes / 2, `"unlogged":30`},
+		"own and another's": {alternate(noSlots, validValue), 20, 20, writes / 2, writes / 2, `"unlogged":30`},
 		"many targets":      {func(i int) (key, value string) { return fmt.Sprint(i), noSlots }, 20, 0, writes, writes, `"unlogged":80`},
 	}
 	for name, tc := range cases {
@@ -89,7 +89,7 @@
 }
 
 // TestForeign checks that refused records are forgotten once they go or are mended.
-func TestForeign(t *testing.T) {
+func TestInvalidRecords(t *testing.T) {
 	bad := barleystep.NewRecord("a", []byte(noSlots))
 	cases := map[string]struct {
 		then func(*follow.Targets)
@@ -99,7 +99,7 @@
 		"stays in a full reading": {func(s *follow.Targets) { s.Reset([]barleystep.Record{bad}) }, 1},
 		"goes":                    {func(s *follow.Targets) { s.Apply(barleystep.NewRemoval("a")) }, 0},
 		"goes in a full reading":  {func(s *follow.Targets) { s.Reset(nil) }, 0},
-		"is mended":               {func(s *follow.Targets) { s.Apply(barleystep.NewRecord("a", []byte(own))) }, 0},
+		"is mended":               {func(s *follow.Targets) { s.Apply(barleystep.NewRecord("a", []byte(validValue))) }, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -115,8 +115,8 @@
 // the one before.
 func TestServiceChanges(t *testing.T) {
 	s := &follow.Targets{Clock: clock.NewManual(time.Unix(1000, 0)), Decode: platform.DecodeTarget, Log: quiet}
-	s.Apply(barleystep.NewRecord("a", []byte(own)))
-	s.Apply(barleystep.NewRecord("a", []byte(strings.Replace(own, `"lm"`, `"nobody's"`, 1))))
+	s.Apply(barleystep.NewRecord("a", []byte(validValue)))
+	s.Apply(barleystep.NewRecord("a", []byte(strings.Replace(validValue, `"lm"`, `"nobody's"`, 1))))
 	for _, target := range s.List() {
 		quicktest.Check(t, target.Service, quicktest.Equals, "nobody's")
 	}
--- a/internal/follow/targets.go
+++ b/internal/follow/targets.go
@@ -25,15 +25,15 @@
 	targets map[string]fleet.Target
 	// lapsed holds targets whose record went while the store was away, and
 	// until when they are still used.
-	lapsed map[string]time.Time
+	graceUntil map[string]time.Time
 	// refused holds the records that name no target.
-	refused refusals
+	refusals refusals
 	// lostAt is when the store was found away, zero if it is there, and backAt when
 	// it came back.
-	lostAt time.Time
-	backAt time.Time
-	known  bool
-	list   atomic.Pointer[[]fleet.Target]
+	unavailableSince time.Time
+	availableSince   time.Time
+	loaded           bool
+	list             atomic.Pointer[[]fleet.Target]
 }
 
 const (
@@ -41,10 +41,10 @@
 	// away is kept after the store's return. Targets that live write their
 	// record anew within about two seconds; work sent later than that to a
 	// target that left would break the promise to it.
-	lapseGrace = 1800 * time.Millisecond
+	removalGrace = 1800 * time.Millisecond
 	// returnWindow is how long after the store's return a vanished record may
 	// be a lapse: targets that miss three heartbeats of 1.2 s are dropped.
-	returnWindow = 4 * time.Second
+	recoveryWindow = 4 * time.Second
 )
 
 // List returns the targets that may get work, in no order. The slice must not
@@ -60,7 +60,7 @@
 func (t *Targets) Loaded() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.known
+	return t.loaded
 }
 
 // Refused returns how many records named no target since the start, by reason; a record
@@ -68,14 +68,14 @@
 func (t *Targets) RefusalCounts() []RefusalCount {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.refused.list()
+	return t.refusals.byReason()
 }
 
 // Foreign returns how many records name no target now.
 func (t *Targets) InvalidRecords() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.refused.now)
+	return len(t.refusals.current)
 }
 
 // Reset is part of Handler.
@@ -87,19 +87,19 @@
 		seen[r.Key()] = true
 		t.put(r)
 	}
-	for key := range t.refused.now {
+	for key := range t.refusals.current {
 		if !seen[key] {
-			t.refused.drop(key)
+			t.refusals.drop(key)
 		}
 	}
-	t.Log.Info().Int("targets", len(records)-len(t.refused.now)).Int("refused", len(t.refused.now)).
+	t.Log.Info().Int("targets", len(records)-len(t.refusals.current)).Int("refused", len(t.refusals.current)).
 		Msg(logPrefix + "All targets were read.")
 	for key := range t.targets {
 		if !seen[key] {
-			t.gone(key)
+			t.remove(key)
 		}
 	}
-	t.known = true
+	t.loaded = true
 	t.publish()
 }
 
@@ -108,7 +108,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r.Removed() {
-		t.gone(r.Key())
+		t.remove(r.Key())
 	} else {
 		t.put(r)
 	}
@@ -118,18 +118,18 @@
 func (t *Targets) put(r barleystep.Record) {
 	target, err := t.Decode(r)
 	if err != nil {
-		t.refuse(r.Key(), err)
+		t.reject(r.Key(), err)
 		return
 	}
-	silent := t.refused.drop(r.Key())
+	silent := t.refusals.drop(r.Key())
 	if t.targets == nil {
 		t.targets = make(map[string]fleet.Target)
-		t.lapsed = make(map[string]time.Time)
+		t.graceUntil = make(map[string]time.Time)
 	}
 	old, had := t.targets[r.Key()]
 	t.targets[r.Key()] = target
-	delete(t.lapsed, r.Key())
-	if !t.known || silent {
+	delete(t.graceUntil, r.Key())
+	if !t.loaded || silent {
 		return // The first reading has one line for all; what had no line needs none now.
 	}
 	if !had || old.Draining != target.Draining || old.Addr != target.Addr || target.Restarted(old.StartMS) {
@@ -140,32 +140,32 @@
 
 // refuse drops a target whose record another writer has replaced. Work that it has goes
 // on; whether it lives, and where, nobody says any longer.
-func (t *Targets) refuse(key string, err error) {
+func (t *Targets) reject(key string, err error) {
 	_, used := t.targets[key]
 	delete(t.targets, key)
-	delete(t.lapsed, key)
-	if line := t.refused.add(key, err, t.Clock.Now(), t.Log); line != nil {
+	delete(t.graceUntil, key)
+	if line := t.refusals.add(key, err, t.Clock.Now(), t.Log); line != nil {
 		line.Str("target", key).Bool("was_used", used).Msg(logPrefix + "A record names no target.")
 	}
 }
 
 // gone drops a target, at once or, if its record may merely have lapsed, after
 // a grace.
-func (t *Targets) gone(key string) {
-	t.refused.drop(key)
+func (t *Targets) remove(key string) {
+	t.refusals.drop(key)
 	if _, had := t.targets[key]; !had {
 		return
 	}
 	now := t.Clock.Now()
-	recent := !t.lostAt.IsZero() || (!t.backAt.IsZero() && now.Sub(t.backAt) < returnWindow)
+	recent := !t.unavailableSince.IsZero() || (!t.availableSince.IsZero() && now.Sub(t.availableSince) < recoveryWindow)
 	if !recent || t.targets[key].Draining {
 		delete(t.targets, key)
 		t.Log.Info().Str("target", key).Msg(logPrefix + "A target is gone.")
 		return
 	}
-	if _, noted := t.lapsed[key]; !noted {
-		t.lapsed[key] = now.Add(lapseGrace)
-		t.Log.Info().Str("target", key).Dur("grace", lapseGrace).
+	if _, noted := t.graceUntil[key]; !noted {
+		t.graceUntil[key] = now.Add(removalGrace)
+		t.Log.Info().Str("target", key).Dur("grace", removalGrace).
 			Msg(logPrefix + "A target's record is missing after an outage of the store. It is kept for the grace.")
 	}
 }
@@ -176,11 +176,11 @@
 	defer t.mu.Unlock()
 	now := t.Clock.Now()
 	changed := false
-	for key, until := range t.lapsed {
+	for key, until := range t.graceUntil {
 		if now.Before(until) {
 			continue
 		}
-		delete(t.lapsed, key)
+		delete(t.graceUntil, key)
 		delete(t.targets, key)
 		changed = true
 		t.Log.Info().Str("target", key).Msg(logPrefix + "A target's record did not come back. The target is gone.")
@@ -203,12 +203,12 @@
 
 // Proved is part of Handler. A proof from before the loss, which another box may
 // have told, does not mean that the store is back.
-func (t *Targets) Confirmed(asked time.Time, _ barleystep.Revision) {
+func (t *Targets) Confirmed(requestedAt time.Time, _ barleystep.Revision) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.lostAt.IsZero() && !asked.Before(t.lostAt) {
-		t.lostAt = time.Time{}
-		t.backAt = t.Clock.Now()
+	if !t.unavailableSince.IsZero() && !requestedAt.Before(t.unavailableSince) {
+		t.unavailableSince = time.Time{}
+		t.availableSince = t.Clock.Now()
 	}
 }
 
@@ -216,5 +216,5 @@
 func (t *Targets) Unavailable(since time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lostAt = since
+	t.unavailableSince = since
 }
--- a/internal/follow/targets_test.go
+++ b/internal/follow/targets_test.go
@@ -13,12 +13,12 @@
 )
 
 // announce reads a target whose record says "draining" or anything else.
-func announce(r barleystep.Record) (fleet.Target, error) {
+func decodeDraining(r barleystep.Record) (fleet.Target, error) {
 	return fleet.Target{ID: barleystep.TargetID(r.Key()), Draining: string(r.Value()) == "draining"}, nil
 }
 
 // TestGone checks when a target whose record vanishes gets no more work.
-func TestGone(t *testing.T) {
+func TestRemovedTargets(t *testing.T) {
 	ready := barleystep.NewRecord("i", []byte("ready"))
 	gone := barleystep.NewRemoval("i")
 	at := func(d time.Duration) func(*follow.Targets, *clock.Manual) {
@@ -50,7 +50,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			manual := clock.NewManual(time.Unix(1000, 0))
-			s := &follow.Targets{Clock: manual, Decode: announce, Log: quiet}
+			s := &follow.Targets{Clock: manual, Decode: decodeDraining, Log: quiet}
 			for _, step := range tc.steps {
 				step(s, manual)
 			}
@@ -60,10 +60,10 @@
 }
 
 // TestChanged checks that each change of the list is told after it was made.
-func TestChanged(t *testing.T) {
+func TestOnChange(t *testing.T) {
 	c := quicktest.New(t)
 	manual := clock.NewManual(time.Unix(1000, 0))
-	s := &follow.Targets{Clock: manual, Decode: announce, Log: quiet}
+	s := &follow.Targets{Clock: manual, Decode: decodeDraining, Log: quiet}
 	var lengths []int
 	s.OnChange = func() { lengths = append(lengths, len(s.List())) }
 	s.Reset([]barleystep.Record{barleystep.NewRecord("i", nil)})
