--- a/internal/gossip/bench_internal_test.go
+++ b/internal/gossip/bench_internal_test.go
@@ -13,8 +13,8 @@
 	"github.com/barleystep/barleystep/internal/suspect"
 )
 
-// BenchmarkCapacityDatagram measures the size of a datagram with the work of some
-// targets and the boxes of a hall, and the time to write and read it.
+// BenchmarkCapacityDatagram measures the size of a datagram with the work of some targets and
+// the boxes of a hall, and the time to encode and decode it.
 func BenchmarkCapacityDatagram(b *testing.B) {
 	for _, tc := range []struct{ targets, members int }{{1, 0}, {18, 0}, {18, 4}, {60, 4}, {60, 27}, {100, 35}} {
 		b.Run(fmt.Sprintf("targets=%d/members=%d", tc.targets, tc.members), func(b *testing.B) {
@@ -47,8 +47,8 @@
 	}
 }
 
-// BenchmarkCapacityStatements measures what a datagram grows by with what targets say of
-// themselves, all three words, and the time to write, read and join it.
+// BenchmarkCapacityStatements measures how much the statements of targets, all three kinds, add
+// to a datagram, and the time to encode, decode and merge them.
 func BenchmarkCapacityStatements(b *testing.B) {
 	now := time.Unix(1000, 0)
 	for _, targets := range []int{1, 18, 100, 1000} {
@@ -82,8 +82,7 @@
 	}
 }
 
-// BenchmarkCapacitySuspects measures what a datagram grows by with as many suspects as it tells
-// of, and with limits of targets.
+// BenchmarkCapacitySuspects measures how much suspects and limits of targets add to a datagram.
 func BenchmarkCapacitySuspects(b *testing.B) {
 	now := time.Unix(1000, 0)
 	for _, tc := range []struct{ suspects, ends, limits int }{{1, 2, 0}, {32, 2, 0}, {32, 7, 0}, {0, 0, 1}, {0, 0, 18}} {
--- a/internal/gossip/changes.go
+++ b/internal/gossip/changes.go
@@ -12,20 +12,21 @@
 	"github.com/barleystep/barleystep/internal/follow"
 )
 
-// Server passes on to other boxes what this one has read of the store.
+// Server implements the ChangeService: it serves the topics that this box has read from the
+// store to other boxes.
 type Server struct {
-	// Followers are the followers of the topics.
+	// Followers maps each topic to its follower.
 	Followers map[barleystep.Topic]*follow.Follower
 }
 
-// topics are the topics on the wire.
+// wireTopics maps each topic to its enum value on the wire.
 var wireTopics = map[barleystep.Topic]gossipv1.Topic{
 	barleystep.TopicConfiguration: gossipv1.Topic_TOPIC_CONFIGURATION,
 	barleystep.TopicTargets:       gossipv1.Topic_TOPIC_TARGETS,
 }
 
-// GetChanges returns what changed after a revision, or the code Unavailable if
-// nothing is known of the topic.
+// GetChanges returns the changes of a topic after the requested revision. The error has the
+// code Unavailable if the topic has not been read or has no follower.
 func (s *Server) GetChanges(_ context.Context, r *connect.Request[gossipv1.GetChangesRequest]) (*connect.Response[gossipv1.GetChangesResponse], error) {
 	for topic, name := range wireTopics {
 		f := s.Followers[topic]
@@ -45,17 +46,17 @@
 	return nil, connect.NewError(connect.CodeUnavailable, nil)
 }
 
-// Handler returns the handler for other boxes.
+// Handler returns the HTTP handler for requests of other boxes, and its path.
 func (s *Server) Handler() (path string, h http.Handler) {
 	return gossipv1connect.NewChangeServiceHandler(s)
 }
 
-// Client is follow.Peers over connect.
+// Client implements follow.Peers over Connect.
 type Client struct {
 	HTTP *http.Client
 }
 
-// Changes returns what changed at the box with the address after the revision.
+// Changes fetches the changes of a topic after the revision since from the box at addr.
 func (c *Client) Changes(ctx context.Context, addr string, topic barleystep.Topic, since barleystep.Revision) (u follow.Update, err error) {
 	client := gossipv1connect.NewChangeServiceClient(c.HTTP, "http://"+addr)
 	resp, err := client.GetChanges(ctx, connect.NewRequest(&gossipv1.GetChangesRequest{Topic: wireTopics[topic], Since: uint64(since)}))
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -17,7 +17,7 @@
 	"github.com/barleystep/barleystep/internal/gossip"
 )
 
-// registry is a catalogue of boxes in memory.
+// registry is an in-memory catalogue of boxes.
 type registry struct {
 	mu    sync.Mutex
 	boxes map[string][]byte
@@ -51,46 +51,46 @@
 	return nil
 }
 
-// books is a balancer that has one piece of work and keeps what others have.
-type fakeBalancer struct {
+// balancer has fixed work and passes on what it receives of other boxes.
+type balancer struct {
 	own    balance.Snapshot
 	others chan balance.Snapshot
 }
 
-func (b *fakeBalancer) Snapshot() balance.Snapshot { return b.own }
+func (b *balancer) Snapshot() balance.Snapshot { return b.own }
 
-// SetRole takes in what these tests have no use for.
-func (*fakeBalancer) SetRole(balance.Role) {}
+// SetRole does nothing.
+func (*balancer) SetRole(balance.Role) {}
 
-func (b *fakeBalancer) SetOthers(s balance.Snapshot) {
+func (b *balancer) SetOthers(s balance.Snapshot) {
 	select {
 	case b.others <- s:
-	default: // The test has seen enough.
+	default: // The test has enough samples.
 	}
 }
 
-// known is a topic with a proof of a fixed age.
-type fakeTopic struct {
+// topic is a topic whose confirmation has a fixed age.
+type topic struct {
 	mu        sync.Mutex
 	changed   barleystep.Revision
 	age       time.Duration
 	confirmed chan time.Time
 }
 
-func (k *fakeTopic) State() (barleystep.Revision, time.Duration) {
+func (k *topic) State() (barleystep.Revision, time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.changed, k.age
 }
 
-func (k *fakeTopic) Confirm(at time.Time, _ barleystep.Revision) {
+func (k *topic) Confirm(at time.Time, _ barleystep.Revision) {
 	select {
 	case k.confirmed <- at:
-	default: // The test has seen enough.
+	default: // The test has enough samples.
 	}
 }
 
-func (k *fakeTopic) Offer(_ context.Context, _ string, changed barleystep.Revision) {
+func (k *topic) Offer(_ context.Context, _ string, changed barleystep.Revision) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.changed = max(k.changed, changed)
@@ -98,15 +98,15 @@
 
 type box struct {
 	node     *gossip.Node
-	balancer *fakeBalancer
-	topic    *fakeTopic
+	balancer *balancer
+	topic    *topic
 }
 
-// given holds the addresses that freeAddr has returned.
+// usedAddrs holds the addresses that freeAddr has returned.
 var usedAddrs sync.Map
 
-// freeAddr returns an address on loopback that is free for UDP. It never returns
-// one twice: the box that got it may not have bound it yet.
+// freeAddr returns a loopback address that is free for UDP. It never returns an address twice,
+// since the box that got it may not have bound it yet.
 func freeAddr(t *testing.T) string {
 	for {
 		l, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -119,18 +119,18 @@
 	}
 }
 
-func startBox(t *testing.T, r *registry, name, hall string, target int, topic *fakeTopic) *box {
+func startBox(t *testing.T, r *registry, name, hall string, target int, fake *topic) *box {
 	own := balance.NewSnapshot()
 	own.Work[balance.Key(target)] = balance.Work{Short: 1, Backlog: time.Millisecond}
 	own.Demands[1] = balance.Demand{Short: 0.5}
-	b := &box{balancer: &fakeBalancer{own: own, others: make(chan balance.Snapshot, 1000)}, topic: topic}
+	b := &box{balancer: &balancer{own: own, others: make(chan balance.Snapshot, 1000)}, topic: fake}
 	b.node = &gossip.Node{
 		Clock:     clock.System{},
 		Box:       barleystep.BoxID(name),
 		Hall:      barleystep.HallID(hall),
 		Addr:      freeAddr(t),
 		Catalogue: r,
-		Topics:    []gossip.TopicFollower{topic},
+		Topics:    []gossip.TopicFollower{fake},
 		Balancer:  b.balancer,
 		Log:       &log.Logger{Level: log.PanicLevel},
 	}
@@ -139,7 +139,7 @@
 	go func() {
 		err := b.node.Serve(ctx)
 		if ctx.Err() == nil {
-			panic(err) // The others would wait for this box for ever.
+			panic(err) // The other boxes would wait for this one forever.
 		}
 		done <- err
 	}()
@@ -150,18 +150,18 @@
 	return b
 }
 
-func newFakeTopic(changed barleystep.Revision, age time.Duration) *fakeTopic {
-	return &fakeTopic{changed: changed, age: age, confirmed: make(chan time.Time, 1000)}
+func newTopic(changed barleystep.Revision, age time.Duration) *topic {
+	return &topic{changed: changed, age: age, confirmed: make(chan time.Time, 1000)}
 }
 
-// TestSums checks that each box learns the work of all others, and no more:
-// in its own hall through the collector, and of other halls.
+// TestSums checks that each box receives exactly the work of all other boxes, those of its own
+// hall through the collector and those of other halls.
 func TestSums(t *testing.T) {
 	r := &registry{boxes: make(map[string][]byte)}
 	halls := []string{"one", "one", "one", "two", "two", "three"}
 	var boxes []*box
 	for i, hall := range halls {
-		boxes = append(boxes, startBox(t, r, "box-"+string(rune('a'+i)), hall, i+1, newFakeTopic(1, -1)))
+		boxes = append(boxes, startBox(t, r, "box-"+string(rune('a'+i)), hall, i+1, newTopic(1, -1)))
 	}
 	for i, b := range boxes {
 		want := balance.NewSnapshot()
@@ -179,7 +179,7 @@
 	}
 }
 
-// same compares snapshots without their empty entries.
+// equalWork compares snapshots without their empty entries.
 func equalWork(a, b balance.Snapshot) bool {
 	trim := func(s balance.Snapshot) map[balance.Key]balance.Work {
 		out := make(map[balance.Key]balance.Work)
@@ -202,14 +202,14 @@
 	return a.Demands[1] == b.Demands[1]
 }
 
-// TestProof checks that a box that cannot reach the store gets the proof of one
-// that can, never younger than it is, and hears of its newer change.
+// TestConfirmation checks that a box that cannot reach the store receives the confirmation of
+// one that can, never with an age below the real one, and is offered its newer change.
 func TestConfirmation(t *testing.T) {
 	c := quicktest.New(t)
 	const age = 2 * time.Second
 	r := &registry{boxes: make(map[string][]byte)}
-	startBox(t, r, "well", "one", 1, newFakeTopic(7, age))
-	cut := newFakeTopic(3, -1)
+	startBox(t, r, "well", "one", 1, newTopic(7, age))
+	cut := newTopic(3, -1)
 	startBox(t, r, "cut", "two", 2, cut)
 	for range 20 {
 		at := <-cut.confirmed
@@ -220,28 +220,27 @@
 	}
 }
 
-// TestLargeHall checks that in a hall of many boxes, which are named in turn, each
-// gets the proof of one that reads the store, and just one collects.
+// TestLargeHall checks that in a hall of many boxes, which are named in rotation, each box
+// receives the confirmation of one that reads the store, and exactly one is collector.
 func TestLargeHall(t *testing.T) {
 	const boxes, rounds = 40, 50
 	r := &registry{boxes: make(map[string][]byte)}
 	var hall []*box
 	for i := range boxes {
-		hall = append(hall, startBox(t, r, fmt.Sprint("box-", i), "one", i+1, newFakeTopic(7, 0)))
+		hall = append(hall, startBox(t, r, fmt.Sprint("box-", i), "one", i+1, newTopic(7, 0)))
 	}
 	for _, b := range hall {
 		for range rounds {
 			<-b.topic.confirmed
 		}
 	}
-	// A busy machine may hold a box up for so long that another one takes over for
-	// a moment.
+	// On a loaded machine a box may stall for so long that another one takes over for a moment.
 	for countCollectors(hall) != 1 {
 		<-hall[0].topic.confirmed
 	}
 }
 
-// collectors counts the boxes that hold themselves for the collector.
+// countCollectors counts the boxes that regard themselves as the collector.
 func countCollectors(hall []*box) int {
 	n := 0
 	for _, b := range hall {
--- a/internal/gossip/incarnation_internal_test.go
+++ b/internal/gossip/incarnation_internal_test.go
@@ -14,8 +14,8 @@
 	"github.com/barleystep/barleystep/internal/clock"
 )
 
-// TestLateIncarnation checks that a datagram of a box's earlier life that comes late, or twice,
-// does not take the place of what the box says now.
+// TestLateIncarnation checks that a delayed or duplicated datagram of an earlier incarnation of
+// a box does not replace its current state.
 func TestLateIncarnation(t *testing.T) {
 	const target = 3
 	newDatagram := func(incarnation, sequence uint64, light int) *datagram {
@@ -30,13 +30,13 @@
 		want      int
 	}{
 		"in order":               {[]*datagram{newDatagram(7, 5, 1), newDatagram(7, 6, 2)}, 2},
-		"late within a life":     {[]*datagram{newDatagram(7, 6, 2), newDatagram(7, 5, 1)}, 2},
-		"a new life":             {[]*datagram{newDatagram(7, 5, 1), newDatagram(9, 1, 2)}, 2},
-		"late of the old life":   {[]*datagram{newDatagram(7, 5, 1), newDatagram(9, 1, 2), newDatagram(7, 6, 3)}, 2},
-		"the new one goes on":    {[]*datagram{newDatagram(7, 5, 1), newDatagram(9, 1, 2), newDatagram(7, 6, 3), newDatagram(9, 2, 4)}, 4},
-		"doubled after that":     {[]*datagram{newDatagram(7, 5, 1), newDatagram(9, 2, 2), newDatagram(7, 6, 3), newDatagram(9, 1, 4)}, 2},
-		"a third life":           {[]*datagram{newDatagram(7, 5, 1), newDatagram(9, 1, 2), newDatagram(4, 1, 5), newDatagram(9, 2, 3)}, 5},
-		"two lives before, late": {[]*datagram{newDatagram(7, 5, 1), newDatagram(9, 1, 2), newDatagram(4, 1, 5), newDatagram(7, 9, 3)}, 5},
+		"delayed, same incarnation":     {[]*datagram{newDatagram(7, 6, 2), newDatagram(7, 5, 1)}, 2},
+		"new incarnation":             {[]*datagram{newDatagram(7, 5, 1), newDatagram(9, 1, 2)}, 2},
+		"delayed, old incarnation":   {[]*datagram{newDatagram(7, 5, 1), newDatagram(9, 1, 2), newDatagram(7, 6, 3)}, 2},
+		"new incarnation continues":    {[]*datagram{newDatagram(7, 5, 1), newDatagram(9, 1, 2), newDatagram(7, 6, 3), newDatagram(9, 2, 4)}, 4},
+		"duplicate after that":     {[]*datagram{newDatagram(7, 5, 1), newDatagram(9, 2, 2), newDatagram(7, 6, 3), newDatagram(9, 1, 4)}, 2},
+		"third incarnation":           {[]*datagram{newDatagram(7, 5, 1), newDatagram(9, 1, 2), newDatagram(4, 1, 5), newDatagram(9, 2, 3)}, 5},
+		"delayed, two incarnations ago": {[]*datagram{newDatagram(7, 5, 1), newDatagram(9, 1, 2), newDatagram(4, 1, 5), newDatagram(7, 9, 3)}, 5},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gossip/member.go
+++ b/internal/gossip/member.go
@@ -11,67 +11,69 @@
 	"github.com/barleystep/barleystep/internal/balance"
 )
 
-// member is what a box knows of another one.
+// member is the state that a box keeps of another box.
 type member struct {
 	box         barleystep.BoxID
 	hall        barleystep.HallID
 	addr        netip.AddrPort
 	strength    uint32
 	incarnation uint64
-	// former are the incarnations before, the last of which are kept.
+	// pastIncarnations are the most recent earlier incarnations, the oldest first.
 	pastIncarnations []uint64
-	// heard is when the last word of it came, named when a box that had heard it
-	// last said so, and added when it became known.
+	// lastHeard is when its last datagram arrived, lastNamed when another box last listed it as
+	// recently heard, and addedAt when it became known.
 	lastHeard time.Time
 	lastNamed time.Time
 	addedAt   time.Time
-	// asked is since when it was asked for a word in vain, zero if it was not.
+	// unansweredSince is when the first query without an answer was sent, zero if there is
+	// none.
 	unansweredSince time.Time
-	alive           bool // alive is set while it is heard of directly.
+	alive           bool // alive is set while its datagrams arrive.
 	leaving         bool
-	// peerSent and gotAt are its clock and ours at its last datagram.
+	// peerSent is the send time of its last datagram on its clock, and receivedAt the arrival
+	// on ours.
 	peerSent   int64
 	receivedAt time.Time
 	sequence   uint64
-	// own is the box's own work, from its datagram ownSequence.
+	// own is the box's own work, reported by its datagram ownSequence.
 	own         balance.Snapshot
 	ownAt       time.Time
 	ownSequence uint64
-	// hallWork is the work of its hall, which has hallBoxes boxes, and allWork
-	// that of all halls but for this box's own, if it is a collector; boxes is how
-	// many boxes it counts in all.
+	// hallWork is the work of its hall, which has hallBoxes boxes, and allWork that of all
+	// halls without the work of the receiving box. Both are set if it is a collector. boxes is
+	// how many boxes it counts in all halls.
 	hallWork  balance.Snapshot
 	hallAt    time.Time
 	hallBoxes int
 	allWork   balance.Snapshot
 	allAt     time.Time
 	boxes     int
-	// leadAddr is the box that it holds for the lead.
+	// leadAddr is the address of the box that it regards as the lead.
 	leadAddr string
-	// summed and summedHall are when it last showed itself to be a collector, to its
-	// hall and to others.
+	// sumAt is when it last sent a sum as a collector to its own hall, hallSumAt when it last
+	// sent one to other halls.
 	sumAt     time.Time
 	hallSumAt time.Time
 }
 
-// formerKept is how many earlier lives of a box are known: datagrams come seconds late at most,
-// in which no box starts as often.
+// maxPastIncarnations bounds the earlier incarnations that are remembered of a box. Datagrams
+// are delayed by seconds at most, and no box restarts more often than this within that time.
 const maxPastIncarnations = 4
 
-// last returns when the box was last known to live.
+// lastSeen returns when the box was last known to be alive.
 func (m *member) lastSeen() time.Time {
-	last := m.lastHeard
-	if m.lastNamed.After(last) {
-		last = m.lastNamed
+	lastSeen := m.lastHeard
+	if m.lastNamed.After(lastSeen) {
+		lastSeen = m.lastNamed
 	}
-	if last.IsZero() {
+	if lastSeen.IsZero() {
 		return m.addedAt
 	}
-	return last
+	return lastSeen
 }
 
-// presumed reports whether the box is taken to live: it was heard a moment ago, or
-// it was told of since and has not left a question unanswered.
+// presumedAlive reports whether the box counts as alive: it was heard within aliveTimeout, or
+// it was named since then and has left no query unanswered.
 func (m *member) presumedAlive(now time.Time) bool {
 	if now.Sub(m.lastHeard) <= aliveTimeout {
 		return true
@@ -86,8 +88,8 @@
 	return m.unansweredSince.IsZero() || now.Sub(m.unansweredSince) <= answerTimeout
 }
 
-// rank orders the boxes that may become collector or lead, in the same way on all
-// of them: the strongest first.
+// rank orders the candidates for collector and lead identically on all boxes: the highest
+// strength first, ties broken by the hash of the box's id.
 type rank struct {
 	strength uint32
 	hash     uint64
@@ -99,7 +101,7 @@
 
 func (m *member) rank() rank { return rankOf(m.box, m.strength) }
 
-// compare returns a number below zero if r comes before o.
+// compare returns a negative number if r ranks before o.
 func (r rank) compare(o rank) int {
 	if c := cmp.Compare(o.strength, r.strength); c != 0 {
 		return c
@@ -109,5 +111,5 @@
 
 func (r rank) before(o rank) bool { return r.compare(o) < 0 }
 
-// byRank compares members for sorting.
+// compareRank compares members by rank for sorting.
 func compareRank(a, b *member) int { return a.rank().compare(b.rank()) }
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -1,14 +1,12 @@
-// Package gossip spreads between boxes what none of them could know alone: the
-// work that all of them have given to targets, which targets cannot be reached,
-// and how far boxes have read the store, with the age of their proof that they
-// have missed nothing. Boxes that do not read the store, or that it turns away, go
-// by that proof.
+// Package gossip exchanges state between boxes: the work that all of them have given to
+// targets, which targets cannot be reached, and up to which revision each box has read the
+// store, with the age of its confirmation that it has missed no change. Boxes that do not read
+// the store, or whose calls it rejects, rely on that confirmation.
 //
-// Each box reports to the collector of its hall, which is the strongest of the
-// hall's boxes that live. The collector sends the sum back to its hall and to the
-// collectors of the other halls, so that what a box sends and receives does not
-// grow with the number of boxes in other halls. The first of the collectors is the
-// lead of all.
+// Each box reports to the collector of its hall, the strongest live box of the hall. The
+// collector sends the sum back to its hall and to the collectors of the other halls, so the
+// traffic of a box does not grow with the number of boxes in other halls. The first collector
+// by rank is the lead of all halls.
 package gossip
 
 import (
@@ -27,45 +25,43 @@
 	"github.com/barleystep/barleystep/internal/clock"
 )
 
-// Topic is what a box has read of one topic of the store.
+// TopicFollower is the state of one topic of the store on this box.
 type TopicFollower interface {
-	// State returns the revision of the last change that was read, zero if there
-	// is none, and the age of the proof that none was missed, negative without one.
+	// State returns the revision of the last change that was read, zero without one, and the
+	// age of the confirmation that no change was missed, negative without one.
 	State() (changed barleystep.Revision, age time.Duration)
-	// Vouch takes another box's proof.
+	// Confirm records another box's confirmation: a box whose last change has the revision
+	// changed had missed none before at.
 	Confirm(at time.Time, changed barleystep.Revision)
-	// Offer tells where a change can be had.
+	// Offer reports that the box at addr has read changes up to the revision changed.
 	Offer(ctx context.Context, addr string, changed barleystep.Revision)
 }
 
-// Balancer knows the work of the own box and learns that of all others, and what part the box
-// has among them.
+// Balancer provides the work of this box, and receives the work of all other boxes and this
+// box's role among them.
 type Balancer interface {
 	Snapshot() balance.Snapshot
 	SetOthers(s balance.Snapshot)
 	SetRole(r balance.Role)
 }
 
-// Node is one box's part in the gossip. Its exported fields are set before
-// Serve.
+// Node runs the gossip protocol on one box. Its exported fields are set before Serve.
 type Node struct {
 	Clock barleystep.Clock
 	Box   barleystep.BoxID
 	Hall  barleystep.HallID
-	// Addr is the IP and port at which the other boxes reach this one, over UDP
-	// and TCP.
+	// Addr is the IP and port at which other boxes reach this one, over UDP and TCP.
 	Addr string
-	// Seeds are addresses of some boxes to begin with; they may be stale.
+	// Seeds are addresses of some boxes to contact at start; they may be stale.
 	Seeds     []string
 	Catalogue barleystep.Catalogue
-	// Topics are the topics of which boxes tell each other, in an order that all
-	// share.
+	// Topics are the topics whose state is exchanged, in the same order on all boxes.
 	Topics   []TopicFollower
 	Balancer Balancer
-	// Strength is how much this box can carry for others, in any unit that all boxes
-	// share; the strongest collect.
+	// Strength is this box's capacity to do work for others, in any unit that all boxes share;
+	// the strongest boxes become collectors.
 	Strength uint32
-	// Network carries the datagrams; nil is the operating system's.
+	// Network carries the datagrams; nil uses the operating system's UDP.
 	Network barleystep.Network
 	Log     *log.Logger
 
@@ -75,101 +71,100 @@
 	socket      barleystep.Socket
 	members     map[barleystep.BoxID]*member
 	sequence    uint64
-	// sent holds the own snapshots that were sent lately, by sequence, to be
-	// taken out of the sums that come back.
+	// sent holds this box's recent snapshots by sequence number, to subtract them from the sums
+	// that collectors return.
 	sent    map[uint64]balance.Snapshot
 	leaving bool
 	ticks   int
-	// collecting is set while this box is its hall's collector.
+	// collecting is set while this box is the collector of its hall.
 	collecting      bool
 	collectingSince time.Time
-	// met is when the first word of another box came.
+	// firstHeard is when the first datagram of another box arrived.
 	firstHeard time.Time
-	// stepped is when the last tick came, and weakUntil until when this box holds
-	// itself for weak.
+	// lastStep is when the last tick ran. Until penaltyUntil this box reports strength 0
+	// because it stalled.
 	lastStep     time.Time
 	penaltyUntil time.Time
-	// askWidth is how many boxes are asked at a time for the collector.
+	// fanout is how many boxes are queried at a time for the collector.
 	fanout int
-	// turn counts the sums that were sent to the own hall.
+	// rotation counts the sums that were sent to the own hall.
 	rotation int
 }
 
 const (
-	// tick is the time between a box's datagrams: short against the time that a
-	// request stays at a target, so that boxes rarely choose by old sums.
+	// tick is the interval between a box's datagrams. It is short compared with the time that a
+	// request stays at a target, so that boxes rarely decide on stale sums.
 	tick = 50 * time.Millisecond
-	// aliveFor is how long after its last datagram a box counts as alive, which
-	// allows for some lost ones.
+	// aliveTimeout is how long after its last datagram a box counts as alive; it allows for
+	// some lost datagrams.
 	aliveTimeout = 500 * time.Millisecond
-	// snapshotLife is how long a box's or hall's last work counts.
+	// snapshotTTL is how long the last snapshot of a box or hall is valid.
 	snapshotTTL = 1200 * time.Millisecond
-	// sentKept is how many of the own snapshots are kept: those that may be in a
-	// sum that is still on its way.
+	// maxSent bounds the own snapshots that are kept: those that may be part of a sum still in
+	// flight.
 	maxSent = 64
-	// datagramBytes bounds a datagram.
+	// maxDatagramBytes is the size of the receive buffer.
 	maxDatagramBytes = 64 << 10
-	// probeTicks is how many ticks pass between datagrams to boxes that are
-	// silent, so that a healed partition is noticed.
+	// probeTicks is the number of ticks between datagrams to silent boxes, which detect that a
+	// partition has healed.
 	probeTicks = 20
-	// seedTicks is how many ticks pass between questions to the seeds while no
-	// collector is heard: 300 boxes that start at once ask each seed 1,500 times a
-	// second together.
+	// seedTicks is the number of ticks between queries to the seeds while no collector is
+	// heard. 300 boxes that start together query each seed 1,500 times a second in total.
 	seedTicks = 4
-	// sumRoom is how many targets' work a collector sends to its hall in one tick, over
-	// all boxes, some 210 kB: with more boxes or targets it sends its sums less often,
-	// at longest every longestTurn ticks, so that neither its link nor its processor is
-	// filled. In the model, news of a hall of 59 boxes is 130 ms old at the median; with
-	// sums every five ticks it was 200 ms.
+	// maxSumEntries bounds the target entries that a collector sends to its hall per tick, over
+	// all boxes, some 210 kB. With more boxes or targets it sends its sums less often, but at
+	// least every maxSumTicks ticks, so that neither its link nor its processor saturates. In
+	// simulation, reports in a hall of 59 boxes have a median age of 130 ms; with sums every
+	// five ticks it was 200 ms.
 	maxSumEntries = 10_000
 	maxSumTicks   = 5
-	// heirs is how many boxes a collector names that would be the next ones. They get
-	// its sums at every tick, so that they know soon and surely whether it lives.
-	// namedInTurn is how many others it names each time, so that all are named within
+	// successors is how many of the next candidates a collector names in its sums. They receive
+	// the sums at every tick, so that they detect its failure quickly and reliably.
+	// namedInRotation is how many other boxes are named each time, so that all are named within
 	// seconds.
 	successors      = 3
 	namedInRotation = 3
-	// namedFor is how long a box that was told of is taken to live without a word of
-	// its own, as long as it leaves no question unanswered for answerWithin, some
-	// times what an answer takes.
+	// namedTimeout is how long a box that others named counts as alive without a datagram of
+	// its own, provided that it leaves no query unanswered for answerTimeout, which is several
+	// times the usual response time.
 	namedTimeout  = 15 * time.Second
 	answerTimeout = 250 * time.Millisecond
-	// doubtAfter is how long after a sum a box asks others whether its collector
-	// lives: five sums of a small hall, and one of the largest.
+	// sumTimeout is how long after a collector's last sum a box queries others about it: five
+	// sum intervals of a small hall, one of the largest.
 	sumTimeout = 250 * time.Millisecond
-	// firstAsked is how many boxes are asked at first for the collector; every
-	// widenTicks it is twice as many, so that a hall that lost most of its boxes has
-	// a collector within two seconds.
+	// initialFanout is how many boxes are queried for the collector at first. The number
+	// doubles every fanoutTicks ticks, so that a hall that lost most of its boxes has a
+	// collector within two seconds.
 	initialFanout = 2
 	fanoutTicks   = 5
-	// startPatience is how long a box that starts, or the first of a hall, waits for
-	// word of a collector once it has heard anybody, and lonePatience how long while it
-	// hears nobody, with up to loneSpread more that part the boxes: after all lost
-	// their power the seeds may be stale, and the registry is read first. settleFor is
-	// how long a box waits before it takes the role from a collector.
+	// startWait is how long a box that starts, or the first box of a hall, waits for a
+	// collector once it has heard any box; isolatedWait is how long it waits while it hears
+	// none, plus up to isolatedJitter by box. After a power loss of all boxes the seeds may be
+	// stale, and the registry has to be read first. takeoverWait is how long a box waits before
+	// it takes the role over from another collector.
 	startWait      = 300 * time.Millisecond
 	isolatedWait   = 1500 * time.Millisecond
 	isolatedJitter = time.Second
 	takeoverWait   = 2 * time.Second
-	// heldUp is the gap between ticks from which on a box counts as held up, and
-	// weakFor how long it then leaves roles to others: machines that turn slow do so
-	// for some seconds.
+	// stallThreshold is the gap between ticks above which a box counts as stalled, and
+	// stallPenalty how long it then reports strength 0 and leaves roles to others: machines
+	// that slow down do so for some seconds.
 	stallThreshold = 300 * time.Millisecond
 	stallPenalty   = 15 * time.Second
-	// forgetAfter is how long a box may be silent before it is forgotten; its
-	// record in the store is then removed too.
+	// forgetAfter is how long a box may be silent before it is removed from the members, and
+	// its record from the store.
 	forgetAfter = 5 * time.Minute
-	// countedFor is how long a silent box still counts among the boxes: it may
-	// be cut off from this one and not from targets.
+	// countTimeout is how long a silent box still counts as a member: it may be cut off from
+	// this box but not from targets.
 	countTimeout = 30 * time.Second
 )
 
 const logPrefix = "gossip: "
 
-// String names the node in the supervisor's lines.
+// String returns the node's name in the supervisor's log lines.
 func (n *Node) String() string { return "gossip of " + string(n.Box) }
 
-// Serve takes part until ctx ends.
+// Serve runs the node until ctx ends.
 func (n *Node) Serve(ctx context.Context) (err error) {
 	defer func() {
 		if err != nil && ctx.Err() == nil {
@@ -189,7 +184,7 @@
 		return err
 	}
 	n.initialize(socket)
-	stop := context.AfterFunc(ctx, func() { _ = socket.Close() }) // This ends the reading below.
+	stop := context.AfterFunc(ctx, func() { _ = socket.Close() }) // Unblocks readDatagrams.
 	defer stop()
 	go n.registerLoop(ctx)
 	go func() { _ = clock.Repeat(ctx, n.Clock, tick, n.step) }()
@@ -209,23 +204,23 @@
 	}
 }
 
-// Leave tells the others that this box stops.
+// Leave announces to the other boxes that this box shuts down.
 func (n *Node) Leave() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.leaving = true
 }
 
-// Boxes returns how many boxes there are, this one included: those that were
-// heard of lately, since a silent one may merely be cut off from here.
+// BoxCount returns the number of boxes, this one included. Boxes that have been silent for less
+// than countTimeout count, since they may merely be cut off from this one.
 func (n *Node) BoxCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.boxCount(n.Clock.Now())
 }
 
-// HallBoxes returns how many boxes of the own hall live as far as is known, this
-// one included.
+// HallBoxCount returns the number of boxes of the own hall that were seen within countTimeout,
+// this one included.
 func (n *Node) HallBoxCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -238,8 +233,8 @@
 	return boxes
 }
 
-// count returns the most boxes that the box itself, its collector or the
-// collectors of all halls together know of.
+// boxCount returns the largest of three counts: the boxes that this one has seen, those that
+// collectors of its hall report, and those of all halls' collectors together.
 func (n *Node) boxCount(now time.Time) int {
 	known, reported, local := 1, 0, 1
 	halls := make(map[barleystep.HallID]int)
@@ -276,7 +271,7 @@
 		}
 		var d datagram
 		if err := proto.Unmarshal(buffer[:size], &d); err != nil {
-			n.Log.Warn().Str("from", from.String()).Err(err).Msg(logPrefix + "A datagram cannot be read.")
+			n.Log.Warn().Str("from", from.String()).Err(err).Msg(logPrefix + "Received a malformed datagram.")
 			continue
 		}
 		n.receive(ctx, &d, from)
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -13,14 +13,14 @@
 	"github.com/barleystep/barleystep/internal/balance"
 )
 
-// receive takes in a datagram.
+// receive processes a datagram.
 func (n *Node) receive(ctx context.Context, d *datagram, from netip.AddrPort) {
 	now := n.Clock.Now()
 	n.mu.Lock()
 	m := n.updateMember(barleystep.BoxID(d.GetBox()), barleystep.HallID(d.GetHall()), from, d.GetIncarnation(), now)
 	if m == nil || d.GetSequence() <= m.sequence {
 		n.mu.Unlock()
-		return // It is our own, or came late or twice.
+		return // It is our own, delayed or a duplicate.
 	}
 	m.sequence = d.GetSequence()
 	m.peerSent, m.receivedAt = d.GetSentNs(), now
@@ -29,22 +29,22 @@
 	if d.GetAsks() {
 		n.answer(m, now)
 	}
-	confirmedAt := n.confirmations(d)
+	confirmations := n.confirmations(d)
 	n.mu.Unlock()
 	for i, state := range d.GetTopics() {
 		if i >= len(n.Topics) {
-			break // The sender is of a later version.
+			break // The sender runs a newer version.
 		}
 		changed := barleystep.Revision(state.GetChanged())
 		n.Topics[i].Offer(ctx, from.String(), changed)
-		if !confirmedAt[i].IsZero() {
-			n.Topics[i].Confirm(confirmedAt[i], changed)
+		if !confirmations[i].IsZero() {
+			n.Topics[i].Confirm(confirmations[i], changed)
 		}
 	}
 }
 
-// hear notes that a box lives and returns what is known of it, nil for this box and for word
-// of a life that is over.
+// updateMember records a datagram of a box and returns its member. It returns nil for this box
+// itself and for datagrams of an earlier incarnation.
 func (n *Node) updateMember(box barleystep.BoxID, hall barleystep.HallID, addr netip.AddrPort, incarnation uint64, now time.Time) *member {
 	if box == n.Box {
 		return nil
@@ -58,7 +58,7 @@
 		return nil
 	}
 	if m.incarnation != incarnation {
-		// A new life counts its datagrams anew, on a clock of its own.
+		// A new incarnation restarts its sequence numbers and its clock.
 		m.retireIncarnation()
 		m.incarnation, m.sequence, m.peerSent = incarnation, 0, 0
 	}
@@ -67,8 +67,8 @@
 	return m
 }
 
-// renounce notes that the life of the member is over that was heard last: what still comes of
-// it came late.
+// retireIncarnation records the member's current incarnation as past, so that its delayed
+// datagrams are ignored.
 func (m *member) retireIncarnation() {
 	if m.incarnation == 0 {
 		return
@@ -79,7 +79,7 @@
 	}
 }
 
-// revive notes that a box was heard of directly.
+// markAlive records that a datagram of the member arrived.
 func (n *Node) markAlive(m *member, now time.Time) {
 	m.lastHeard, m.unansweredSince = now, time.Time{}
 	if n.firstHeard.IsZero() {
@@ -93,7 +93,7 @@
 		Msg(logPrefix + "A box is alive.")
 }
 
-// takeWork keeps the work that the datagram tells of.
+// storeWork stores the snapshot of the datagram according to its scope.
 func (n *Node) storeWork(m *member, d *datagram, now time.Time) {
 	s := decodeSnapshot(d, now)
 	switch d.GetScope() {
@@ -115,7 +115,7 @@
 	n.Balancer.SetOthers(n.othersWork(now))
 }
 
-// hearOf notes the boxes that another one says it has heard.
+// storeNamed records the boxes that another box lists as recently heard.
 func (n *Node) storeNamed(from *member, d *datagram, now time.Time) {
 	for _, o := range d.GetMembers() {
 		addr, err := netip.ParseAddrPort(o.GetAddr())
@@ -129,7 +129,7 @@
 			n.members[box] = m
 		}
 		if now.Sub(m.lastHeard) <= aliveTimeout {
-			continue // What it says itself is newer.
+			continue // Its own datagrams are newer.
 		}
 		m.hall, m.strength = from.hall, o.GetStrength()
 		if o.GetHall() != "" {
@@ -137,12 +137,12 @@
 		}
 		m.addr, m.lastNamed = addr, now
 		if now.Sub(m.unansweredSince) > answerTimeout {
-			m.unansweredSince = time.Time{} // Somebody else heard it since.
+			m.unansweredSince = time.Time{} // Another box has heard it since.
 		}
 	}
 }
 
-// takeOut removes this box's own work, as it was merged, from its hall's.
+// subtractOwn subtracts this box's own work, as the sender merged it, from the sum in s.
 func (n *Node) subtractOwn(s balance.Snapshot, d *datagram) {
 	for _, o := range d.GetMembers() {
 		if barleystep.BoxID(o.GetBox()) != n.Box || o.GetIncarnation() != n.incarnation {
@@ -155,10 +155,9 @@
 	}
 }
 
-// proofs returns, for each topic, the time before which the sender has missed no
-// change, on this box's clock, zero if it does not say. The sender's statement
-// was made after this box's datagram that it echoes, by at least the time that it
-// held it.
+// confirmations returns, for each topic, the time on this box's clock before which the sender
+// has missed no change, zero without a confirmation. The sender read its state after it
+// received the datagram of this box that it echoes, and at least the echoed hold time later.
 func (n *Node) confirmations(d *datagram) []time.Time {
 	list := make([]time.Time, len(d.GetTopics()))
 	if d.GetEchoNs() == 0 || d.GetEchoIncarnation() != n.incarnation {
@@ -172,9 +171,8 @@
 	return list
 }
 
-// others returns the work and demand of all other boxes: as the collector tells
-// it or, at the collector, from the reports of its hall and the other halls'
-// sums.
+// othersWork returns the work and demand of all other boxes: the total that the collector sent
+// or, on the collector, the reports of its hall and the sums of the other halls.
 func (n *Node) othersWork(now time.Time) balance.Snapshot {
 	total := balance.NewSnapshot()
 	if !n.collecting {
@@ -188,10 +186,10 @@
 	return total
 }
 
-// told returns the box whose sum counts: the one that this box goes by or, between
-// two collectors, the one that sent the last.
+// latestTotal returns the member whose total is used: the current collector or, while none is
+// current, the box of the hall that sent the latest valid total.
 func (n *Node) latestTotal(now time.Time) *member {
-	if c := n.currentCollector(now); c != nil {
+	if c := n.collector(now); c != nil {
 		return c
 	}
 	var last *member
@@ -203,7 +201,7 @@
 	return last
 }
 
-// addHalls adds the last sums of the other halls.
+// addHallSums adds the latest sums of the other halls to total.
 func (n *Node) addHallSums(total balance.Snapshot, now time.Time) {
 	latest := make(map[barleystep.HallID]*member)
 	for _, m := range n.members {
@@ -219,7 +217,7 @@
 	}
 }
 
-// addReports adds the last reports of the hall's other boxes.
+// addReports adds the latest reports of the hall's other boxes to total.
 func (n *Node) addReports(total balance.Snapshot, now time.Time) {
 	for _, m := range n.members {
 		if m.hall == n.Hall && now.Sub(m.ownAt) <= snapshotTTL {
--- a/internal/gossip/registry.go
+++ b/internal/gossip/registry.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	// announcePause is the wait between looks whether the box has to be registered,
-	// and between tries while the store is away; alone a box waits up to
-	// longestAnnouncePause between its looks at the registry.
+	// registerInterval is the wait between checks whether the box has to be registered, and the
+	// first wait between calls while the store is unavailable. While no other box is heard, the
+	// wait doubles up to maxRegisterInterval between reads of the registry.
 	registerInterval    = 200 * time.Millisecond
 	maxRegisterInterval = 8 * time.Second
-	// aloneFor is how long a box hears nobody before it counts as alone: by then
-	// others have taken over the roles of boxes that were lost.
+	// aloneTimeout is how long a box hears no other before it counts as alone; by then other
+	// boxes have taken over the roles of those that failed.
 	aloneTimeout = 2 * time.Second
-	// collectingFor is how long a box collects before it is registered: while all
-	// boxes start, roles go from hand to hand.
+	// registerDelay is how long a box has been collector before it registers: roles change
+	// often while all boxes start.
 	registerDelay = time.Second
-	// withdrawTimeout bounds the removal of a forgotten box's record.
+	// withdrawTimeout bounds the removal of a box's record.
 	withdrawTimeout = 2 * time.Second
 )
 
-// announce reads the registry while the box hears of nobody, and registers this box
-// where others could not find it without: once it collects for its hall, and where
-// the registry names nobody who answers. Each of the others is known to its
-// collector, so that hundreds of boxes start without a call to the store for each.
+// registerLoop reads the registry while no other box is heard, and registers this box where
+// others could not find it otherwise: once it is the collector of its hall, or while no
+// registered box answers. All other boxes are known to their collector, so hundreds of boxes
+// start without a call to the store for each.
 func (n *Node) registerLoop(ctx context.Context) {
 	value, err := barleystep.EncodeBox(barleystep.NewBox(n.Box, n.Hall, n.Addr, false))
 	if err != nil {
-		n.Log.Error().Err(err).Msg(logPrefix + "The own record cannot be encoded.")
+		n.Log.Error().Err(err).Msg(logPrefix + "Cannot encode this box's registry record.")
 		return
 	}
 	pause, registered := registerInterval, false
@@ -44,24 +44,25 @@
 		pause = 0
 	}
 	for clock.Sleep(ctx, n.Clock, pause) {
-		alone, isolated, collecting := n.registrationState()
-		if !alone && (registered || !collecting) {
+		alone, isolated, isCollector := n.registrationState()
+		if !alone && (registered || !isCollector) {
 			pause = registerInterval
 			continue
 		}
-		force := !registered && (collecting || isolated)
+		force := !registered && (isCollector || isolated)
 		published, err := n.register(ctx, value, force, !registered)
 		if err != nil {
-			n.Log.Warn().Err(err).Msg(logPrefix + "The registry does not answer. The box tries again.")
+			n.Log.Warn().Err(err).Msg(logPrefix + "Registration failed; retrying.")
 		}
 		registered = registered || published
 		pause = min(2*max(pause, registerInterval), maxRegisterInterval)
 	}
 }
 
-// standing reports whether this box hears of nobody now, whether it has done so for
-// long, and whether it has collected for a while.
-func (n *Node) registrationState() (alone, isolated, collecting bool) {
+// registrationState reports whether this box hears no other box now (alone), has heard none
+// since isolatedWait after its start (isolated), and has been collector for registerDelay
+// (isCollector).
+func (n *Node) registrationState() (alone, isolated, isCollector bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.Clock.Now()
@@ -70,8 +71,8 @@
 	return heard == nil, isolated, n.collecting && now.Sub(n.collectingSince) >= registerDelay
 }
 
-// register reads the others' records, and writes this box's if that is wanted or, where
-// it may, if there are no others.
+// register reads the records of the other boxes. It writes this box's record if force is set,
+// or if ifNoOthers is set and there are no other boxes.
 func (n *Node) register(ctx context.Context, value []byte, force, ifNoOthers bool) (published bool, err error) {
 	defer func() {
 		if err != nil {
@@ -90,9 +91,9 @@
 	return err == nil, err
 }
 
-// learn takes in the records and returns how many of them name other boxes. One that no
-// box wrote names none; there is one line about all of them, since the registry is read
-// again and again by a box that hears nobody.
+// addRecords adds the boxes of the records and returns how many records name other boxes.
+// Records that do not decode as a box share one log line, since a box that hears no other reads
+// the registry again and again.
 func (n *Node) addRecords(records []barleystep.Record) (others int) {
 	var firstErr error
 	invalid := 0
@@ -110,12 +111,12 @@
 	}
 	if invalid > 0 {
 		n.Log.Warn().Int("records", invalid).Str("reason", strict.ReasonOf(firstErr).String()).Err(firstErr).
-			Msg(logPrefix + "Records of the registry name no box.")
+			Msg(logPrefix + "Ignored invalid box records in the registry.")
 	}
 	return others
 }
 
-// decodeBox reads a box's record with its address.
+// decodeBox decodes a box's record and its address.
 func decodeBox(r barleystep.Record) (b barleystep.Box, addr netip.AddrPort, err error) {
 	if b, err = barleystep.DecodeBox(r); err != nil {
 		return barleystep.Box{}, netip.AddrPort{}, err
@@ -133,13 +134,12 @@
 	n.members[box] = &member{box: box, hall: hall, addr: addr, addedAt: n.Clock.Now()}
 }
 
-// withdraw removes the record of a box that was silent for very long. A box
-// that was merely cut off writes it anew at its next start, and is found again
-// by what it sends.
+// removeRecord removes the record of a box that has been silent for forgetAfter. A box that was
+// merely cut off writes the record again at its next start, and is found by its datagrams.
 func (n *Node) removeRecord(box barleystep.BoxID) {
 	ctx, cancel := clock.WithDeadline(context.Background(), n.Clock, n.Clock.Now().Add(withdrawTimeout))
 	defer cancel()
 	if err := n.Catalogue.Withdraw(ctx, barleystep.TopicBoxes, string(box)); err != nil {
-		n.Log.Warn().Str("box", string(box)).Err(err).Msg(logPrefix + "A forgotten box's record could not be removed.")
+		n.Log.Warn().Str("box", string(box)).Err(err).Msg(logPrefix + "Cannot remove the registry record of a silent box.")
 	}
 }
--- a/internal/gossip/registry_internal_test.go
+++ b/internal/gossip/registry_internal_test.go
@@ -15,7 +15,7 @@
 	"github.com/barleystep/barleystep/internal/clock"
 )
 
-// shelf is a registry in memory.
+// fakeRegistry is an in-memory registry.
 type fakeRegistry struct {
 	records   []barleystep.Record
 	published int
@@ -36,8 +36,8 @@
 
 func (*fakeRegistry) Withdraw(context.Context, barleystep.Topic, string) error { return nil }
 
-// TestRegisterForeign checks that records that no box wrote neither name a box, nor keep
-// this one from registering itself, nor fill the log, and that the others hold.
+// TestRegisterInvalidRecords checks that invalid records neither add a member, nor keep this
+// box from registering, nor fill the log, and that valid ones are still used.
 func TestRegisterInvalidRecords(t *testing.T) {
 	var invalid []barleystep.Record
 	for i := range 50 {
@@ -51,9 +51,9 @@
 	}{
 		"nobody":                 {nil, 0, 0, 1},
 		"another box":            {[]barleystep.Record{other}, 1, 0, 0},
-		"foreign records":        {invalid, 0, 1, 1},
-		"foreign ones and a box": {append(invalid, other), 1, 1, 0},
-		"this box under another's hand": {
+		"invalid records":        {invalid, 0, 1, 1},
+		"invalid records and a box": {append(invalid, other), 1, 1, 0},
+		"own record overwritten": {
 			[]barleystep.Record{barleystep.NewRecord("own", []byte(`{}`))}, 0, 1, 1,
 		},
 	}
--- a/internal/gossip/role.go
+++ b/internal/gossip/role.go
@@ -8,14 +8,15 @@
 	"github.com/barleystep/barleystep/internal/balance"
 )
 
-// Collects reports whether this box is the collector of its hall.
+// IsCollector reports whether this box is the collector of its hall.
 func (n *Node) IsCollector() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.collecting
 }
 
-// Leads reports whether this box is the one that decides and reads for all.
+// IsLead reports whether this box is the lead, which places prompts and reads the store for
+// all.
 func (n *Node) IsLead() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -24,7 +25,7 @@
 
 func (n *Node) isLead(now time.Time) bool { return n.collecting && n.leadAddr(now) == n.Addr }
 
-// role returns this box's part among the boxes that it knows.
+// role returns this box's role among the boxes that it knows.
 func (n *Node) role(now time.Time) balance.Role {
 	return balance.Role{
 		IsLead:    n.isLead(now),
@@ -33,8 +34,8 @@
 	}
 }
 
-// reached returns how many boxes a collector hears of, by itself or from the collectors of
-// other halls; itself is one.
+// reachableBoxes returns how many boxes a collector hears, directly or through the collectors
+// of other halls, itself included.
 func (n *Node) reachableBoxes(now time.Time) int {
 	boxes := 1
 	for _, m := range n.members {
@@ -42,7 +43,7 @@
 			boxes++
 		}
 	}
-	for _, hall := range n.otherHalls() {
+	for _, hall := range n.halls() {
 		if m := n.collectorOf(hall, now); m != nil {
 			boxes += m.hallBoxes
 		}
@@ -50,26 +51,25 @@
 	return boxes
 }
 
-// Lead returns the address of the one box that decides for all; ok is false if
-// that is this box, or if none is known. Boxes that are cut off from each other have
-// leads of their own.
+// Lead returns the address of the lead; ok is false if this box is the lead or none is known.
+// Each side of a network partition has a lead of its own.
 func (n *Node) Lead() (addr string, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.Clock.Now()
 	if n.collecting {
 		addr = n.leadAddr(now)
-	} else if c := n.currentCollector(now); c != nil {
+	} else if c := n.collector(now); c != nil {
 		addr = c.leadAddr
 	}
 	return addr, addr != "" && addr != n.Addr
 }
 
-// leadAddr returns the lead as the collector of a hall sees it: the first of the
-// halls' collectors.
+// leadAddr returns the address of the lead as the collector of a hall sees it: the first by
+// rank of the halls' collectors.
 func (n *Node) leadAddr(now time.Time) string {
 	first, best := n.Addr, n.rank(now)
-	for _, hall := range n.otherHalls() {
+	for _, hall := range n.halls() {
 		if m := n.collectorOf(hall, now); m != nil && m.rank().before(best) {
 			first, best = m.addr.String(), m.rank()
 		}
@@ -77,11 +77,11 @@
 	return first
 }
 
-// rank returns this box's own place among the candidates.
+// rank returns this box's own rank among the candidates.
 func (n *Node) rank(now time.Time) rank { return rankOf(n.Box, n.currentStrength(now)) }
 
-// strength is what this box tells of itself: nothing for a while after it was held
-// up, so that a role moves away from a box that cannot fill it.
+// currentStrength returns the strength that this box reports: zero for stallPenalty after a
+// stall, so that a role moves away from a box that cannot fill it.
 func (n *Node) currentStrength(now time.Time) uint32 {
 	if now.Before(n.penaltyUntil) {
 		return 0
@@ -89,9 +89,9 @@
 	return n.Strength
 }
 
-// source returns the box whose sums this box goes by: the first of its hall that
-// sent one lately, nil if none did. One that leaves is the last choice.
-func (n *Node) currentCollector(now time.Time) *member {
+// collector returns the collector that this box follows: the first by rank of its hall that
+// sent a sum within aliveTimeout, nil without one. A leaving box is chosen last.
+func (n *Node) collector(now time.Time) *member {
 	return n.best(func(m *member) bool { return m.hall == n.Hall && now.Sub(m.sumAt) <= aliveTimeout })
 }
 
@@ -100,8 +100,8 @@
 	return n.best(func(m *member) bool { return m.hall == hall && now.Sub(m.hallSumAt) <= aliveTimeout })
 }
 
-// first returns the first by rank of the boxes that meet a condition, those that
-// leave after all others.
+// best returns the first by rank of the members that match, with leaving ones after all others;
+// nil if none matches.
 func (n *Node) best(matches func(m *member) bool) *member {
 	var best *member
 	for _, m := range n.members {
@@ -115,8 +115,8 @@
 	return best
 }
 
-// superiors returns the boxes of the hall that come before this one and are taken
-// to live, in their order.
+// betterCandidates returns the boxes of the hall that rank before this one and are presumed
+// alive, ordered by rank.
 func (n *Node) betterCandidates(now time.Time) []*member {
 	own := n.rank(now)
 	var list []*member
@@ -129,8 +129,8 @@
 	return list
 }
 
-// strangers returns boxes that are known from the registry only: how they rank is
-// told by themselves.
+// unheardMembers returns the boxes that are known only from the registry, whose strength is
+// unknown until they answer.
 func (n *Node) unheardMembers(now time.Time) []*member {
 	var list []*member
 	for _, m := range n.members {
@@ -142,44 +142,45 @@
 	return list
 }
 
-// choose takes the collector's role up or lays it down. A collector goes on until it
-// hears the sums of one that comes before it, so that its hall is never without; two
-// at a time do no harm, since each box goes by the sums of one.
+// updateRole takes or gives up the collector role, then queries for a collector if none is
+// heard. A collector keeps the role until it receives the sums of one that ranks before it, so
+// that its hall is never without one. Two collectors at a time do no harm, since each box
+// follows only one.
 func (n *Node) updateRole(own balance.Snapshot, now time.Time) {
-	source := n.currentCollector(now)
+	collector := n.collector(now)
 	switch {
-	case n.collecting && source != nil && n.shouldYield(source, now):
+	case n.collecting && collector != nil && n.shouldYield(collector, now):
 		n.collecting = false
-		n.Log.Info().Str("collector", string(source.box)).Bool("leaving", n.leaving).Uint32("strength", n.currentStrength(now)).
-			Msg(logPrefix + "This box has stopped collecting for its hall.")
-	case !n.collecting && !n.leaving && n.mayCollect(now, source) && len(n.betterCandidates(now)) == 0:
+		n.Log.Info().Str("collector", string(collector.box)).Bool("leaving", n.leaving).Uint32("strength", n.currentStrength(now)).
+			Msg(logPrefix + "This box is no longer the collector of its hall.")
+	case !n.collecting && !n.leaving && n.mayCollect(now, collector) && len(n.betterCandidates(now)) == 0:
 		n.collecting, n.collectingSince = true, now
 		event := n.Log.Info().Uint32("strength", n.currentStrength(now)).Int("known", len(n.members))
-		if source != nil {
-			event = event.Str("instead_of", string(source.box))
+		if collector != nil {
+			event = event.Str("instead_of", string(collector.box))
 		}
-		event.Msg(logPrefix + "This box collects for its hall.")
+		event.Msg(logPrefix + "This box is now the collector of its hall.")
 	}
-	n.findCollector(own, now, source)
+	n.findCollector(own, now, collector)
 }
 
-// yields reports whether this collector leaves the role to another one.
-func (n *Node) shouldYield(source *member, now time.Time) bool {
-	if n.leaving || source.leaving {
-		return !source.leaving
+// shouldYield reports whether this collector gives the role up to source.
+func (n *Node) shouldYield(collector *member, now time.Time) bool {
+	if n.leaving || collector.leaving {
+		return !collector.leaving
 	}
-	return source.rank().before(n.rank(now))
+	return collector.rank().before(n.rank(now))
 }
 
-// settled reports whether this box may take the role up: without a collector, once
-// others had the time to tell of themselves; beside one, once it knows what it would
-// pass on and has listened for longer.
-func (n *Node) mayCollect(now time.Time, source *member) bool {
+// mayCollect reports whether this box may take the collector role. Without a collector, other
+// boxes must have had time to announce themselves; beside one, this box must have read all
+// topics and have been up for takeoverWait.
+func (n *Node) mayCollect(now time.Time, collector *member) bool {
 	up := now.Sub(n.origin)
-	if source == nil && n.firstHeard.IsZero() {
+	if collector == nil && n.firstHeard.IsZero() {
 		return up >= isolatedWait+time.Duration(n.Box.Jitter()*float64(isolatedJitter))
 	}
-	if source == nil {
+	if collector == nil {
 		return now.Sub(n.firstHeard) >= startWait
 	}
 	for _, t := range n.Topics {
@@ -190,11 +191,10 @@
 	return up >= takeoverWait
 }
 
-// ask has boxes answer while this one hears no sums, or has not heard any for
-// longer than usual: first those that would be the collector, more of them the
-// longer none answers, and the seeds.
-func (n *Node) findCollector(own balance.Snapshot, now time.Time, source *member) {
-	if n.collecting || (source != nil && now.Sub(source.sumAt) <= sumTimeout) {
+// findCollector queries other boxes while this one hears no sums, or none for longer than
+// sumTimeout: first the best candidates, more of them the longer no sum arrives, and the seeds.
+func (n *Node) findCollector(own balance.Snapshot, now time.Time, collector *member) {
+	if n.collecting || (collector != nil && now.Sub(collector.sumAt) <= sumTimeout) {
 		n.fanout = initialFanout
 		return
 	}
@@ -208,7 +208,7 @@
 		queried++
 		n.query(d, now, m)
 	}
-	if source != nil {
+	if collector != nil {
 		return
 	}
 	if n.ticks%fanoutTicks == 0 {
@@ -222,7 +222,7 @@
 	}
 }
 
-// askAbroad asks a box of another hall which boxes there are in this one.
+// queryOtherHall asks a box of another hall which boxes this hall has.
 func (n *Node) queryOtherHall(d *datagram, now time.Time) {
 	m := n.best(func(m *member) bool { return m.hall != n.Hall && m.presumedAlive(now) })
 	if m != nil && n.ticks%seedTicks == 1 {
@@ -230,7 +230,7 @@
 	}
 }
 
-// question sends a datagram that wants an answer.
+// query sends a datagram that requests an answer.
 func (n *Node) query(d *datagram, now time.Time, m *member) {
 	if m.unansweredSince.IsZero() && now.Sub(m.lastHeard) > aliveTimeout {
 		m.unansweredSince = now
@@ -238,8 +238,9 @@
 	n.send(d, now, m)
 }
 
-// rouse notes that this box did not run for a while: silence of the others in that
-// time says nothing of them, and a role is better elsewhere.
+// detectStall detects that this box did not run for a while. The silence of other boxes in that
+// time says nothing about them, so their timestamps are shifted by the gap, and this box
+// reports strength 0 so that its roles move elsewhere.
 func (n *Node) detectStall(now time.Time) {
 	gap := now.Sub(n.lastStep)
 	stalled := !n.lastStep.IsZero() && gap > stallThreshold
@@ -248,7 +249,7 @@
 		return
 	}
 	n.penaltyUntil = now.Add(stallPenalty)
-	n.Log.Warn().Dur("gap", gap).Bool("collects", n.collecting).Msg(logPrefix + "This box was held up.")
+	n.Log.Warn().Dur("gap", gap).Bool("collects", n.collecting).Msg(logPrefix + "This box stalled between two ticks.")
 	for _, m := range n.members {
 		for _, t := range []*time.Time{&m.lastHeard, &m.sumAt, &m.hallSumAt} {
 			if !t.IsZero() && now.Sub(*t) < gap+aliveTimeout {
--- a/internal/gossip/send.go
+++ b/internal/gossip/send.go
@@ -14,7 +14,7 @@
 	"github.com/barleystep/barleystep/internal/balance"
 )
 
-// step is done once a tick.
+// step runs once per tick.
 func (n *Node) step(context.Context) {
 	own := n.Balancer.Snapshot()
 	now := n.Clock.Now()
@@ -28,7 +28,7 @@
 	n.updateRole(own, now)
 	if n.collecting {
 		n.distributeSums(own, now)
-	} else if c := n.currentCollector(now); c != nil {
+	} else if c := n.collector(now); c != nil {
 		n.send(n.report(own, now), now, c)
 	}
 	if n.collecting && n.ticks%probeTicks == 1 {
@@ -43,13 +43,13 @@
 	delete(n.sent, n.sequence-maxSent)
 }
 
-// age notes which boxes have fallen silent.
+// detectSilent marks members that have fallen silent, and removes those silent for forgetAfter.
 func (n *Node) detectSilent(now time.Time) {
 	for box, m := range n.members {
 		silent := now.Sub(m.lastSeen())
 		if m.alive && now.Sub(m.lastHeard) > aliveTimeout {
 			m.alive = false
-			n.memberEvent(log.WarnLevel).Str("box", string(box)).Dur("silent", silent).Msg(logPrefix + "A box is silent.")
+			n.memberEvent(log.WarnLevel).Str("box", string(box)).Dur("silent", silent).Msg(logPrefix + "A box has fallen silent.")
 		}
 		if silent <= forgetAfter {
 			continue
@@ -61,9 +61,9 @@
 	}
 }
 
-// watched begins a line on another box's life: for the log of a collector, which
-// hears its whole hall, and for debugging elsewhere, where boxes are heard now and
-// then only.
+// memberEvent returns a log entry about the state of another box. A collector, which hears its
+// whole hall, logs at the given level; other boxes hear members only occasionally and log at
+// debug level.
 func (n *Node) memberEvent(level log.Level) *log.Entry {
 	if n.collecting {
 		return n.Log.WithLevel(level)
@@ -77,8 +77,8 @@
 	return d
 }
 
-// distribute sends the sum of the hall to the other halls, and that of all halls
-// to its own boxes.
+// distributeSums sends the sum of the hall to the other halls, and the total of all halls to
+// the hall's boxes.
 func (n *Node) distributeSums(own balance.Snapshot, now time.Time) {
 	sum := balance.NewSnapshot()
 	sum.Add(own)
@@ -98,14 +98,14 @@
 	n.sendTotal(d, members, now)
 }
 
-// tellHalls sends the hall's sum to the collectors of the other halls, and asks for
-// them where none is known. Now and then it names the collectors to each other: halls
-// without a seed would not meet otherwise.
+// sendHallSum sends the hall's sum to the collectors of the other halls, and queries halls
+// whose collector is unknown. Every probeTicks ticks it also names the collectors to each
+// other, since halls without a seed would not find each other otherwise.
 func (n *Node) sendHallSum(d *datagram, now time.Time) {
 	if n.ticks%probeTicks == 0 {
 		d.Members = n.otherCollectors(now)
 	}
-	for _, hall := range n.otherHalls() {
+	for _, hall := range n.halls() {
 		d.Asks = false
 		if m := n.collectorOf(hall, now); m != nil {
 			n.send(d, now, m)
@@ -119,11 +119,11 @@
 	}
 }
 
-// tellHall sends the sum of all halls to the own hall's boxes: to the next
-// collectors at every tick, to all others in their turn.
+// sendTotal sends the total of all halls to the own hall's boxes: to the successors at every
+// tick, to all others every sumIntervalTicks ticks.
 func (n *Node) sendTotal(d *datagram, members []*gossipv1.Member, now time.Time) {
-	due := n.ticks%sumIntervalTicks(len(members), len(d.GetWork())) == 0
-	if due {
+	rotation := n.ticks%sumIntervalTicks(len(members), len(d.GetWork())) == 0
+	if rotation {
 		n.rotation++
 	}
 	others := n.otherCollectors(now)
@@ -132,7 +132,7 @@
 			continue
 		}
 		isSuccessor := containsBox(members[:min(successors, len(members))], m.box)
-		if !due && !isSuccessor {
+		if !rotation && !isSuccessor {
 			continue
 		}
 		d.Members = n.namedMembers(members, m.box)
@@ -143,10 +143,10 @@
 	}
 }
 
-// otherCollectors lists the collectors of the other halls.
+// otherCollectors returns the collectors of the other halls.
 func (n *Node) otherCollectors(now time.Time) []*gossipv1.Member {
 	var list []*gossipv1.Member
-	for _, hall := range n.otherHalls() {
+	for _, hall := range n.halls() {
 		if m := n.collectorOf(hall, now); m != nil {
 			list = append(list, m.toProto())
 		}
@@ -158,7 +158,7 @@
 	return slices.ContainsFunc(members, func(m *gossipv1.Member) bool { return m.GetBox() == string(box) })
 }
 
-// wire returns the member as it is named to others.
+// toProto returns the member in its wire form.
 func (m *member) toProto() *gossipv1.Member {
 	return &gossipv1.Member{
 		Box:         string(m.box),
@@ -170,7 +170,7 @@
 	}
 }
 
-// answer tells a box that asked of the first boxes of its hall and of this one's
+// answer replies to a query with the best candidates of the sender's hall and this box's
 // collector.
 func (n *Node) answer(m *member, now time.Time) {
 	d := n.datagram(now)
@@ -179,13 +179,14 @@
 			d.Members = append(d.Members, o.toProto())
 		}
 	}
-	if c := n.currentCollector(now); c != nil && c != m && now.Sub(c.sumAt) <= sumTimeout {
+	if c := n.collector(now); c != nil && c != m && now.Sub(c.sumAt) <= sumTimeout {
 		d.Members = append(d.Members, c.toProto())
 	}
 	n.send(d, now, m)
 }
 
-// hallFirst returns the first boxes of a hall that were heard a moment ago.
+// hallCandidates returns the first boxes by rank of a hall that were heard within sumTimeout,
+// at most successors of them.
 func (n *Node) hallCandidates(hall barleystep.HallID, now time.Time) []*member {
 	var list []*member
 	for _, m := range n.members {
@@ -197,12 +198,12 @@
 	return list[:min(successors, len(list))]
 }
 
-// turnTicks returns every how many ticks a sum over so many targets is sent to so many
-// boxes.
+// sumIntervalTicks returns the number of ticks between sums over the given number of targets to
+// the given number of boxes.
 func sumIntervalTicks(boxes, targets int) int { return min(1+boxes*targets/maxSumEntries, maxSumTicks) }
 
-// named returns the boxes of which a receiver is told: itself, whose work it takes
-// out of the sum, the next collectors, and some others in turn.
+// namedMembers returns the members to name to a receiver: itself, so that it can subtract its
+// own work, the successors, and some others in rotation.
 func (n *Node) namedMembers(members []*gossipv1.Member, receiver barleystep.BoxID) []*gossipv1.Member {
 	list := slices.Clone(members[:min(successors, len(members))])
 	rest := members[len(list):]
@@ -216,8 +217,8 @@
 	return list
 }
 
-// halls returns the other halls.
-func (n *Node) otherHalls() []barleystep.HallID {
+// halls returns the ids of the other halls.
+func (n *Node) halls() []barleystep.HallID {
 	var halls []barleystep.HallID
 	for _, m := range n.members {
 		if m.hall != n.Hall && !slices.Contains(halls, m.hall) {
@@ -227,9 +228,8 @@
 	return halls
 }
 
-// hallMembers lists the other boxes of the hall that were heard a moment ago, with
-// the datagrams that were merged, in the order in which they would become
-// collectors.
+// hallMembers returns the other boxes of the hall that were heard within aliveTimeout, ordered
+// by rank, with the sequence numbers of the reports that were merged.
 func (n *Node) hallMembers(now time.Time) []*gossipv1.Member {
 	var heard []*member
 	for _, m := range n.members {
@@ -241,14 +241,14 @@
 	list := make([]*gossipv1.Member, len(heard))
 	for i, m := range heard {
 		list[i] = m.toProto()
-		list[i].Hall = "" // It is the sender's own.
+		list[i].Hall = "" // It is the sender's own hall.
 	}
 	return list
 }
 
-// probe tells silent boxes of this collector: those of its hall, and those of halls
-// without any word, so that a healed partition is noticed. Seeds that are none of
-// the boxes known here are told too.
+// probe sends this collector's state to silent boxes of its hall, to boxes of halls without a
+// known collector, and to seeds that are not known members, so that a healed partition is
+// detected.
 func (n *Node) probe(own balance.Snapshot, now time.Time) {
 	d := n.report(own, now)
 	d.Asks = true
@@ -260,8 +260,8 @@
 	n.querySeeds(d, now)
 }
 
-// askSeeds asks the seeds; a collector leaves out the boxes that it knows, which it
-// probes itself.
+// querySeeds sends the datagram to the seeds. A collector omits the seeds that are known
+// members, which it probes itself.
 func (n *Node) querySeeds(d *datagram, now time.Time) {
 	known := make(map[netip.AddrPort]bool)
 	for _, m := range n.members {
@@ -276,7 +276,7 @@
 	}
 }
 
-// datagram returns one without work, echo or members.
+// datagram returns a datagram without work, echo or members.
 func (n *Node) datagram(now time.Time) *datagram {
 	return &datagram{
 		Box:         string(n.Box),
@@ -288,14 +288,14 @@
 	}
 }
 
-// send fills in what differs between receivers and sends the datagram. All ages
-// are taken at one moment: a process that is held up afterwards states nothing
-// that was not true then.
+// send fills in the fields that differ between receivers and sends the datagram. All ages are
+// taken at the same time, so a process that stalls afterwards states nothing that was false
+// then.
 func (n *Node) send(d *datagram, now time.Time, m *member) {
 	d.SentNs = int64(now.Sub(n.origin))
 	d.Topics = d.Topics[:0]
 	for _, t := range n.Topics {
-		// The age is read after now was, so it is no younger than at now.
+		// The age is read after now was taken, so it is at least the age at now.
 		changed, age := t.State()
 		d.Topics = append(d.Topics, &gossipv1.TopicState{Changed: uint64(changed), ProofAgeNs: int64(age)})
 	}
@@ -309,10 +309,10 @@
 func (n *Node) write(d *datagram, addr netip.AddrPort) {
 	data, err := proto.Marshal(d)
 	if err != nil {
-		n.Log.Error().Err(err).Msg(logPrefix + "A datagram cannot be encoded.")
+		n.Log.Error().Err(err).Msg(logPrefix + "Cannot encode a datagram.")
 		return
 	}
 	if err := n.socket.WriteTo(data, addr); err != nil {
-		n.Log.Debug().Str("to", addr.String()).Err(err).Msg(logPrefix + "A datagram could not be sent.")
+		n.Log.Debug().Str("to", addr.String()).Err(err).Msg(logPrefix + "Cannot send a datagram.")
 	}
 }
--- a/internal/gossip/udp.go
+++ b/internal/gossip/udp.go
@@ -9,11 +9,11 @@
 	"github.com/barleystep/barleystep"
 )
 
-// UDP is the barleystep.Network of the operating system. Its zero value is ready
-// to use.
+// UDP implements barleystep.Network with the operating system's UDP. Its zero value is ready to
+// use.
 type UDP struct{}
 
-// Listen opens an IPv4 socket.
+// Listen opens an IPv4 UDP socket.
 func (UDP) Listen(addr netip.AddrPort) (s barleystep.Socket, err error) {
 	c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
@@ -24,7 +24,7 @@
 
 type udpSocket struct{ conn *net.UDPConn }
 
-// ReadFrom returns the next datagram and its sender.
+// ReadFrom reads the next datagram and returns its sender.
 func (s udpSocket) ReadFrom(buffer []byte) (size int, from netip.AddrPort, err error) {
 	size, from, err = s.conn.ReadFromUDPAddrPort(buffer)
 	return size, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), err
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -9,13 +9,13 @@
 	"github.com/barleystep/barleystep/internal/suspect"
 )
 
-// datagram is what boxes send each other.
+// datagram is the message that boxes exchange.
 type datagram = gossipv1.Datagram
 
-// perMilli is how a demand in engines is sent as a whole number.
+// perMilli scales a demand in engines to the integer on the wire.
 const perMilli = 1000
 
-// fill writes a snapshot into a datagram.
+// encodeSnapshot adds a snapshot to a datagram.
 func encodeSnapshot(d *datagram, s balance.Snapshot, now time.Time) {
 	for key, w := range s.Work {
 		if w == (balance.Work{}) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// statement writes what a target has said of itself.
+// encodeStatement encodes a target's statements about itself.
 func encodeStatement(key balance.Key, said balance.TimedStatement, now time.Time) *gossipv1.TargetStatement {
 	w := &gossipv1.TargetStatement{Target: uint32(key)}
 	if l := said.Limit; !l.At.IsZero() {
@@ -63,7 +63,7 @@
 	return w
 }
 
-// saidIn reads what a target has said of itself.
+// decodeStatement decodes a target's statements about itself.
 func decodeStatement(w *gossipv1.TargetStatement, now time.Time) (said balance.TimedStatement) {
 	if l := w.GetLimit(); l != nil {
 		said.Limit.At = ago(now, l.GetAgeUs())
@@ -83,10 +83,10 @@
 	return said
 }
 
-// ago returns the time that lies so many microseconds back.
+// ago returns the time that is us microseconds before now.
 func ago(now time.Time, us int64) time.Time { return now.Add(-time.Duration(us) * time.Microsecond) }
 
-// fillSuspects writes what is known of suspects into a datagram.
+// encodeSuspects adds the evidence about suspects to a datagram.
 func encodeSuspects(d *datagram, known map[suspect.Digest]suspect.Evidence, now time.Time) {
 	for digest, e := range known {
 		s := &gossipv1.Suspect{Digest: digest[:], Size: int64(e.BodySize())}
@@ -108,13 +108,13 @@
 	}
 }
 
-// suspectsOf reads what is known of suspects out of a datagram that has come now.
+// decodeSuspects decodes the evidence about suspects from a datagram received at now.
 func decodeSuspects(d *datagram, now time.Time) map[suspect.Digest]suspect.Evidence {
 	known := make(map[suspect.Digest]suspect.Evidence)
 	for _, s := range d.GetSuspects() {
 		digest, ok := suspect.DigestFromBytes(s.GetDigest())
 		if !ok {
-			continue // The sender is of a later version.
+			continue // The sender runs a newer version.
 		}
 		var ends []suspect.End
 		for _, end := range s.GetEnds() {
@@ -132,7 +132,7 @@
 	return known
 }
 
-// marksOf reads how a request ran at a target that ended.
+// decodeMarks decodes the state of a request at a target that ended.
 func decodeMarks(end *gossipv1.TargetEnd) (marks suspect.EndFlags) {
 	if end.GetUnread() {
 		marks |= suspect.BeforeFirstEvent
@@ -143,7 +143,7 @@
 	return marks
 }
 
-// snapshotOf reads a snapshot out of a datagram that has come now.
+// decodeSnapshot decodes the snapshot of a datagram received at now.
 func decodeSnapshot(d *datagram, now time.Time) balance.Snapshot {
 	s := balance.NewSnapshot()
 	for _, w := range d.GetWork() {
