--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -13,110 +13,110 @@
 	"github.com/barleystep/barleystep/internal/balance"
 )
 
-// receive takes in a datagram.
+// receive processes a datagram.
 func (n *Node) receive(ctx context.Context, d *datagram, from netip.AddrPort) {
 	now := n.Clock.Now()
 	n.mu.Lock()
-	m := n.hear(barleystep.BoxID(d.GetBox()), barleystep.HallID(d.GetHall()), from, d.GetIncarnation(), now)
+	m := n.updateMember(barleystep.BoxID(d.GetBox()), barleystep.HallID(d.GetHall()), from, d.GetIncarnation(), now)
 	if m == nil || d.GetSequence() <= m.sequence {
 		n.mu.Unlock()
-		return // It is our own, or came late or twice.
+		return // It is our own, delayed or a duplicate.
 	}
 	m.sequence = d.GetSequence()
-	m.peerSent, m.gotAt = d.GetSentNs(), now
+	m.peerSent, m.receivedAt = d.GetSentNs(), now
 	m.leaving, m.strength = d.GetLeaving(), d.GetStrength()
-	n.takeWork(m, d, now)
+	n.storeWork(m, d, now)
 	if d.GetAsks() {
 		n.answer(m, now)
 	}
-	proofs := n.proofs(d)
+	confirmations := n.confirmations(d)
 	n.mu.Unlock()
 	for i, state := range d.GetTopics() {
 		if i >= len(n.Topics) {
-			break // The sender is of a later version.
+			break // The sender runs a newer version.
 		}
 		changed := barleystep.Revision(state.GetChanged())
 		n.Topics[i].Offer(ctx, from.String(), changed)
-		if !proofs[i].IsZero() {
-			n.Topics[i].Confirm(proofs[i], changed)
+		if !confirmations[i].IsZero() {
+			n.Topics[i].Confirm(confirmations[i], changed)
 		}
 	}
 }
 
-// hear notes that a box lives and returns what is known of it, nil for this box and for word
-// of a life that is over.
-func (n *Node) hear(box barleystep.BoxID, hall barleystep.HallID, addr netip.AddrPort, incarnation uint64, now time.Time) *member {
+// updateMember records a datagram of a box and returns its member. It returns nil for this box
+// itself and for datagrams of an earlier incarnation.
+func (n *Node) updateMember(box barleystep.BoxID, hall barleystep.HallID, addr netip.AddrPort, incarnation uint64, now time.Time) *member {
 	if box == n.Box {
 		return nil
 	}
 	m, ok := n.members[box]
 	if !ok {
-		m = &member{box: box, hall: hall, added: now}
+		m = &member{box: box, hall: hall, addedAt: now}
 		n.members[box] = m
 	}
-	if slices.Contains(m.former, incarnation) {
+	if slices.Contains(m.pastIncarnations, incarnation) {
 		return nil
 	}
 	if m.incarnation != incarnation {
-		// A new life counts its datagrams anew, on a clock of its own.
-		m.renounce()
+		// A new incarnation restarts its sequence numbers and its clock.
+		m.retireIncarnation()
 		m.incarnation, m.sequence, m.peerSent = incarnation, 0, 0
 	}
 	m.hall, m.addr = hall, addr
-	n.revive(m, now)
+	n.markAlive(m, now)
 	return m
 }
 
-// renounce notes that the life of the member is over that was heard last: what still comes of
-// it came late.
-func (m *member) renounce() {
+// retireIncarnation records the member's current incarnation as past, so that its delayed
+// datagrams are ignored.
+func (m *member) retireIncarnation() {
 	if m.incarnation == 0 {
 		return
 	}
-	m.former = append(m.former, m.incarnation)
-	if len(m.former) > formerKept {
-		m.former = m.former[1:]
+	m.pastIncarnations = append(m.pastIncarnations, m.incarnation)
+	if len(m.pastIncarnations) > maxPastIncarnations {
+		m.pastIncarnations = m.pastIncarnations[1:]
 	}
 }
 
-// revive notes that a box was heard of directly.
-func (n *Node) revive(m *member, now time.Time) {
-	m.heard, m.asked = now, time.Time{}
-	if n.met.IsZero() {
-		n.met = now
+// markAlive records that a datagram of the member arrived.
+func (n *Node) markAlive(m *member, now time.Time) {
+	m.lastHeard, m.unansweredSince = now, time.Time{}
+	if n.firstHeard.IsZero() {
+		n.firstHeard = now
 	}
 	if m.alive {
 		return
 	}
 	m.alive = true
-	n.watched(log.InfoLevel).Str("box", string(m.box)).Str("hall", string(m.hall)).Str("addr", m.addr.String()).
+	n.memberEvent(log.InfoLevel).Str("box", string(m.box)).Str("hall", string(m.hall)).Str("addr", m.addr.String()).
 		Msg(logPrefix + "A box is alive.")
 }
 
-// takeWork keeps the work that the datagram tells of.
-func (n *Node) takeWork(m *member, d *datagram, now time.Time) {
-	s := snapshotOf(d, now)
+// storeWork stores the snapshot of the datagram according to its scope.
+func (n *Node) storeWork(m *member, d *datagram, now time.Time) {
+	s := decodeSnapshot(d, now)
 	switch d.GetScope() {
 	case gossipv1.Scope_SCOPE_HALL:
 		m.hallWork, m.hallAt, m.hallBoxes = s, now, int(d.GetBoxes())
-		m.summedHall = now
-		n.hearOf(m, d, now)
+		m.hallSumAt = now
+		n.storeNamed(m, d, now)
 	case gossipv1.Scope_SCOPE_ALL:
-		n.takeOut(s, d)
-		m.allWork, m.allAt, m.summed = s, now, now
+		n.subtractOwn(s, d)
+		m.allWork, m.allAt, m.sumAt = s, now, now
 		m.boxes = int(d.GetBoxes())
 		m.leadAddr = d.GetLeadAddr()
-		n.hearOf(m, d, now)
+		n.storeNamed(m, d, now)
 	default:
 		m.own, m.ownAt, m.ownSequence = s, now, d.GetSequence()
-		n.hearOf(m, d, now)
+		n.storeNamed(m, d, now)
 		return
 	}
-	n.Balancer.SetOthers(n.others(now))
+	n.Balancer.SetOthers(n.othersWork(now))
 }
 
-// hearOf notes the boxes that another one says it has heard.
-func (n *Node) hearOf(from *member, d *datagram, now time.Time) {
+// storeNamed records the boxes that another box lists as recently heard.
+func (n *Node) storeNamed(from *member, d *datagram, now time.Time) {
 	for _, o := range d.GetMembers() {
 		addr, err := netip.ParseAddrPort(o.GetAddr())
 		box := barleystep.BoxID(o.GetBox())
@@ -125,25 +125,25 @@
 		}
 		m, ok := n.members[box]
 		if !ok {
-			m = &member{box: box, added: now}
+			m = &member{box: box, addedAt: now}
 			n.members[box] = m
 		}
-		if now.Sub(m.heard) <= aliveFor {
-			continue // What it says itself is newer.
+		if now.Sub(m.lastHeard) <= aliveTimeout {
+			continue // Its own datagrams are newer.
 		}
 		m.hall, m.strength = from.hall, o.GetStrength()
 		if o.GetHall() != "" {
 			m.hall = barleystep.HallID(o.GetHall())
 		}
-		m.addr, m.named = addr, now
-		if now.Sub(m.asked) > answerWithin {
-			m.asked = time.Time{} // Somebody else heard it since.
+		m.addr, m.lastNamed = addr, now
+		if now.Sub(m.unansweredSince) > answerTimeout {
+			m.unansweredSince = time.Time{} // Another box has heard it since.
 		}
 	}
 }
 
-// takeOut removes this box's own work, as it was merged, from its hall's.
-func (n *Node) takeOut(s balance.Snapshot, d *datagram) {
+// subtractOwn subtracts this box's own work, as the sender merged it, from the sum in s.
+func (n *Node) subtractOwn(s balance.Snapshot, d *datagram) {
 	for _, o := range d.GetMembers() {
 		if barleystep.BoxID(o.GetBox()) != n.Box || o.GetIncarnation() != n.incarnation {
 			continue
@@ -155,11 +155,10 @@
 	}
 }
 
-// proofs returns, for each topic, the time before which the sender has missed no
-// change, on this box's clock, zero if it does not say. The sender's statement
-// was made after this box's datagram that it echoes, by at least the time that it
-// held it.
-func (n *Node) proofs(d *datagram) []time.Time {
+// confirmations returns, for each topic, the time on this box's clock before which the sender
+// has missed no change, zero without a confirmation. The sender read its state after it
+// received the datagram of this box that it echoes, and at least the echoed hold time later.
+func (n *Node) confirmations(d *datagram) []time.Time {
 	list := make([]time.Time, len(d.GetTopics()))
 	if d.GetEchoNs() == 0 || d.GetEchoIncarnation() != n.incarnation {
 		return list
@@ -172,42 +171,41 @@
 	return list
 }
 
-// others returns the work and demand of all other boxes: as the collector tells
-// it or, at the collector, from the reports of its hall and the other halls'
-// sums.
-func (n *Node) others(now time.Time) balance.Snapshot {
+// othersWork returns the work and demand of all other boxes: the total that the collector sent
+// or, on the collector, the reports of its hall and the sums of the other halls.
+func (n *Node) othersWork(now time.Time) balance.Snapshot {
 	total := balance.NewSnapshot()
 	if !n.collecting {
-		if c := n.told(now); c != nil {
+		if c := n.latestTotal(now); c != nil {
 			total.Add(c.allWork)
 		}
 		return total
 	}
 	n.addReports(total, now)
-	n.addHalls(total, now)
+	n.addHallSums(total, now)
 	return total
 }
 
-// told returns the box whose sum counts: the one that this box goes by or, between
-// two collectors, the one that sent the last.
-func (n *Node) told(now time.Time) *member {
-	if c := n.source(now); c != nil {
+// latestTotal returns the member whose total is used: the current collector or, while none is
+// current, the box of the hall that sent the latest valid total.
+func (n *Node) latestTotal(now time.Time) *member {
+	if c := n.collector(now); c != nil {
 		return c
 	}
 	var last *member
 	for _, m := range n.members {
-		if m.hall == n.Hall && now.Sub(m.allAt) <= snapshotLife && (last == nil || m.allAt.After(last.allAt)) {
+		if m.hall == n.Hall && now.Sub(m.allAt) <= snapshotTTL && (last == nil || m.allAt.After(last.allAt)) {
 			last = m
 		}
 	}
 	return last
 }
 
-// addHalls adds the last sums of the other halls.
-func (n *Node) addHalls(total balance.Snapshot, now time.Time) {
+// addHallSums adds the latest sums of the other halls to total.
+func (n *Node) addHallSums(total balance.Snapshot, now time.Time) {
 	latest := make(map[barleystep.HallID]*member)
 	for _, m := range n.members {
-		if m.hall == n.Hall || now.Sub(m.hallAt) > snapshotLife {
+		if m.hall == n.Hall || now.Sub(m.hallAt) > snapshotTTL {
 			continue
 		}
 		if best := latest[m.hall]; best == nil || m.hallAt.After(best.hallAt) {
@@ -219,10 +217,10 @@
 	}
 }
 
-// addReports adds the last reports of the hall's other boxes.
+// addReports adds the latest reports of the hall's other boxes to total.
 func (n *Node) addReports(total balance.Snapshot, now time.Time) {
 	for _, m := range n.members {
-		if m.hall == n.Hall && now.Sub(m.ownAt) <= snapshotLife {
+		if m.hall == n.Hall && now.Sub(m.ownAt) <= snapshotTTL {
 			total.Add(m.own)
 		}
 	}
--- a/internal/gossip/role.go
+++ b/internal/gossip/role.go
@@ -8,37 +8,38 @@
 	"github.com/barleystep/barleystep/internal/balance"
 )
 
-// Collects reports whether this box is the collector of its hall.
+// IsCollector reports whether this box is the collector of its hall.
 func (n *Node) IsCollector() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.collecting
 }
 
-// Leads reports whether this box is the one that decides and reads for all.
+// IsLead reports whether this box is the lead, which places prompts and reads the store for
+// all.
 func (n *Node) IsLead() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.leads(n.Clock.Now())
+	return n.isLead(n.Clock.Now())
 }
 
-func (n *Node) leads(now time.Time) bool { return n.collecting && n.leadAddr(now) == n.Addr }
+func (n *Node) isLead(now time.Time) bool { return n.collecting && n.leadAddr(now) == n.Addr }
 
-// role returns this box's part among the boxes that it knows.
+// role returns this box's role among the boxes that it knows.
 func (n *Node) role(now time.Time) balance.Role {
 	return balance.Role{
-		IsLead:    n.leads(now),
-		Boxes:     n.count(now),
-		Reachable: n.reached(now),
+		IsLead:    n.isLead(now),
+		Boxes:     n.boxCount(now),
+		Reachable: n.reachableBoxes(now),
 	}
 }
 
-// reached returns how many boxes a collector hears of, by itself or from the collectors of
-// other halls; itself is one.
-func (n *Node) reached(now time.Time) int {
+// reachableBoxes returns how many boxes a collector hears, directly or through the collectors
+// of other halls, itself included.
+func (n *Node) reachableBoxes(now time.Time) int {
 	boxes := 1
 	for _, m := range n.members {
-		if m.hall == n.Hall && now.Sub(m.heard) <= aliveFor {
+		if m.hall == n.Hall && now.Sub(m.lastHeard) <= aliveTimeout {
 			boxes++
 		}
 	}
@@ -50,23 +51,22 @@
 	return boxes
 }
 
-// Lead returns the address of the one box that decides for all; ok is false if
-// that is this box, or if none is known. Boxes that are cut off from each other have
-// leads of their own.
+// Lead returns the address of the lead; ok is false if this box is the lead or none is known.
+// Each side of a network partition has a lead of its own.
 func (n *Node) Lead() (addr string, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.Clock.Now()
 	if n.collecting {
 		addr = n.leadAddr(now)
-	} else if c := n.source(now); c != nil {
+	} else if c := n.collector(now); c != nil {
 		addr = c.leadAddr
 	}
 	return addr, addr != "" && addr != n.Addr
 }
 
-// leadAddr returns the lead as the collector of a hall sees it: the first of the
-// halls' collectors.
+// leadAddr returns the address of the lead as the collector of a hall sees it: the first by
+// rank of the halls' collectors.
 func (n *Node) leadAddr(now time.Time) string {
 	first, best := n.Addr, n.rank(now)
 	for _, hall := range n.halls() {
@@ -77,181 +77,182 @@
 	return first
 }
 
-// rank returns this box's own place among the candidates.
-func (n *Node) rank(now time.Time) rank { return rankOf(n.Box, n.strength(now)) }
+// rank returns this box's own rank among the candidates.
+func (n *Node) rank(now time.Time) rank { return rankOf(n.Box, n.currentStrength(now)) }
 
-// strength is what this box tells of itself: nothing for a while after it was held
-// up, so that a role moves away from a box that cannot fill it.
-func (n *Node) strength(now time.Time) uint32 {
-	if now.Before(n.weakUntil) {
+// currentStrength returns the strength that this box reports: zero for stallPenalty after a
+// stall, so that a role moves away from a box that cannot fill it.
+func (n *Node) currentStrength(now time.Time) uint32 {
+	if now.Before(n.penaltyUntil) {
 		return 0
 	}
 	return n.Strength
 }
 
-// source returns the box whose sums this box goes by: the first of its hall that
-// sent one lately, nil if none did. One that leaves is the last choice.
-func (n *Node) source(now time.Time) *member {
-	return n.first(func(m *member) bool { return m.hall == n.Hall && now.Sub(m.summed) <= aliveFor })
+// collector returns the collector that this box follows: the first by rank of its hall that
+// sent a sum within aliveTimeout, nil without one. A leaving box is chosen last.
+func (n *Node) collector(now time.Time) *member {
+	return n.best(func(m *member) bool { return m.hall == n.Hall && now.Sub(m.sumAt) <= aliveTimeout })
 }
 
 // collectorOf returns the collector of another hall, nil if none is known.
 func (n *Node) collectorOf(hall barleystep.HallID, now time.Time) *member {
-	return n.first(func(m *member) bool { return m.hall == hall && now.Sub(m.summedHall) <= aliveFor })
+	return n.best(func(m *member) bool { return m.hall == hall && now.Sub(m.hallSumAt) <= aliveTimeout })
 }
 
-// first returns the first by rank of the boxes that meet a condition, those that
-// leave after all others.
-func (n *Node) first(meets func(m *member) bool) *member {
-	var first *member
+// best returns the first by rank of the members that match, with leaving ones after all others;
+// nil if none matches.
+func (n *Node) best(matches func(m *member) bool) *member {
+	var best *member
 	for _, m := range n.members {
-		if !meets(m) {
+		if !matches(m) {
 			continue
 		}
-		if first == nil || (first.leaving && !m.leaving) || (first.leaving == m.leaving && m.rank().before(first.rank())) {
-			first = m
+		if best == nil || (best.leaving && !m.leaving) || (best.leaving == m.leaving && m.rank().before(best.rank())) {
+			best = m
 		}
 	}
-	return first
+	return best
 }
 
-// superiors returns the boxes of the hall that come before this one and are taken
-// to live, in their order.
-func (n *Node) superiors(now time.Time) []*member {
+// betterCandidates returns the boxes of the hall that rank before this one and are presumed
+// alive, ordered by rank.
+func (n *Node) betterCandidates(now time.Time) []*member {
 	own := n.rank(now)
 	var list []*member
 	for _, m := range n.members {
-		if m.hall == n.Hall && !m.leaving && m.rank().before(own) && m.presumed(now) {
+		if m.hall == n.Hall && !m.leaving && m.rank().before(own) && m.presumedAlive(now) {
 			list = append(list, m)
 		}
 	}
-	slices.SortFunc(list, byRank)
+	slices.SortFunc(list, compareRank)
 	return list
 }
 
-// strangers returns boxes that are known from the registry only: how they rank is
-// told by themselves.
-func (n *Node) strangers(now time.Time) []*member {
+// unheardMembers returns the boxes that are known only from the registry, whose strength is
+// unknown until they answer.
+func (n *Node) unheardMembers(now time.Time) []*member {
 	var list []*member
 	for _, m := range n.members {
-		if m.heard.IsZero() && m.named.IsZero() && m.presumed(now) {
+		if m.lastHeard.IsZero() && m.lastNamed.IsZero() && m.presumedAlive(now) {
 			list = append(list, m)
 		}
 	}
-	slices.SortFunc(list, byRank)
+	slices.SortFunc(list, compareRank)
 	return list
 }
 
-// choose takes the collector's role up or lays it down. A collector goes on until it
-// hears the sums of one that comes before it, so that its hall is never without; two
-// at a time do no harm, since each box goes by the sums of one.
-func (n *Node) choose(own balance.Snapshot, now time.Time) {
-	source := n.source(now)
+// updateRole takes or gives up the collector role, then queries for a collector if none is
+// heard. A collector keeps the role until it receives the sums of one that ranks before it, so
+// that its hall is never without one. Two collectors at a time do no harm, since each box
+// follows only one.
+func (n *Node) updateRole(own balance.Snapshot, now time.Time) {
+	collector := n.collector(now)
 	switch {
-	case n.collecting && source != nil && n.yields(source, now):
+	case n.collecting && collector != nil && n.shouldYield(collector, now):
 		n.collecting = false
-		n.Log.Info().Str("collector", string(source.box)).Bool("leaving", n.leaving).Uint32("strength", n.strength(now)).
-			Msg(logPrefix + "This box has stopped collecting for its hall.")
-	case !n.collecting && !n.leaving && n.settled(now, source) && len(n.superiors(now)) == 0:
+		n.Log.Info().Str("collector", string(collector.box)).Bool("leaving", n.leaving).Uint32("strength", n.currentStrength(now)).
+			Msg(logPrefix + "This box is no longer the collector of its hall.")
+	case !n.collecting && !n.leaving && n.mayCollect(now, collector) && len(n.betterCandidates(now)) == 0:
 		n.collecting, n.collectingSince = true, now
-		event := n.Log.Info().Uint32("strength", n.strength(now)).Int("known", len(n.members))
-		if source != nil {
-			event = event.Str("instead_of", string(source.box))
+		event := n.Log.Info().Uint32("strength", n.currentStrength(now)).Int("known", len(n.members))
+		if collector != nil {
+			event = event.Str("instead_of", string(collector.box))
 		}
-		event.Msg(logPrefix + "This box collects for its hall.")
+		event.Msg(logPrefix + "This box is now the collector of its hall.")
 	}
-	n.ask(own, now, source)
+	n.findCollector(own, now, collector)
 }
 
-// yields reports whether this collector leaves the role to another one.
-func (n *Node) yields(source *member, now time.Time) bool {
-	if n.leaving || source.leaving {
-		return !source.leaving
+// shouldYield reports whether this collector gives the role up to source.
+func (n *Node) shouldYield(collector *member, now time.Time) bool {
+	if n.leaving || collector.leaving {
+		return !collector.leaving
 	}
-	return source.rank().before(n.rank(now))
+	return collector.rank().before(n.rank(now))
 }
 
-// settled reports whether this box may take the role up: without a collector, once
-// others had the time to tell of themselves; beside one, once it knows what it would
-// pass on and has listened for longer.
-func (n *Node) settled(now time.Time, source *member) bool {
+// mayCollect reports whether this box may take the collector role. Without a collector, other
+// boxes must have had time to announce themselves; beside one, this box must have read all
+// topics and have been up for takeoverWait.
+func (n *Node) mayCollect(now time.Time, collector *member) bool {
 	up := now.Sub(n.origin)
-	if source == nil && n.met.IsZero() {
-		return up >= lonePatience+time.Duration(n.Box.Jitter()*float64(loneSpread))
+	if collector == nil && n.firstHeard.IsZero() {
+		return up >= isolatedWait+time.Duration(n.Box.Jitter()*float64(isolatedJitter))
 	}
-	if source == nil {
-		return now.Sub(n.met) >= startPatience
+	if collector == nil {
+		return now.Sub(n.firstHeard) >= startWait
 	}
 	for _, t := range n.Topics {
 		if changed, _ := t.State(); changed == 0 {
 			return false
 		}
 	}
-	return up >= settleFor
+	return up >= takeoverWait
 }
 
-// ask has boxes answer while this one hears no sums, or has not heard any for
-// longer than usual: first those that would be the collector, more of them the
-// longer none answers, and the seeds.
-func (n *Node) ask(own balance.Snapshot, now time.Time, source *member) {
-	if n.collecting || (source != nil && now.Sub(source.summed) <= doubtAfter) {
-		n.askWidth = firstAsked
+// findCollector queries other boxes while this one hears no sums, or none for longer than
+// sumTimeout: first the best candidates, more of them the longer no sum arrives, and the seeds.
+func (n *Node) findCollector(own balance.Snapshot, now time.Time, collector *member) {
+	if n.collecting || (collector != nil && now.Sub(collector.sumAt) <= sumTimeout) {
+		n.fanout = initialFanout
 		return
 	}
 	d := n.report(own, now)
 	d.Asks = true
-	asked := 0
-	for _, m := range append(n.superiors(now), n.strangers(now)...) {
-		if asked == n.askWidth {
+	queried := 0
+	for _, m := range append(n.betterCandidates(now), n.unheardMembers(now)...) {
+		if queried == n.fanout {
 			break
 		}
-		asked++
-		n.question(d, now, m)
+		queried++
+		n.query(d, now, m)
 	}
-	if source != nil {
+	if collector != nil {
 		return
 	}
-	if n.ticks%widenTicks == 0 {
-		n.askWidth *= 2
+	if n.ticks%fanoutTicks == 0 {
+		n.fanout *= 2
 	}
 	if n.ticks%seedTicks == 1 {
-		n.askSeeds(d, now)
+		n.querySeeds(d, now)
 	}
-	if asked == 0 {
-		n.askAbroad(d, now)
+	if queried == 0 {
+		n.queryOtherHall(d, now)
 	}
 }
 
-// askAbroad asks a box of another hall which boxes there are in this one.
-func (n *Node) askAbroad(d *datagram, now time.Time) {
-	m := n.first(func(m *member) bool { return m.hall != n.Hall && m.presumed(now) })
+// queryOtherHall asks a box of another hall which boxes this hall has.
+func (n *Node) queryOtherHall(d *datagram, now time.Time) {
+	m := n.best(func(m *member) bool { return m.hall != n.Hall && m.presumedAlive(now) })
 	if m != nil && n.ticks%seedTicks == 1 {
-		n.question(d, now, m)
+		n.query(d, now, m)
 	}
 }
 
-// question sends a datagram that wants an answer.
-func (n *Node) question(d *datagram, now time.Time, m *member) {
-	if m.asked.IsZero() && now.Sub(m.heard) > aliveFor {
-		m.asked = now
+// query sends a datagram that requests an answer.
+func (n *Node) query(d *datagram, now time.Time, m *member) {
+	if m.unansweredSince.IsZero() && now.Sub(m.lastHeard) > aliveTimeout {
+		m.unansweredSince = now
 	}
 	n.send(d, now, m)
 }
 
-// rouse notes that this box did not run for a while: silence of the others in that
-// time says nothing of them, and a role is better elsewhere.
-func (n *Node) rouse(now time.Time) {
-	gap := now.Sub(n.stepped)
-	held := !n.stepped.IsZero() && gap > heldUp
-	n.stepped = now
-	if !held {
+// detectStall detects that this box did not run for a while. The silence of other boxes in that
+// time says nothing about them, so their timestamps are shifted by the gap, and this box
+// reports strength 0 so that its roles move elsewhere.
+func (n *Node) detectStall(now time.Time) {
+	gap := now.Sub(n.lastStep)
+	stalled := !n.lastStep.IsZero() && gap > stallThreshold
+	n.lastStep = now
+	if !stalled {
 		return
 	}
-	n.weakUntil = now.Add(weakFor)
-	n.Log.Warn().Dur("gap", gap).Bool("collects", n.collecting).Msg(logPrefix + "This box was held up.")
+	n.penaltyUntil = now.Add(stallPenalty)
+	n.Log.Warn().Dur("gap", gap).Bool("collects", n.collecting).Msg(logPrefix + "This box stalled between two ticks.")
 	for _, m := range n.members {
-		for _, t := range []*time.Time{&m.heard, &m.summed, &m.summedHall} {
-			if !t.IsZero() && now.Sub(*t) < gap+aliveFor {
+		for _, t := range []*time.Time{&m.lastHeard, &m.sumAt, &m.hallSumAt} {
+			if !t.IsZero() && now.Sub(*t) < gap+aliveTimeout {
 				*t = t.Add(gap)
 			}
 		}
--- a/internal/gossip/send.go
+++ b/internal/gossip/send.go
@@ -14,57 +14,57 @@
 	"github.com/barleystep/barleystep/internal/balance"
 )
 
-// step is done once a tick.
+// step runs once per tick.
 func (n *Node) step(context.Context) {
 	own := n.Balancer.Snapshot()
 	now := n.Clock.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.ticks++
-	n.rouse(now)
-	n.age(now)
+	n.detectStall(now)
+	n.detectSilent(now)
 	n.sequence++
-	n.remember(own)
-	n.choose(own, now)
+	n.recordSent(own)
+	n.updateRole(own, now)
 	if n.collecting {
-		n.distribute(own, now)
-	} else if c := n.source(now); c != nil {
+		n.distributeSums(own, now)
+	} else if c := n.collector(now); c != nil {
 		n.send(n.report(own, now), now, c)
 	}
 	if n.collecting && n.ticks%probeTicks == 1 {
 		n.probe(own, now)
 	}
-	n.Balancer.SetOthers(n.others(now))
+	n.Balancer.SetOthers(n.othersWork(now))
 	n.Balancer.SetRole(n.role(now))
 }
 
-func (n *Node) remember(own balance.Snapshot) {
+func (n *Node) recordSent(own balance.Snapshot) {
 	n.sent[n.sequence] = own
-	delete(n.sent, n.sequence-sentKept)
+	delete(n.sent, n.sequence-maxSent)
 }
 
-// age notes which boxes have fallen silent.
-func (n *Node) age(now time.Time) {
+// detectSilent marks members that have fallen silent, and removes those silent for forgetAfter.
+func (n *Node) detectSilent(now time.Time) {
 	for box, m := range n.members {
-		silent := now.Sub(m.last())
-		if m.alive && now.Sub(m.heard) > aliveFor {
+		silent := now.Sub(m.lastSeen())
+		if m.alive && now.Sub(m.lastHeard) > aliveTimeout {
 			m.alive = false
-			n.watched(log.WarnLevel).Str("box", string(box)).Dur("silent", silent).Msg(logPrefix + "A box is silent.")
+			n.memberEvent(log.WarnLevel).Str("box", string(box)).Dur("silent", silent).Msg(logPrefix + "A box has fallen silent.")
 		}
 		if silent <= forgetAfter {
 			continue
 		}
 		delete(n.members, box)
 		if n.collecting && m.hall == n.Hall {
-			go n.withdraw(box)
+			go n.removeRecord(box)
 		}
 	}
 }
 
-// watched begins a line on another box's life: for the log of a collector, which
-// hears its whole hall, and for debugging elsewhere, where boxes are heard now and
-// then only.
-func (n *Node) watched(level log.Level) *log.Entry {
+// memberEvent returns a log entry about the state of another box. A collector, which hears its
+// whole hall, logs at the given level; other boxes hear members only occasionally and log at
+// debug level.
+func (n *Node) memberEvent(level log.Level) *log.Entry {
 	if n.collecting {
 		return n.Log.WithLevel(level)
 	}
@@ -73,13 +73,13 @@
 
 func (n *Node) report(own balance.Snapshot, now time.Time) *datagram {
 	d := n.datagram(now)
-	fill(d, own, now)
+	encodeSnapshot(d, own, now)
 	return d
 }
 
-// distribute sends the sum of the hall to the other halls, and that of all halls
-// to its own boxes.
-func (n *Node) distribute(own balance.Snapshot, now time.Time) {
+// distributeSums sends the sum of the hall to the other halls, and the total of all halls to
+// the hall's boxes.
+func (n *Node) distributeSums(own balance.Snapshot, now time.Time) {
 	sum := balance.NewSnapshot()
 	sum.Add(own)
 	n.addReports(sum, now)
@@ -87,21 +87,21 @@
 	d.Scope = gossipv1.Scope_SCOPE_HALL
 	members := n.hallMembers(now)
 	d.Boxes = int32(len(members) + 1)
-	fill(d, sum, now)
-	n.tellHalls(d, now)
-	n.addHalls(sum, now)
+	encodeSnapshot(d, sum, now)
+	n.sendHallSum(d, now)
+	n.addHallSums(sum, now)
 	d = n.datagram(now)
 	d.Scope = gossipv1.Scope_SCOPE_ALL
-	d.Boxes = int32(n.count(now))
+	d.Boxes = int32(n.boxCount(now))
 	d.LeadAddr = n.leadAddr(now)
-	fill(d, sum, now)
-	n.tellHall(d, members, now)
+	encodeSnapshot(d, sum, now)
+	n.sendTotal(d, members, now)
 }
 
-// tellHalls sends the hall's sum to the collectors of the other halls, and asks for
-// them where none is known. Now and then it names the collectors to each other: halls
-// without a seed would not meet otherwise.
-func (n *Node) tellHalls(d *datagram, now time.Time) {
+// sendHallSum sends the hall's sum to the collectors of the other halls, and queries halls
+// whose collector is unknown. Every probeTicks ticks it also names the collectors to each
+// other, since halls without a seed would not find each other otherwise.
+func (n *Node) sendHallSum(d *datagram, now time.Time) {
 	if n.ticks%probeTicks == 0 {
 		d.Members = n.otherCollectors(now)
 	}
@@ -112,54 +112,54 @@
 			continue
 		}
 		d.Asks = true
-		m := n.first(func(m *member) bool { return m.hall == hall && m.presumed(now) })
+		m := n.best(func(m *member) bool { return m.hall == hall && m.presumedAlive(now) })
 		if m != nil {
-			n.question(d, now, m)
+			n.query(d, now, m)
 		}
 	}
 }
 
-// tellHall sends the sum of all halls to the own hall's boxes: to the next
-// collectors at every tick, to all others in their turn.
-func (n *Node) tellHall(d *datagram, members []*gossipv1.Member, now time.Time) {
-	turn := n.ticks%turnTicks(len(members), len(d.GetWork())) == 0
-	if turn {
-		n.turn++
+// sendTotal sends the total of all halls to the own hall's boxes: to the successors at every
+// tick, to all others every sumIntervalTicks ticks.
+func (n *Node) sendTotal(d *datagram, members []*gossipv1.Member, now time.Time) {
+	rotation := n.ticks%sumIntervalTicks(len(members), len(d.GetWork())) == 0
+	if rotation {
+		n.rotation++
 	}
 	others := n.otherCollectors(now)
 	for _, m := range n.members {
 		if m.hall != n.Hall || !m.alive {
 			continue
 		}
-		next := isNamed(members[:min(heirs, len(members))], m.box)
-		if !turn && !next {
+		isSuccessor := containsBox(members[:min(successors, len(members))], m.box)
+		if !rotation && !isSuccessor {
 			continue
 		}
-		d.Members = n.named(members, m.box)
-		if next {
+		d.Members = n.namedMembers(members, m.box)
+		if isSuccessor {
 			d.Members = append(d.Members, others...)
 		}
 		n.send(d, now, m)
 	}
 }
 
-// otherCollectors lists the collectors of the other halls.
+// otherCollectors returns the collectors of the other halls.
 func (n *Node) otherCollectors(now time.Time) []*gossipv1.Member {
 	var list []*gossipv1.Member
 	for _, hall := range n.halls() {
 		if m := n.collectorOf(hall, now); m != nil {
-			list = append(list, m.wire())
+			list = append(list, m.toProto())
 		}
 	}
 	return list
 }
 
-func isNamed(members []*gossipv1.Member, box barleystep.BoxID) bool {
+func containsBox(members []*gossipv1.Member, box barleystep.BoxID) bool {
 	return slices.ContainsFunc(members, func(m *gossipv1.Member) bool { return m.GetBox() == string(box) })
 }
 
-// wire returns the member as it is named to others.
-func (m *member) wire() *gossipv1.Member {
+// toProto returns the member in its wire form.
+func (m *member) toProto() *gossipv1.Member {
 	return &gossipv1.Member{
 		Box:         string(m.box),
 		Hall:        string(m.hall),
@@ -170,45 +170,46 @@
 	}
 }
 
-// answer tells a box that asked of the first boxes of its hall and of this one's
+// answer replies to a query with the best candidates of the sender's hall and this box's
 // collector.
 func (n *Node) answer(m *member, now time.Time) {
 	d := n.datagram(now)
-	for _, o := range n.hallFirst(m.hall, now) {
+	for _, o := range n.hallCandidates(m.hall, now) {
 		if o != m {
-			d.Members = append(d.Members, o.wire())
+			d.Members = append(d.Members, o.toProto())
 		}
 	}
-	if c := n.source(now); c != nil && c != m && now.Sub(c.summed) <= doubtAfter {
-		d.Members = append(d.Members, c.wire())
+	if c := n.collector(now); c != nil && c != m && now.Sub(c.sumAt) <= sumTimeout {
+		d.Members = append(d.Members, c.toProto())
 	}
 	n.send(d, now, m)
 }
 
-// hallFirst returns the first boxes of a hall that were heard a moment ago.
-func (n *Node) hallFirst(hall barleystep.HallID, now time.Time) []*member {
+// hallCandidates returns the first boxes by rank of a hall that were heard within sumTimeout,
+// at most successors of them.
+func (n *Node) hallCandidates(hall barleystep.HallID, now time.Time) []*member {
 	var list []*member
 	for _, m := range n.members {
-		if m.hall == hall && !m.leaving && now.Sub(m.heard) <= doubtAfter {
+		if m.hall == hall && !m.leaving && now.Sub(m.lastHeard) <= sumTimeout {
 			list = append(list, m)
 		}
 	}
-	slices.SortFunc(list, byRank)
-	return list[:min(heirs, len(list))]
+	slices.SortFunc(list, compareRank)
+	return list[:min(successors, len(list))]
 }
 
-// turnTicks returns every how many ticks a sum over so many targets is sent to so many
-// boxes.
-func turnTicks(boxes, targets int) int { return min(1+boxes*targets/sumRoom, longestTurn) }
+// sumIntervalTicks returns the number of ticks between sums over the given number of targets to
+// the given number of boxes.
+func sumIntervalTicks(boxes, targets int) int { return min(1+boxes*targets/maxSumEntries, maxSumTicks) }
 
-// named returns the boxes of which a receiver is told: itself, whose work it takes
-// out of the sum, the next collectors, and some others in turn.
-func (n *Node) named(members []*gossipv1.Member, receiver barleystep.BoxID) []*gossipv1.Member {
-	list := slices.Clone(members[:min(heirs, len(members))])
+// namedMembers returns the members to name to a receiver: itself, so that it can subtract its
+// own work, the successors, and some others in rotation.
+func (n *Node) namedMembers(members []*gossipv1.Member, receiver barleystep.BoxID) []*gossipv1.Member {
+	list := slices.Clone(members[:min(successors, len(members))])
 	rest := members[len(list):]
 	for i, m := range rest {
-		next := n.turn * namedInTurn % len(rest)
-		inTurn := (i-next+len(rest))%len(rest) < namedInTurn
+		next := n.rotation * namedInRotation % len(rest)
+		inTurn := (i-next+len(rest))%len(rest) < namedInRotation
 		if inTurn || m.GetBox() == string(receiver) {
 			list = append(list, m)
 		}
@@ -216,7 +217,7 @@
 	return list
 }
 
-// halls returns the other halls.
+// halls returns the ids of the other halls.
 func (n *Node) halls() []barleystep.HallID {
 	var halls []barleystep.HallID
 	for _, m := range n.members {
@@ -227,28 +228,27 @@
 	return halls
 }
 
-// hallMembers lists the other boxes of the hall that were heard a moment ago, with
-// the datagrams that were merged, in the order in which they would become
-// collectors.
+// hallMembers returns the other boxes of the hall that were heard within aliveTimeout, ordered
+// by rank, with the sequence numbers of the reports that were merged.
 func (n *Node) hallMembers(now time.Time) []*gossipv1.Member {
 	var heard []*member
 	for _, m := range n.members {
-		if m.hall == n.Hall && now.Sub(m.heard) <= aliveFor {
+		if m.hall == n.Hall && now.Sub(m.lastHeard) <= aliveTimeout {
 			heard = append(heard, m)
 		}
 	}
-	slices.SortFunc(heard, byRank)
+	slices.SortFunc(heard, compareRank)
 	list := make([]*gossipv1.Member, len(heard))
 	for i, m := range heard {
-		list[i] = m.wire()
-		list[i].Hall = "" // It is the sender's own.
+		list[i] = m.toProto()
+		list[i].Hall = "" // It is the sender's own hall.
 	}
 	return list
 }
 
-// probe tells silent boxes of this collector: those of its hall, and those of halls
-// without any word, so that a healed partition is noticed. Seeds that are none of
-// the boxes known here are told too.
+// probe sends this collector's state to silent boxes of its hall, to boxes of halls without a
+// known collector, and to seeds that are not known members, so that a healed partition is
+// detected.
 func (n *Node) probe(own balance.Snapshot, now time.Time) {
 	d := n.report(own, now)
 	d.Asks = true
@@ -257,15 +257,15 @@
 			n.send(d, now, m)
 		}
 	}
-	n.askSeeds(d, now)
+	n.querySeeds(d, now)
 }
 
-// askSeeds asks the seeds; a collector leaves out the boxes that it knows, which it
-// probes itself.
-func (n *Node) askSeeds(d *datagram, now time.Time) {
+// querySeeds sends the datagram to the seeds. A collector omits the seeds that are known
+// members, which it probes itself.
+func (n *Node) querySeeds(d *datagram, now time.Time) {
 	known := make(map[netip.AddrPort]bool)
 	for _, m := range n.members {
-		known[m.addr] = n.collecting || now.Sub(m.heard) <= aliveFor
+		known[m.addr] = n.collecting || now.Sub(m.lastHeard) <= aliveTimeout
 	}
 	for _, seed := range n.Seeds {
 		addr, err := netip.ParseAddrPort(seed)
@@ -276,7 +276,7 @@
 	}
 }
 
-// datagram returns one without work, echo or members.
+// datagram returns a datagram without work, echo or members.
 func (n *Node) datagram(now time.Time) *datagram {
 	return &datagram{
 		Box:         string(n.Box),
@@ -284,24 +284,24 @@
 		Incarnation: n.incarnation,
 		Sequence:    n.sequence,
 		Leaving:     n.leaving,
-		Strength:    n.strength(now),
+		Strength:    n.currentStrength(now),
 	}
 }
 
-// send fills in what differs between receivers and sends the datagram. All ages
-// are taken at one moment: a process that is held up afterwards states nothing
-// that was not true then.
+// send fills in the fields that differ between receivers and sends the datagram. All ages are
+// taken at the same time, so a process that stalls afterwards states nothing that was false
+// then.
 func (n *Node) send(d *datagram, now time.Time, m *member) {
 	d.SentNs = int64(now.Sub(n.origin))
 	d.Topics = d.Topics[:0]
 	for _, t := range n.Topics {
-		// The age is read after now was, so it is no younger than at now.
+		// The age is read after now was taken, so it is at least the age at now.
 		changed, age := t.State()
 		d.Topics = append(d.Topics, &gossipv1.TopicState{Changed: uint64(changed), ProofAgeNs: int64(age)})
 	}
 	d.EchoNs, d.HeldNs, d.EchoIncarnation = 0, 0, 0
 	if m.peerSent != 0 {
-		d.EchoNs, d.HeldNs, d.EchoIncarnation = m.peerSent, int64(now.Sub(m.gotAt)), m.incarnation
+		d.EchoNs, d.HeldNs, d.EchoIncarnation = m.peerSent, int64(now.Sub(m.receivedAt)), m.incarnation
 	}
 	n.write(d, m.addr)
 }
@@ -309,10 +309,10 @@
 func (n *Node) write(d *datagram, addr netip.AddrPort) {
 	data, err := proto.Marshal(d)
 	if err != nil {
-		n.Log.Error().Err(err).Msg(logPrefix + "A datagram cannot be encoded.")
+		n.Log.Error().Err(err).Msg(logPrefix + "Cannot encode a datagram.")
 		return
 	}
 	if err := n.socket.WriteTo(data, addr); err != nil {
-		n.Log.Debug().Str("to", addr.String()).Err(err).Msg(logPrefix + "A datagram could not be sent.")
+		n.Log.Debug().Str("to", addr.String()).Err(err).Msg(logPrefix + "Cannot send a datagram.")
 	}
 }
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -9,14 +9,14 @@
 	"github.com/barleystep/barleystep/internal/suspect"
 )
 
-// datagram is what boxes send each other.
+// datagram is the message that boxes exchange.
 type datagram = gossipv1.Datagram
 
-// perMilli is how a demand in engines is sent as a whole number.
+// perMilli scales a demand in engines to the integer on the wire.
 const perMilli = 1000
 
-// fill writes a snapshot into a datagram.
-func fill(d *datagram, s balance.Snapshot, now time.Time) {
+// encodeSnapshot adds a snapshot to a datagram.
+func encodeSnapshot(d *datagram, s balance.Snapshot, now time.Time) {
 	for key, w := range s.Work {
 		if w == (balance.Work{}) {
 			continue
@@ -39,14 +39,14 @@
 			HeavyMilli: int32(demand.Long * perMilli),
 		})
 	}
-	fillSuspects(d, s.Suspects, now)
+	encodeSuspects(d, s.Suspects, now)
 	for key, said := range s.Statements {
-		d.Statements = append(d.Statements, statement(key, said, now))
+		d.Statements = append(d.Statements, encodeStatement(key, said, now))
 	}
 }
 
-// statement writes what a target has said of itself.
-func statement(key balance.Key, said balance.TimedStatement, now time.Time) *gossipv1.TargetStatement {
+// encodeStatement encodes a target's statements about itself.
+func encodeStatement(key balance.Key, said balance.TimedStatement, now time.Time) *gossipv1.TargetStatement {
 	w := &gossipv1.TargetStatement{Target: uint32(key)}
 	if l := said.Limit; !l.At.IsZero() {
 		w.Limit = &gossipv1.LimitWord{Named: l.Value.IsSet(), PerSecond: l.Value.PerSecond(), AgeUs: now.Sub(l.At).Microseconds()}
@@ -63,8 +63,8 @@
 	return w
 }
 
-// saidIn reads what a target has said of itself.
-func saidIn(w *gossipv1.TargetStatement, now time.Time) (said balance.TimedStatement) {
+// decodeStatement decodes a target's statements about itself.
+func decodeStatement(w *gossipv1.TargetStatement, now time.Time) (said balance.TimedStatement) {
 	if l := w.GetLimit(); l != nil {
 		said.Limit.At = ago(now, l.GetAgeUs())
 		if l.GetNamed() {
@@ -83,11 +83,11 @@
 	return said
 }
 
-// ago returns the time that lies so many microseconds back.
+// ago returns the time that is us microseconds before now.
 func ago(now time.Time, us int64) time.Time { return now.Add(-time.Duration(us) * time.Microsecond) }
 
-// fillSuspects writes what is known of suspects into a datagram.
-func fillSuspects(d *datagram, known map[suspect.Digest]suspect.Evidence, now time.Time) {
+// encodeSuspects adds the evidence about suspects to a datagram.
+func encodeSuspects(d *datagram, known map[suspect.Digest]suspect.Evidence, now time.Time) {
 	for digest, e := range known {
 		s := &gossipv1.Suspect{Digest: digest[:], Size: int64(e.BodySize())}
 		if !e.LastSuccess().IsZero() {
@@ -108,17 +108,17 @@
 	}
 }
 
-// suspectsOf reads what is known of suspects out of a datagram that has come now.
-func suspectsOf(d *datagram, now time.Time) map[suspect.Digest]suspect.Evidence {
+// decodeSuspects decodes the evidence about suspects from a datagram received at now.
+func decodeSuspects(d *datagram, now time.Time) map[suspect.Digest]suspect.Evidence {
 	known := make(map[suspect.Digest]suspect.Evidence)
 	for _, s := range d.GetSuspects() {
 		digest, ok := suspect.DigestFromBytes(s.GetDigest())
 		if !ok {
-			continue // The sender is of a later version.
+			continue // The sender runs a newer version.
 		}
 		var ends []suspect.End
 		for _, end := range s.GetEnds() {
-			ends = append(ends, suspect.NewEnd(end.GetTarget(), ago(now, end.GetAgeUs()), marksOf(end)))
+			ends = append(ends, suspect.NewEnd(end.GetTarget(), ago(now, end.GetAgeUs()), decodeMarks(end)))
 		}
 		var cleared, begun time.Time
 		if s.GetCleared() {
@@ -132,8 +132,8 @@
 	return known
 }
 
-// marksOf reads how a request ran at a target that ended.
-func marksOf(end *gossipv1.TargetEnd) (marks suspect.EndFlags) {
+// decodeMarks decodes the state of a request at a target that ended.
+func decodeMarks(end *gossipv1.TargetEnd) (marks suspect.EndFlags) {
 	if end.GetUnread() {
 		marks |= suspect.BeforeFirstEvent
 	}
@@ -143,8 +143,8 @@
 	return marks
 }
 
-// snapshotOf reads a snapshot out of a datagram that has come now.
-func snapshotOf(d *datagram, now time.Time) balance.Snapshot {
+// decodeSnapshot decodes the snapshot of a datagram received at now.
+func decodeSnapshot(d *datagram, now time.Time) balance.Snapshot {
 	s := balance.NewSnapshot()
 	for _, w := range d.GetWork() {
 		s.Work[balance.Key(w.GetTarget())] = balance.Work{
@@ -163,9 +163,9 @@
 			Long:  float64(demand.GetHeavyMilli()) / perMilli,
 		}
 	}
-	s.Suspects = suspectsOf(d, now)
+	s.Suspects = decodeSuspects(d, now)
 	for _, w := range d.GetStatements() {
-		s.Statements[balance.Key(w.GetTarget())] = saidIn(w, now)
+		s.Statements[balance.Key(w.GetTarget())] = decodeStatement(w, now)
 	}
 	return s
 }
