--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -12,7 +12,7 @@
 // checker collects what is wrong with settings.
 type checker struct{ problems []string }
 
-func (c *checker) add(key string, value any, allowed string) {
+func (c *checker) reject(key string, value any, allowed string) {
 	c.problems = append(c.problems, fmt.Sprintf("%s = %v: must be %s", key, value, allowed))
 }
 
@@ -29,38 +29,38 @@
 	}
 	c.positive("keys.freshness", s.Keys.Freshness)
 	c.positive("retries.window", s.Retries.Window)
-	c.part("retries.ratio", s.Retries.Ratio)
+	c.fraction("retries.ratio", s.Retries.Ratio)
 	if s.Retries.Extra < 0 {
-		c.add("retries.extra", s.Retries.Extra, "a number of requests, 0 or above")
+		c.reject("retries.extra", s.Retries.Extra, "a number of requests, 0 or above")
 	}
 	c.url("platform.url", s.Platform.URL)
 	c.positive("platform.timeout", s.Platform.Timeout)
 	c.positive("platform.within", s.Platform.MaxDelay)
-	c.amount("box.cores", s.Box.Cores)
-	c.amount("box.link_mbit", s.Box.LinkMbit)
+	c.nonNegative("box.cores", s.Box.Cores)
+	c.nonNegative("box.link_mbit", s.Box.LinkMbit)
 	c.limits(s.Limits)
 	c.peers(s)
-	c.part("capacity.long_part", s.Capacity.LongShare)
-	c.part("capacity.short_memory", s.Capacity.ShortMemoryShare)
+	c.fraction("capacity.long_part", s.Capacity.LongShare)
+	c.fraction("capacity.short_memory", s.Capacity.ShortMemoryShare)
 	c.positive("capacity.interval", s.Capacity.Interval)
 	c.positive("capacity.window", s.Capacity.Window)
 	c.operators(s.Admin.Operators)
 	levels := []string{"", "debug", "info", "warn", "error"}
 	if !slices.Contains(levels, s.Log.Level) {
-		c.add("log.level", s.Log.Level, "debug, info, warn or error")
+		c.reject("log.level", s.Log.Level, "debug, info, warn or error")
 	}
 	return c.problems
 }
 
 func (c *checker) name(key, value string) {
 	if value == "" {
-		c.add(key, `""`, "a name")
+		c.reject(key, `""`, "a name")
 	}
 }
 
-func (c *checker) amount(key string, value float64) {
+func (c *checker) nonNegative(key string, value float64) {
 	if value < 0 {
-		c.add(key, value, "a number, 0 or above")
+		c.reject(key, value, "a number, 0 or above")
 	}
 }
 
@@ -69,7 +69,7 @@
 		return
 	}
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		c.add(key, value, "an IP number and port, such as 127.0.0.1:8080")
+		c.reject(key, value, "an IP number and port, such as 127.0.0.1:8080")
 	}
 }
 
@@ -79,25 +79,25 @@
 	}
 	u, err := url.Parse(value)
 	if err != nil || u.Scheme != "http" || u.Host == "" || u.Path != "" {
-		c.add(key, value, "http://host:port")
+		c.reject(key, value, "http://host:port")
 	}
 }
 
 func (c *checker) positive(key string, d Duration) {
 	if d < 0 {
-		c.add(key, time.Duration(d), "a duration above 0, such as 2s")
+		c.reject(key, time.Duration(d), "a duration above 0, such as 2s")
 	}
 }
 
-func (c *checker) part(key string, v float64) {
+func (c *checker) fraction(key string, v float64) {
 	if v < 0 || v > 1 {
-		c.add(key, v, "from 0 to 1")
+		c.reject(key, v, "from 0 to 1")
 	}
 }
 
 func (c *checker) limits(l Limits) {
 	if l.MaxBody < 0 {
-		c.add("limits.body", l.MaxBody, "a number of bytes above 0")
+		c.reject("limits.body", l.MaxBody, "a number of bytes above 0")
 	}
 	c.positive("limits.min_time", l.MinTime)
 	c.positive("limits.max_time", l.MaxTime)
@@ -106,7 +106,7 @@
 	c.positive("limits.grace", l.Grace)
 	c.positive("limits.notice", l.Notice)
 	if l.MaxTime != 0 && l.MinTime > l.MaxTime {
-		c.add("limits.min_time", time.Duration(l.MinTime), "at most limits.max_time")
+		c.reject("limits.min_time", time.Duration(l.MinTime), "at most limits.max_time")
 	}
 }
 
@@ -115,7 +115,7 @@
 func (c *checker) peers(s Settings) {
 	p := s.Peers
 	if (p.Certificate == "") != (p.Key == "") || (p.Certificate == "") != (p.Authority == "") {
-		c.add("peers.certificate", p.Certificate, "set together with peers.key and peers.authority")
+		c.reject("peers.certificate", p.Certificate, "set together with peers.key and peers.authority")
 	}
 	host, _, err := net.SplitHostPort(s.Listen.Peers)
 	if err != nil {
@@ -125,17 +125,17 @@
 	if err != nil || ip.IsLoopback() || p.Trusted || p.Secret != "" || p.Certificate != "" {
 		return
 	}
-	c.add("peers.secret", `""`, "set, or peers.certificate or peers.trusted, when listen.peers is not on loopback")
+	c.reject("peers.secret", `""`, "set, or peers.certificate or peers.trusted, when listen.peers is not on loopback")
 }
 
 func (c *checker) operators(list []Operator) {
 	const digits = 64
 	for _, o := range list {
 		if len(o.SHA256) != digits {
-			c.add("admin.operator.sha256", o.SHA256, "64 hexadecimal digits")
+			c.reject("admin.operator.sha256", o.SHA256, "64 hexadecimal digits")
 		}
 		if !slices.Contains([]string{"viewer", "team", "admin"}, o.Role) {
-			c.add("admin.operator.role", o.Role, "viewer, team or admin")
+			c.reject("admin.operator.role", o.Role, "viewer, team or admin")
 		}
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -195,7 +195,7 @@
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err = d.Decode(&s); err != nil {
-		return Settings{}, eris.New(place(err))
+		return Settings{}, eris.New(describeDecodeError(err))
 	}
 	if problems := s.check(); len(problems) > 0 {
 		return Settings{}, eris.New(strings.Join(problems, "\n"))
@@ -204,7 +204,7 @@
 }
 
 // place words an error of the decoder with its line and key.
-func place(err error) string {
+func describeDecodeError(err error) string {
 	var strict *toml.StrictMissingError
 	if eris.As(err, &strict) {
 		lines := make([]string, len(strict.Errors))
--- a/internal/settings/watcher.go
+++ b/internal/settings/watcher.go
@@ -26,11 +26,11 @@
 	// Signals delivers SIGHUP; it is made by Serve if it is nil.
 	Signals chan os.Signal
 
-	seen stamp
+	lastVersion fileVersion
 }
 
 // stamp tells versions of a file apart.
-type stamp struct {
+type fileVersion struct {
 	size    int64
 	changed time.Time
 }
@@ -38,7 +38,7 @@
 const (
 	// lookEvery is how often the file is looked at: it may change without a
 	// signal, and a change should be in force within a few seconds.
-	lookEvery = 2 * time.Second
+	pollInterval = 2 * time.Second
 
 	logPrefix = "settings: "
 )
@@ -50,9 +50,9 @@
 		signal.Notify(w.Signals, syscall.SIGHUP)
 		defer signal.Stop(w.Signals)
 	}
-	w.seen = w.look()
+	w.lastVersion = w.stat()
 	for {
-		timer := w.Clock.NewTimer(lookEvery)
+		timer := w.Clock.NewTimer(pollInterval)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -61,23 +61,23 @@
 			timer.Stop()
 			w.reload("signal")
 		case <-timer.C():
-			if now := w.look(); now != w.seen {
+			if now := w.stat(); now != w.lastVersion {
 				w.reload("change")
 			}
 		}
 	}
 }
 
-func (w *Watcher) look() stamp {
+func (w *Watcher) stat() fileVersion {
 	info, err := os.Stat(w.Current.file)
 	if err != nil {
-		return w.seen // A file that is being replaced is looked at again.
+		return w.lastVersion // A file that is being replaced is looked at again.
 	}
-	return stamp{size: info.Size(), changed: info.ModTime()}
+	return fileVersion{size: info.Size(), changed: info.ModTime()}
 }
 
 func (w *Watcher) reload(cause string) {
-	w.seen = w.look()
+	w.lastVersion = w.stat()
 	s, err := Read(w.Current.file)
 	if err != nil {
 		w.Log.Error().Str("cause", cause).Err(err).
