--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -53,7 +53,7 @@
 
 const (
 	// longestLine bounds a log line in bytes.
-	longestLine = 1 << 20
+	maxLineBytes = 1 << 20
 
 	fieldTime    = "time"
 	fieldMessage = "message"
@@ -65,11 +65,11 @@
 )
 
 // beliefPrefixes open the lines that tell what a box believes of targets.
-var beliefPrefixes = []string{"follow: ", "balance: A target "}
+var targetEventPrefixes = []string{"follow: ", "balance: A target "}
 
 // tellsBelief reports whether the line tells what a box believes of targets.
-func (l Line) tellsBelief() bool {
-	return slices.ContainsFunc(beliefPrefixes, func(p string) bool { return strings.HasPrefix(l.message, p) })
+func (l Line) isTargetEvent() bool {
+	return slices.ContainsFunc(targetEventPrefixes, func(p string) bool { return strings.HasPrefix(l.message, p) })
 }
 
 // passedOver returns the targets that the line says a request was not offered to: the first
@@ -87,7 +87,7 @@
 // Story reads log lines and returns those about the request, and those that tell
 // what its boxes believed of its targets, in order of time. Lines that are no JSON
 // are passed over. The error is that of the reader.
-func RequestLines(r io.Reader, request string) (story []Line, err error) {
+func RequestLines(r io.Reader, request string) (selected []Line, err error) {
 	lines, err := read(r)
 	if err != nil {
 		return nil, err
@@ -100,24 +100,24 @@
 			for _, id := range l.passedOver() {
 				targets[id] = true
 			}
-			boxes[box(l.source)] = true
+			boxes[boxOf(l.source)] = true
 		}
 	}
 	delete(targets, "")
 	delete(targets, nil)
 	for _, l := range lines {
-		belief := l.tellsBelief() && targets[l.fields[fieldTarget]] && boxes[box(l.source)]
-		if l.fields[fieldRequest] == request || belief {
-			story = append(story, l)
+		isEvent := l.isTargetEvent() && targets[l.fields[fieldTarget]] && boxes[boxOf(l.source)]
+		if l.fields[fieldRequest] == request || isEvent {
+			selected = append(selected, l)
 		}
 	}
-	slices.SortStableFunc(story, func(a, b Line) int { return a.at.Compare(b.at) })
-	return story, nil
+	slices.SortStableFunc(selected, func(a, b Line) int { return a.at.Compare(b.at) })
+	return selected, nil
 }
 
 // box returns the last word of what stood before a line: its box, where gathered
 // logs name it.
-func box(source string) string {
+func boxOf(source string) string {
 	words := strings.Fields(source)
 	if len(words) == 0 {
 		return ""
@@ -127,7 +127,7 @@
 
 func read(r io.Reader) (lines []Line, err error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, longestLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		if l, ok := parse(scanner.Text()); ok {
 			lines = append(lines, l)
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -24,7 +24,7 @@
 {"time":1,"torn
 `
 
-func TestStory(t *testing.T) {
+func TestRequestLines(t *testing.T) {
 	cases := map[string]struct {
 		request string
 		want    []string
@@ -42,10 +42,10 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			story, err := explain.RequestLines(strings.NewReader(lines), tc.request)
+			selected, err := explain.RequestLines(strings.NewReader(lines), tc.request)
 			quicktest.Assert(t, err, quicktest.IsNil)
 			var got []string
-			for _, l := range story {
+			for _, l := range selected {
 				got = append(got, l.String())
 			}
 			quicktest.Assert(t, got, quicktest.DeepEquals, tc.want)
--- a/internal/explain/losses.go
+++ b/internal/explain/losses.go
@@ -49,18 +49,18 @@
 func (l RouteLosses) Causes() map[Cause]int { return l.causes }
 
 const (
-	endedMessage  = "front: A request ended."
-	helpedMessage = "front: Several targets read the prompt."
+	endedMessage = "front: A request ended."
+	splitMessage = "front: Several targets read the prompt."
 	// longWait is the part of the time to the first event from which on the wait
 	// counts as its cause.
-	longWait = 0.5
+	queueingShare = 0.5
 	// memory is how long before a stream began a part may have been given that still
 	// holds it up.
-	memory = 2 * time.Second
+	readLookback = 2 * time.Second
 )
 
 // reading is a time at which a target was given something long to read.
-type reading struct {
+type promptRead struct {
 	at   time.Time
 	part bool
 }
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "explain: losses")
 	}
-	readings := readingsOf(lines)
+	reads := promptReads(lines)
 	routes := make(map[string]*RouteLosses)
 	for _, l := range lines {
 		name, _ := l.fields["route"].(string)
@@ -83,7 +83,7 @@
 			routes[name] = &RouteLosses{route: name, causes: make(map[Cause]int)}
 		}
 		routes[name].streams++
-		if cause := l.cause(readings); cause != "" {
+		if cause := l.cause(reads); cause != "" {
 			routes[name].causes[cause]++
 		}
 	}
@@ -95,33 +95,33 @@
 }
 
 // readingsOf returns when targets were given something long to read.
-func readingsOf(lines []Line) map[string][]reading {
-	readings := make(map[string][]reading)
+func promptReads(lines []Line) map[string][]promptRead {
+	reads := make(map[string][]promptRead)
 	for _, l := range lines {
 		target, _ := l.fields[fieldTarget].(string)
 		switch {
-		case l.message == helpedMessage:
-			readings[target] = append(readings[target], reading{l.at, true})
+		case l.message == splitMessage:
+			reads[target] = append(reads[target], promptRead{l.at, true})
 			helpers, _ := l.fields["helpers"].([]any)
 			for _, h := range helpers {
 				id, _ := h.(string)
-				readings[id] = append(readings[id], reading{l.at, true})
+				reads[id] = append(reads[id], promptRead{l.at, true})
 			}
 		case l.message == endedMessage && l.number("helpers") == 0 && l.number("expected") > l.number("max_pause"):
-			readings[target] = append(readings[target], reading{l.begin().Add(l.millis("queued")), false})
+			reads[target] = append(reads[target], promptRead{l.started().Add(l.millis("queued")), false})
 		}
 	}
-	return readings
+	return reads
 }
 
 // cause returns why a stream was late, empty if it was in time.
-func (l Line) cause(readings map[string][]reading) Cause {
+func (l Line) cause(reads map[string][]promptRead) Cause {
 	if reason, ok := l.fields["reason"].(string); ok {
 		return Cause(reason)
 	}
 	first := l.number("first")
 	switch {
-	case first > l.number("objective") && l.number("queued") > longWait*first:
+	case first > l.number("objective") && l.number("queued") > queueingShare*first:
 		return CauseQueueing
 	case first > l.number("objective"):
 		return CauseSlowFirstEvent
@@ -132,8 +132,8 @@
 	}
 	target, _ := l.fields[fieldTarget].(string)
 	during := func(part bool) bool {
-		return slices.ContainsFunc(readings[target], func(r reading) bool {
-			return r.part == part && r.at.After(l.begin().Add(-memory)) && r.at.Before(l.at)
+		return slices.ContainsFunc(reads[target], func(r promptRead) bool {
+			return r.part == part && r.at.After(l.started().Add(-readLookback)) && r.at.Before(l.at)
 		})
 	}
 	switch {
@@ -147,7 +147,7 @@
 }
 
 // begin returns when the request came.
-func (l Line) begin() time.Time { return l.at.Add(-l.millis("took")) }
+func (l Line) started() time.Time { return l.at.Add(-l.millis("took")) }
 
 func (l Line) number(field string) float64 {
 	n, _ := l.fields[field].(float64)
--- a/internal/explain/losses_test.go
+++ b/internal/explain/losses_test.go
@@ -17,11 +17,11 @@
 }
 
 // helped returns the line of a prompt that i-8 and two others read at a time.
-func helped(millis int, helpers string) string {
+func split(millis int, helpers string) string {
 	return fmt.Sprintf(`b {"time":%d,"request":"q","target":"i-8","helpers":[%s],"message":"front: Several targets read the prompt."}`, millis, helpers)
 }
 
-func TestLosses(t *testing.T) {
+func TestLossesByRoute(t *testing.T) {
 	alone := `b {"time":3900,"request":"q","target":"i-1","route":"long","objective":3000,"max_pause":1000,"took":900,"expected":2000,"first":800,"message":"front: A request ended."}`
 	cases := map[string]struct {
 		lines []string
@@ -32,10 +32,10 @@
 		"waited":                  {[]string{ended(`"first":400,"queued":300`)}, explain.CauseQueueing},
 		"slow":                    {[]string{ended(`"first":400,"queued":3`)}, explain.CauseSlowFirstEvent},
 		"moved":                   {[]string{ended(`"first":100,"pause":900,"sends":2`)}, explain.CauseResumed},
-		"a part":                  {[]string{ended(`"first":100,"pause":900`), helped(3000, `"i-2","i-1"`)}, explain.CausePromptPart},
-		"a part elsewhere":        {[]string{ended(`"first":100,"pause":900`), helped(3000, `"i-2","i-3"`)}, explain.CauseOther},
-		"a part long before":      {[]string{ended(`"first":100,"pause":900`), helped(-1000, `"i-2","i-1"`)}, explain.CauseOther},
-		"a part afterwards":       {[]string{ended(`"first":100,"pause":900`), helped(4001, `"i-2","i-1"`)}, explain.CauseOther},
+		"a part":                  {[]string{ended(`"first":100,"pause":900`), split(3000, `"i-2","i-1"`)}, explain.CausePromptPart},
+		"a part elsewhere":        {[]string{ended(`"first":100,"pause":900`), split(3000, `"i-2","i-3"`)}, explain.CauseOther},
+		"a part long before":      {[]string{ended(`"first":100,"pause":900`), split(-1000, `"i-2","i-1"`)}, explain.CauseOther},
+		"a part afterwards":       {[]string{ended(`"first":100,"pause":900`), split(4001, `"i-2","i-1"`)}, explain.CauseOther},
 		"a long prompt by itself": {[]string{ended(`"first":100,"pause":900`), alone}, explain.CauseLongPrompt},
 	}
 	for name, tc := range cases {
