--- a/box_test.go
+++ b/box_test.go
@@ -27,7 +27,7 @@
 }
 
 // foreignBoxes are records that no box writes.
-var foreignBoxes = map[string]string{
+var invalidBoxes = map[string]string{
 	"nothing":               ``,
 	"no JSON":               `{"hall"`,
 	"null":                  `null`,
@@ -47,7 +47,7 @@
 }
 
 func TestDecodeBoxRefused(t *testing.T) {
-	for name, value := range foreignBoxes {
+	for name, value := range invalidBoxes {
 		t.Run(name, func(t *testing.T) {
 			got, err := barleystep.DecodeBox(barleystep.NewRecord("b1", []byte(value)))
 			quicktest.Assert(t, err, quicktest.ErrorMatches, `barleystep: decode box "b1": .*`)
@@ -60,7 +60,7 @@
 
 // FuzzDecodeBox checks that whatever another writer leaves is refused or names a box.
 func FuzzDecodeBox(f *testing.F) {
-	for _, value := range foreignBoxes {
+	for _, value := range invalidBoxes {
 		f.Add("b1", []byte(value))
 	}
 	f.Add("b1", []byte(`{"hall":"h","addr":"10.0.0.1:80","leaving":true}`))
--- a/cmd/barleystep-dev/main.go
+++ b/cmd/barleystep-dev/main.go
@@ -36,7 +36,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			h.Log = command.NewLogger(settings.Log{Level: level})
 			h.Init()
-			go greet(cmd, h)
+			go printUsage(cmd, h)
 			err := h.Run(cmd.Context())
 			if eris.Is(err, context.Canceled) {
 				return nil
@@ -51,13 +51,13 @@
 	return cmd
 }
 
-const greeting = `ready: callers on http://127.0.0.1:%d, administration, /metrics, /livez and /readyz on http://127.0.0.1:%d
+const usage = `ready: callers on http://127.0.0.1:%d, administration, /metrics, /livez and /readyz on http://127.0.0.1:%d
 try:
   curl -sN http://127.0.0.1:%d/v1/chat/completions -H 'Authorization: Bearer %s' \
     -d '{"model":"%s","stream":true,"max_tokens":8,"messages":[{"role":"user","content":"Read this deed."}]}'
 `
 
-func greet(cmd *cobra.Command, h *local.Hall) {
+func printUsage(cmd *cobra.Command, h *local.Hall) {
 	<-h.Ready()
-	fmt.Fprintf(cmd.OutOrStdout(), greeting, local.CallersPort, local.AdminPort, local.CallersPort, local.KeyConversia, local.Model)
+	fmt.Fprintf(cmd.OutOrStdout(), usage, local.CallersPort, local.AdminPort, local.CallersPort, local.KeyConversia, local.Model)
 }
--- a/cmd/barleystep-entry/main_test.go
+++ b/cmd/barleystep-entry/main_test.go
@@ -44,7 +44,7 @@
 `
 
 // rig is boxes that run as processes before stand-ins in the test.
-type rig struct {
+type fixture struct {
 	engine  *standin.Engine
 	callers []string
 	boxes   []*exec.Cmd
@@ -57,19 +57,19 @@
 	return l.Addr().String()
 }
 
-func newRig(t *testing.T, boxes int) *rig {
+func newFixture(t *testing.T, boxes int) *fixture {
 	c := quicktest.New(t)
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "barleystep-entry")
 	out, err := exec.CommandContext(t.Context(), "go", "build", "-o", binary, ".").CombinedOutput()
 	c.Assert(err, quicktest.IsNil, quicktest.Commentf("%s", out))
-	r := &rig{engine: &standin.Engine{Clock: clock.System{}, Step: 20 * time.Millisecond}}
+	r := &fixture{engine: &standin.Engine{Clock: clock.System{}, Step: 20 * time.Millisecond}}
 	engines := httptest.NewServer(r.engine)
 	t.Cleanup(engines.Close)
 	p := &platformtest.Store{Clock: clock.System{}}
 	platforms := httptest.NewServer(p)
 	t.Cleanup(platforms.Close)
-	submit(t, platforms.URL, engines.URL)
+	submitConfiguration(t, platforms.URL, engines.URL)
 	var list []barleystep.Box
 	for i := range boxes {
 		id, callers, peers := fmt.Sprint("b", i), freeAddr(t), freeAddr(t)
@@ -94,7 +94,7 @@
 	return r
 }
 
-func submit(t *testing.T, storeURL, engineURL string) {
+func submitConfiguration(t *testing.T, storeURL, engineURL string) {
 	c := quicktest.New(t)
 	d, err := config.File{
 		Accounts: []config.Account{{Name: "a", Keys: []config.Key{{ID: "1", SHA256: config.HashKey("k")}}}},
@@ -117,7 +117,7 @@
 	err     error
 }
 
-func (r *rig) ask(t *testing.T, box, tokens int, header http.Header) reply {
+func (r *fixture) ask(t *testing.T, box, tokens int, header http.Header) reply {
 	body := fmt.Sprintf(`{"model":"m","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"hello"}]}`, tokens)
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, r.callers[box]+"/v1/chat/completions", strings.NewReader(body))
 	quicktest.Assert(t, err, quicktest.IsNil)
@@ -150,7 +150,7 @@
 }
 
 // running waits until the engine has started another attempt.
-func (r *rig) running(t *testing.T, before int) {
+func (r *fixture) waitForRun(t *testing.T, before int) {
 	eventually(t, func() bool { return len(r.engine.Runs()) > before })
 }
 
@@ -159,31 +159,31 @@
 // another box runs nothing.
 func TestKilledBox(t *testing.T) {
 	c := quicktest.New(t)
-	r := newRig(t, 2)
+	r := newFixture(t, 2)
 	before := len(r.engine.Runs())
-	strict := http.Header{"Barleystep-Repeatable": {"no"}, "Idempotency-Key": {"invoice"}, "Barleystep-Time-Limit": {"2s"}}
+	nonRepeatable := http.Header{"Barleystep-Repeatable": {"no"}, "Idempotency-Key": {"invoice"}, "Barleystep-Time-Limit": {"2s"}}
 	first := make(chan reply)
-	go func() { first <- r.ask(t, 0, 80, strict) }()
-	r.running(t, before)
+	go func() { first <- r.ask(t, 0, 80, nonRepeatable) }()
+	r.waitForRun(t, before)
 	c.Assert(r.boxes[0].Process.Kill(), quicktest.IsNil)
-	torn := <-first
-	c.Check(torn.err, quicktest.IsNotNil)
-	c.Check(strings.Contains(torn.text, "[DONE]"), quicktest.IsFalse)
-	retry := r.ask(t, 1, 80, strict)
+	broken := <-first
+	c.Check(broken.err, quicktest.IsNotNil)
+	c.Check(strings.Contains(broken.text, "[DONE]"), quicktest.IsFalse)
+	retry := r.ask(t, 1, 80, nonRepeatable)
 	c.Check(retry.reason, quicktest.Equals, string(barleystep.ReasonStillRunning), quicktest.Commentf("%+v", retry))
 	c.Check(r.ask(t, 1, 2, nil).outcome, quicktest.Equals, "done", quicktest.Commentf("others are served"))
-	eventually(t, func() bool { return r.ask(t, 1, 80, strict).outcome == "unknown" })
+	eventually(t, func() bool { return r.ask(t, 1, 80, nonRepeatable).outcome == "unknown" })
 	c.Check(len(r.engine.Runs())-before, quicktest.Equals, 2)
 }
 
 // TestFrozenBox stops a box's process in the midst of a stream and lets it go on.
 func TestFrozenBox(t *testing.T) {
 	c := quicktest.New(t)
-	r := newRig(t, 1)
+	r := newFixture(t, 1)
 	before := len(r.engine.Runs())
 	whole := make(chan reply)
 	go func() { whole <- r.ask(t, 0, 40, nil) }()
-	r.running(t, before)
+	r.waitForRun(t, before)
 	c.Assert(r.boxes[0].Process.Signal(syscall.SIGSTOP), quicktest.IsNil)
 	eventually(t, func() bool { return r.engine.UsedTokens() == 0 })
 	c.Assert(r.boxes[0].Process.Signal(syscall.SIGCONT), quicktest.IsNil)
@@ -197,11 +197,11 @@
 // after the stream, and cuts nothing short.
 func TestStoppedBox(t *testing.T) {
 	c := quicktest.New(t)
-	r := newRig(t, 1)
+	r := newFixture(t, 1)
 	before := len(r.engine.Runs())
 	whole := make(chan reply)
 	go func() { whole <- r.ask(t, 0, 40, nil) }()
-	r.running(t, before)
+	r.waitForRun(t, before)
 	c.Assert(r.boxes[0].Process.Signal(syscall.SIGTERM), quicktest.IsNil)
 	got := <-whole
 	c.Check(got.outcome, quicktest.Equals, "done")
--- a/cmd/barleystep-soak/main.go
+++ b/cmd/barleystep-soak/main.go
@@ -63,16 +63,16 @@
 	if s.Dir, err = soak.TempDir(s.Setup); err != nil {
 		return err
 	}
-	found, err := s.Run(cmd.Context())
+	findings, err := s.Run(cmd.Context())
 	if err != nil {
 		return err
 	}
-	for _, line := range found {
+	for _, line := range findings {
 		fmt.Fprintln(s.Out, "WRONG", line)
 	}
-	fmt.Fprintf(s.Out, "seed %d: %s, %d wrong; logs of the boxes are in %s\n", s.Seed, s.Summary(), len(found), s.Dir)
-	if len(found) > 0 {
-		return eris.Errorf("seed %d: %d promises broken", s.Seed, len(found))
+	fmt.Fprintf(s.Out, "seed %d: %s, %d wrong; logs of the boxes are in %s\n", s.Seed, s.Summary(), len(findings), s.Dir)
+	if len(findings) > 0 {
+		return eris.Errorf("seed %d: %d promises broken", s.Seed, len(findings))
 	}
 	return nil
 }
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -71,7 +71,7 @@
 		Short:        p.Short,
 		SilenceUsage: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, err := p.read(file)
+			s, err := p.readSettings(file)
 			if err != nil {
 				return err
 			}
@@ -89,7 +89,7 @@
 	return root
 }
 
-func (p Program) read(file string) (settings.Settings, error) {
+func (p Program) readSettings(file string) (settings.Settings, error) {
 	s, err := settings.Read(file)
 	if err == nil && p.Check != nil {
 		err = p.Check(s)
@@ -106,7 +106,7 @@
 		Short: "Check the settings file and say what is wrong",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if _, err := p.read(*file); err != nil {
+			if _, err := p.readSettings(*file); err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: ok\n", *file)
@@ -143,7 +143,7 @@
 		Level:      log.ParseLevel(level),
 		TimeFormat: log.TimeFormatUnixMs,
 		Writer: &lineWriter{AsyncWriter: &log.AsyncWriter{
-			ChannelSize:   logBuffer,
+			ChannelSize:   logQueueLines,
 			DiscardOnFull: true,
 			Writer:        &log.IOWriter{Writer: os.Stdout},
 		}},
@@ -175,7 +175,7 @@
 
 // logBuffer is how many lines may wait for the reader of standard output: some
 // seconds' worth on a busy box.
-const logBuffer = 1024
+const logQueueLines = 1024
 
 // closeLog writes the lines that still wait.
 func closeLog(l *log.Logger) {
@@ -186,19 +186,19 @@
 
 // storeTimeout bounds a call to the platform's store if the settings do not. A
 // slow store takes some hundred milliseconds for an answer.
-const storeTimeout = time.Second
+const defaultStoreTimeout = time.Second
 
 // Platform returns the client of the platform's store. The settings were checked.
 func NewStore(s settings.Settings, clk barleystep.Clock) *platform.Store {
 	return &platform.Store{
 		Addr:    strings.TrimPrefix(s.Platform.URL, "http://"),
 		Clock:   clk,
-		HTTP:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: storeConnections}},
+		HTTP:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleStoreConns}},
 		Box:     s.Box.ID,
-		Timeout: s.Platform.Timeout.Or(storeTimeout),
+		Timeout: s.Platform.Timeout.Or(defaultStoreTimeout),
 	}
 }
 
 // storeConnections is how many connections to the store are kept: one for each
 // topic that is followed, and some for single calls.
-const storeConnections = 4
+const maxIdleStoreConns = 4
--- a/internal/command/log_test.go
+++ b/internal/command/log_test.go
@@ -12,7 +12,7 @@
 
 // TestDropped checks that the logger neither waits for a reader that does not read
 // nor forgets what it dropped.
-func TestDropped(t *testing.T) {
+func TestDroppedLines(t *testing.T) {
 	c := quicktest.New(t)
 	reader, writer, err := os.Pipe()
 	c.Assert(err, quicktest.IsNil)
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -54,28 +54,28 @@
 
 // Meter holds the counters of a box.
 type Meter struct {
-	ended    metric.Int64Counter
-	refused  metric.Int64Counter
-	retried  metric.Int64Counter
-	events   metric.Int64Counter
-	takeover metric.Int64Counter
-	cleaned  metric.Int64Counter
-	store    metric.Int64Counter
-	config   metric.Int64Counter
-	first    metric.Float64Histogram
+	ended         metric.Int64Counter
+	refused       metric.Int64Counter
+	retried       metric.Int64Counter
+	membership    metric.Int64Counter
+	takeovers     metric.Int64Counter
+	cancelled     metric.Int64Counter
+	storeFaults   metric.Int64Counter
+	configuration metric.Int64Counter
+	firstToken    metric.Float64Histogram
 }
 
 func newMeter(m metric.Meter) *Meter {
 	return &Meter{
-		ended:    counter(m, "barleystep_requests_ended", "Requests that ended, by outcome."),
-		refused:  counter(m, "barleystep_requests_refused", "Requests that ended without a whole answer, by reason."),
-		retried:  counter(m, "barleystep_attempts_retried", "Attempts that were tried again, by reason."),
-		events:   counter(m, "barleystep_membership_events", "Changes seen in the set of live boxes, by kind."),
-		takeover: counter(m, "barleystep_takeovers", "Duties taken over from another box, by duty."),
-		cleaned:  counter(m, "barleystep_cleanups", "Attempts cancelled at targets, by reason."),
-		store:    counter(m, "barleystep_store_faults", "Failed calls to the platform's stores, by operation and fault."),
-		config:   counter(m, "barleystep_configuration_events", "Changes of the configuration in force, by kind."),
-		first:    histogram(m, "barleystep_first_token_seconds", "Time to first token, by band of prompt length."),
+		ended:         counter(m, "barleystep_requests_ended", "Requests that ended, by outcome."),
+		refused:       counter(m, "barleystep_requests_refused", "Requests that ended without a whole answer, by reason."),
+		retried:       counter(m, "barleystep_attempts_retried", "Attempts that were tried again, by reason."),
+		membership:    counter(m, "barleystep_membership_events", "Changes seen in the set of live boxes, by kind."),
+		takeovers:     counter(m, "barleystep_takeovers", "Duties taken over from another box, by duty."),
+		cancelled:     counter(m, "barleystep_cleanups", "Attempts cancelled at targets, by reason."),
+		storeFaults:   counter(m, "barleystep_store_faults", "Failed calls to the platform's stores, by operation and fault."),
+		configuration: counter(m, "barleystep_configuration_events", "Changes of the configuration in force, by kind."),
+		firstToken:    histogram(m, "barleystep_first_token_seconds", "Time to first token, by band of prompt length."),
 	}
 }
 
@@ -89,7 +89,7 @@
 
 func histogram(m metric.Meter, name, help string) metric.Float64Histogram {
 	h, err := m.Float64Histogram(name, metric.WithDescription(help), metric.WithUnit("s"),
-		metric.WithExplicitBucketBoundaries(firstTokenBounds...))
+		metric.WithExplicitBucketBoundaries(firstTokenBuckets...))
 	if err != nil {
 		panic(err) // The names are constants of this file.
 	}
@@ -97,7 +97,7 @@
 }
 
 // firstTokenBounds are the bounds of the histogram's buckets, in seconds.
-var firstTokenBounds = []float64{0.05, 0.1, 0.2, 0.3, 0.4, 0.54, 0.8, 1.2, 2, 4, 8, 15, 30, 60, 120, 300, 900}
+var firstTokenBuckets = []float64{0.05, 0.1, 0.2, 0.3, 0.4, 0.54, 0.8, 1.2, 2, 4, 8, 15, 30, 60, 120, 300, 900}
 
 func add(c metric.Int64Counter, kv ...attribute.KeyValue) {
 	c.Add(context.Background(), 1, metric.WithAttributes(kv...))
@@ -115,23 +115,25 @@
 func (m *Meter) AttemptRetried(reason string) { add(m.retried, attribute.String("reason", reason)) }
 
 // Membership counts a change in the set of live boxes.
-func (m *Meter) MembershipChanged(kind string) { add(m.events, attribute.String("kind", kind)) }
+func (m *Meter) MembershipChanged(kind string) { add(m.membership, attribute.String("kind", kind)) }
 
 // TookOver counts a duty that moved to this box.
-func (m *Meter) TookOver(duty string) { add(m.takeover, attribute.String("duty", duty)) }
+func (m *Meter) TookOver(duty string) { add(m.takeovers, attribute.String("duty", duty)) }
 
 // Cleaned counts an attempt that was cancelled at a target.
-func (m *Meter) AttemptCancelled(reason string) { add(m.cleaned, attribute.String("reason", reason)) }
+func (m *Meter) AttemptCancelled(reason string) { add(m.cancelled, attribute.String("reason", reason)) }
 
 // StoreFault counts a failed call to the platform's stores.
 func (m *Meter) StoreFault(op, fault string) {
-	add(m.store, attribute.String("operation", op), attribute.String("fault", fault))
+	add(m.storeFaults, attribute.String("operation", op), attribute.String("fault", fault))
 }
 
 // Configuration counts a change of the configuration in force.
-func (m *Meter) ConfigurationChanged(kind string) { add(m.config, attribute.String("kind", kind)) }
+func (m *Meter) ConfigurationChanged(kind string) {
+	add(m.configuration, attribute.String("kind", kind))
+}
 
 // FirstToken records the time to first token of a prompt in a length band.
 func (m *Meter) FirstToken(band string, d time.Duration) {
-	m.first.Record(context.Background(), d.Seconds(), metric.WithAttributes(attribute.String("band", band)))
+	m.firstToken.Record(context.Background(), d.Seconds(), metric.WithAttributes(attribute.String("band", band)))
 }
