--- a/internal/router/restart_test.go
+++ b/internal/router/restart_test.go
@@ -33,15 +33,15 @@
 	addr := server.Listener.Addr().String()
 	r.store.PutRestartedServer("i-2", "app", addr, firstStart)
 	r.store.Remove("servers", "i-1")
-	ask := func() bool {
+	post := func() bool {
 		status, _ := r.post(t, 0, "/a/x", "k1")
 		return status == http.StatusOK
 	}
-	eventually(t, func() bool { return ask() && opened.Load() > 0 })
+	eventually(t, func() bool { return post() && opened.Load() > 0 })
 	for range 20 {
-		c.Check(ask(), quicktest.IsTrue)
+		c.Check(post(), quicktest.IsTrue)
 	}
 	c.Check(opened.Load(), quicktest.Equals, int32(1))
 	r.store.PutRestartedServer("i-2", "app", addr, secondStart)
-	eventually(t, func() bool { return ask() && opened.Load() == 2 })
+	eventually(t, func() bool { return post() && opened.Load() == 2 })
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -55,8 +55,8 @@
 	top           *suture.Supervisor
 	stopping      chan struct{}
 	// freshness and grace are settings that may change.
-	keyFreshness atomic.Int64
-	grace        atomic.Int64
+	freshness atomic.Int64
+	grace     atomic.Int64
 }
 
 const logPrefix = "router: "
@@ -160,7 +160,7 @@
 
 // apply puts the settings in force that may change while the program runs.
 func (r *Router) apply(s settings.Settings) {
-	r.keyFreshness.Store(int64(s.Keys.Freshness))
+	r.freshness.Store(int64(s.Keys.Freshness))
 	r.front.SetKeyFreshness(time.Duration(s.Keys.Freshness))
 	r.budget.SetLimits(s.Retries.Ratio, s.Retries.Extra)
 	r.grace.Store(int64(s.Limits.Grace.Or(defaultGrace)))
@@ -218,7 +218,7 @@
 	if !r.callers.accepting.Load() || r.configuration.View() == nil || !r.targets.Loaded() {
 		return false
 	}
-	freshness := time.Duration(r.keyFreshness.Load())
+	freshness := time.Duration(r.freshness.Load())
 	if freshness == 0 {
 		return true
 	}
