--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -51,8 +51,8 @@
 	deadlyKey   = "key-a"
 	// shortPrompt and giantPrompt are lengths in tokens; the second is over an engine's
 	// memory.
-	shortPrompt = 500
-	giantPrompt = 60_000
+	shortPrompt     = 500
+	oversizedPrompt = 60_000
 )
 
 func newCaller(number int, seed uint64) *caller {
@@ -69,7 +69,7 @@
 func (c *caller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		b := c.boxes[c.rand.IntN(len(c.boxes))]
-		c.history.RecordCall(c.call(b, c.draw()))
+		c.history.RecordCall(c.call(b, c.randomCall()))
 		timer := c.clock.NewTimer(time.Duration(c.rand.ExpFloat64() * float64(thinkTime)))
 		select {
 		case <-ctx.Done():
@@ -81,7 +81,7 @@
 }
 
 // draw chooses what to ask for.
-func (c *caller) draw() Call {
+func (c *caller) randomCall() Call {
 	c.number++
 	x := Call{ID: fmt.Sprintf("%s-%d", c.name, c.number), Key: c.keys[c.rand.IntN(len(c.keys))], Body: "body of a request"}
 	x.Kind = []Kind{KindNonIdempotent, KindIdempotent, KindResumableStream, KindPlainStream}[c.rand.IntN(4)]
@@ -100,7 +100,7 @@
 
 // call sends one request and takes in the answer.
 func (c *caller) call(b *box, x Call) Call {
-	x.Box, x.Incarnation, x.TimeLimit, x.Started = b.id, b.currentLife(), c.load.timeLimit, c.clock.Now()
+	x.Box, x.Incarnation, x.TimeLimit, x.Started = b.id, b.currentIncarnation(), c.load.timeLimit, c.clock.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), x.TimeLimit)
 	defer cancel()
 	connected := false
@@ -109,7 +109,7 @@
 		GotConn: func(i httptrace.GotConnInfo) {
 			connected, x.Reused = true, i.Reused
 			if !i.Reused {
-				x.Incarnation = b.currentLife() // It may have started since.
+				x.Incarnation = b.currentIncarnation() // It may have started since.
 			}
 		},
 		WroteRequest: func(i httptrace.WroteRequestInfo) {
@@ -118,7 +118,7 @@
 			}
 		},
 	})
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+b.callers+x.Path, strings.NewReader(x.Body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+b.callersAddr+x.Path, strings.NewReader(x.Body))
 	if err != nil {
 		panic(err) // The address and path are this package's own.
 	}
@@ -126,8 +126,8 @@
 	req.GetBody = nil // The transport must not send it again.
 	platformtest.SetCallerHeaders(req.Header, x.ID, x.Key)
 	prompt := shortPrompt
-	if x.Kind == KindResumableStream && c.rand.IntN(c.load.giantEvery) == 0 {
-		prompt = giantPrompt
+	if x.Kind == KindResumableStream && c.rand.IntN(c.load.oversizedEvery) == 0 {
+		prompt = oversizedPrompt
 	}
 	platformtest.SetPromptHeaders(req.Header, prompt, x.TimeLimit)
 	resp, err := c.client.Do(req)
--- a/internal/soak/check_stop.go
+++ b/internal/soak/check_stop.go
@@ -8,31 +8,31 @@
 
 // crossTime is how long before its connection closes a request was sent that can't have
 // crossed the close: the box has read it.
-const crossTime = time.Second
+const closeRaceWindow = time.Second
 
 // unanswered checks a call that ended without any answer: only a box that was killed, or
 // one that has not taken the request, leaves one so. A box has taken what it passed on,
 // and what came long before the close.
-func (c *check) unanswered(x *Call) {
+func (c *check) checkUnanswered(x *Call) {
 	if x.ConnectFailed || x.TimedOut || c.killed(x) || c.frozen(x) {
 		return
 	}
-	life := lifeOf(x.Box, x.Incarnation)
-	_, stopping := c.history.stopping[life]
+	incarnation := incarnationID(x.Box, x.Incarnation)
+	_, stopping := c.history.stopping[incarnation]
 	waited := x.Ended.Sub(x.Sent)
 	switch {
 	case len(c.arrivals[x.ID]) > 0:
-		c.find("no answer lost", x.ID, "%s was passed on by %s and its connection closed without an answer%s", x.Kind, life, c.sinceStop(x))
-	case !x.Sent.IsZero() && waited > crossTime:
-		c.find("no answer lost", x.ID, "%s waited %s at %s and its connection closed without an answer%s", x.Kind, waited, life, c.sinceStop(x))
+		c.addViolation("no answer lost", x.ID, "%s was passed on by %s and its connection closed without an answer%s", x.Kind, incarnation, c.describeStop(x))
+	case !x.Sent.IsZero() && waited > closeRaceWindow:
+		c.addViolation("no answer lost", x.ID, "%s waited %s at %s and its connection closed without an answer%s", x.Kind, waited, incarnation, c.describeStop(x))
 	case !x.Reused && !stopping:
-		c.find("no answer lost", x.ID, "%s closed a new connection without an answer", life)
+		c.addViolation("no answer lost", x.ID, "%s closed a new connection without an answer", incarnation)
 	}
 }
 
 // sinceStop tells how long after the box was told to stop the call began and ended.
-func (c *check) sinceStop(x *Call) string {
-	stopped, stopping := c.history.stopping[lifeOf(x.Box, x.Incarnation)]
+func (c *check) describeStop(x *Call) string {
+	stopped, stopping := c.history.stopping[incarnationID(x.Box, x.Incarnation)]
 	if !stopping {
 		return ""
 	}
@@ -41,35 +41,35 @@
 
 // killed reports whether the call's box was killed before the call ended.
 func (c *check) killed(x *Call) bool {
-	at, killed := c.history.killed[lifeOf(x.Box, x.Incarnation)]
+	at, killed := c.history.killed[incarnationID(x.Box, x.Incarnation)]
 	return killed && !at.After(x.Ended)
 }
 
 // frozen reports whether the call's box stood still during the call.
 func (c *check) frozen(x *Call) bool {
-	return slices.ContainsFunc(c.history.frozen[lifeOf(x.Box, x.Incarnation)], func(f span) bool { return f.meets(x.Started, x.Ended) })
+	return slices.ContainsFunc(c.history.frozen[incarnationID(x.Box, x.Incarnation)], func(f interval) bool { return f.overlaps(x.Started, x.Ended) })
 }
 
 // reopened checks that no life of a box takes new connections again after it has refused
 // them in a planned stop.
-func (c *check) reopened() {
+func (c *check) checkReopened() {
 	calls := slices.Clone(c.history.calls)
 	slices.SortFunc(calls, func(a, b Call) int { return a.Started.Compare(b.Started) })
 	accepted, closed := make(map[string]bool), make(map[string]time.Time)
 	for i := range calls {
 		x := &calls[i]
-		life := lifeOf(x.Box, x.Incarnation)
-		at, refused := closed[life]
+		incarnation := incarnationID(x.Box, x.Incarnation)
+		at, refused := closed[incarnation]
 		switch {
 		case x.Reused || x.TimedOut:
-		case x.ConnectFailed && !refused && accepted[life] && c.stopping(x):
-			closed[life] = x.Ended
+		case x.ConnectFailed && !refused && accepted[incarnation] && c.stopping(x):
+			closed[incarnation] = x.Ended
 		case x.ConnectFailed:
 		case refused && x.Started.After(at):
-			c.find("closed stays closed", x.ID, "%s took a new connection%s, having refused one", life, c.sinceStop(x))
+			c.addViolation("closed stays closed", x.ID, "%s took a new connection%s, having refused one", incarnation, c.describeStop(x))
 			return
 		default:
-			accepted[life] = true
+			accepted[incarnation] = true
 		}
 	}
 }
@@ -77,6 +77,6 @@
 // stopping reports whether the call's box was told to stop before the call, and not killed
 // until its end.
 func (c *check) stopping(x *Call) bool {
-	at, stopping := c.history.stopping[lifeOf(x.Box, x.Incarnation)]
+	at, stopping := c.history.stopping[incarnationID(x.Box, x.Incarnation)]
 	return stopping && x.Started.After(at) && !c.killed(x)
 }
--- a/internal/soak/check_targets_test.go
+++ b/internal/soak/check_targets_test.go
@@ -104,7 +104,7 @@
 			for i, s := range append([]sent{{"b0", 1, 0}}, tc.later...) {
 				x := call(soak.KindIdempotent, s.at)
 				x.ID, x.Box, x.Incarnation, x.Ended = string(rune('a'+i)), s.box, s.life, at(s.at+time.Millisecond)
-				x.Header = answered(x.ID, seal(http.StatusOK).String())
+				x.Header = answered(x.ID, digest(http.StatusOK).String())
 				a := arrival(x, 1)
 				if i == 0 {
 					a.Leaving, a.Rest = tc.rest == 0, tc.rest
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -17,14 +17,14 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// seal is that of the first run of a target.
-func seal(status int) platformtest.Digest {
+// digest is that of the first run of a target.
+func digest(status int) platformtest.Digest {
 	return platformtest.Digest{Target: "t0", Run: 1, Status: status}
 }
 
-func answered(request, seal string) http.Header {
+func answered(request, digest string) http.Header {
 	h := http.Header{}
-	platformtest.SetAnswerHeaders(h, request, seal)
+	platformtest.SetAnswerHeaders(h, request, digest)
 	return h
 }
 
@@ -33,9 +33,9 @@
 	x := soak.Call{
 		ID: "r1", Kind: kind, Box: "b0", Incarnation: 1, Key: "k", Path: "/" + string(kind) + "/", Body: "ask",
 		TimeLimit: 4 * time.Second, Started: at(sent), Ended: at(sent + time.Second), Status: http.StatusOK,
-		Header: answered("r1", seal(http.StatusOK).String()),
+		Header: answered("r1", digest(http.StatusOK).String()),
 	}
-	x.Answer = strings.Join(platformtest.AnswerParts(x.ID, seal(http.StatusOK), x.Path, ""), "")
+	x.Answer = strings.Join(platformtest.AnswerParts(x.ID, digest(http.StatusOK), x.Path, ""), "")
 	return x
 }
 
@@ -102,7 +102,7 @@
 		"ran twice":       {call: once, arrivals: []platformtest.Arrival{arrival(once, 1), arrival(once, 2)}, found: "at most once"},
 		"refused":         {call: refused(soak.KindNonIdempotent, 503), arrivals: []platformtest.Arrival{arrival(once, 0)}},
 		"refused and ran": {call: refused(soak.KindNonIdempotent, 503), arrivals: []platformtest.Arrival{arrival(once, 1)}, found: "true refusals"},
-		"another's":       {call: change(once, func(x *soak.Call) { x.Header = answered("r2", seal(http.StatusOK).String()) }), found: "own answer"},
+		"another's":       {call: change(once, func(x *soak.Call) { x.Header = answered("r2", digest(http.StatusOK).String()) }), found: "own answer"},
 		"no digest":       {call: change(once, func(x *soak.Call) { x.Header = answered("r1", "") }), found: "own answer"},
 		"under a digest":  {call: change(stream, func(x *soak.Call) { x.Status = 502 }), found: "own answer"},
 		"own with a target's body": {
--- a/internal/soak/child.go
+++ b/internal/soak/child.go
@@ -17,13 +17,13 @@
 )
 
 // order is a line to a stand-in's process. It carries one order.
-type order struct {
-	Number int                                  `json:"number"`
-	Spoils map[platformtest.TargetFault]float64 `json:"spoils,omitempty"`
-	Put    *record                              `json:"put,omitempty"`
-	Remove *record                              `json:"remove,omitempty"`
-	Fault  string                               `json:"fault,omitempty"`
-	Forget bool                                 `json:"forget,omitempty"`
+type command struct {
+	Number       int                                  `json:"number"`
+	TargetFaults map[platformtest.TargetFault]float64 `json:"spoils,omitempty"`
+	Put          *record                              `json:"put,omitempty"`
+	Remove       *record                              `json:"remove,omitempty"`
+	StoreFault   string                               `json:"fault,omitempty"`
+	Forget       bool                                 `json:"forget,omitempty"`
 	// Says is what a target is to say of itself from now on.
 	Says *statement `json:"says,omitempty"`
 }
@@ -56,22 +56,22 @@
 
 // child is a stand-in's process. It ends when its input does, so that none is left over.
 type child struct {
-	cmd   *exec.Cmd
-	in    io.WriteCloser
-	lines *json.Encoder
-	addr  string
+	cmd     *exec.Cmd
+	in      io.WriteCloser
+	encoder *json.Encoder
+	addr    string
 
-	mu     sync.Mutex
-	number int
-	held   int
-	waits  map[int]chan struct{}
-	ended  chan struct{}
+	mu       sync.Mutex
+	number   int
+	reserved int
+	pending  map[int]chan struct{}
+	ended    chan struct{}
 	// killed is set once it is ended from here.
 	killed atomic.Bool
 }
 
 // startChild starts a stand-in's process and waits until it listens.
-func startChild(ctx context.Context, program string, note func(platformtest.Arrival), args ...string) (c *child, err error) {
+func startChild(ctx context.Context, program string, onArrival func(platformtest.Arrival), args ...string) (c *child, err error) {
 	defer func() { err = eris.Wrap(err, "soak: start a stand-in") }()
 	cmd := exec.CommandContext(ctx, program, args...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -86,7 +86,7 @@
 	if err = cmd.Start(); err != nil {
 		return nil, err
 	}
-	c = &child{cmd: cmd, in: in, lines: json.NewEncoder(in), waits: make(map[int]chan struct{}), ended: make(chan struct{})}
+	c = &child{cmd: cmd, in: in, encoder: json.NewEncoder(in), pending: make(map[int]chan struct{}), ended: make(chan struct{})}
 	reader := json.NewDecoder(bufio.NewReader(out))
 	var first report
 	if err = reader.Decode(&first); err != nil {
@@ -94,13 +94,13 @@
 		return nil, err
 	}
 	c.addr = first.Addr
-	go c.read(reader, note)
+	go c.read(reader, onArrival)
 	return c, nil
 }
 
 // read takes in what the process tells until its output ends, also what it told before
 // it was killed.
-func (c *child) read(reader *json.Decoder, note func(platformtest.Arrival)) {
+func (c *child) read(reader *json.Decoder, onArrival func(platformtest.Arrival)) {
 	defer close(c.ended)
 	for {
 		var r report
@@ -108,7 +108,7 @@
 			return
 		}
 		if r.Arrival != nil {
-			note(*r.Arrival)
+			onArrival(*r.Arrival)
 		}
 		if r.Done > 0 {
 			c.done(r)
@@ -119,21 +119,21 @@
 func (c *child) done(r report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.held = r.Held
-	if w, ok := c.waits[r.Done]; ok {
+	c.reserved = r.Held
+	if w, ok := c.pending[r.Done]; ok {
 		close(w)
-		delete(c.waits, r.Done)
+		delete(c.pending, r.Done)
 	}
 }
 
 // give gives an order and waits until it was carried out or the process has ended.
-func (c *child) give(o order) {
+func (c *child) execute(o command) {
 	c.mu.Lock()
 	c.number++
 	o.Number = c.number
 	done := make(chan struct{})
-	c.waits[o.Number] = done
-	err := c.lines.Encode(o)
+	c.pending[o.Number] = done
+	err := c.encoder.Encode(o)
 	c.mu.Unlock()
 	if err != nil {
 		return // It has ended.
@@ -145,11 +145,11 @@
 }
 
 // heldMemory returns how much memory is set aside at a target.
-func (c *child) heldMemory() int {
-	c.give(order{})
+func (c *child) reservedMemory() int {
+	c.execute(command{})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.held
+	return c.reserved
 }
 
 // kill ends the process at once and takes in what it has told.
--- a/internal/soak/examine.go
+++ b/internal/soak/final_check.go
@@ -15,26 +15,26 @@
 	// since the machine may be busy.
 	settleTime = 30 * time.Second
 	// pollEvery is how often it is looked whether all works.
-	pollEvery = 50 * time.Millisecond
+	pollInterval = 50 * time.Millisecond
 	// moreDescriptors, besides one for each other process, and mostMegabytes bound what a
 	// box may hold in the end, when it has nothing to do.
-	moreDescriptors = 138
-	mostMegabytes   = 256
+	baseDescriptors = 138
+	maxMegabytes    = 256
 	// holdTime is how long memory may stay set aside after the last request.
-	holdTime = 4 * time.Second
+	releaseTime = 4 * time.Second
 )
 
 // settled waits until every box serves a request of each service.
-func (s *Runner) settled(ctx context.Context) bool {
+func (s *Runner) waitServing(ctx context.Context) bool {
 	end := s.Clock.Now().Add(settleTime)
 	var all sync.WaitGroup
 	var failed atomic.Bool
 	for _, b := range s.boxes {
 		s.probes++
 		probe := newCaller(s.Callers+s.probes, s.Seed)
-		s.equip(probe)
+		s.configureCaller(probe)
 		all.Go(func() {
-			if !s.boxSettled(ctx, probe, b, end) {
+			if !s.waitBoxServing(ctx, probe, b, end) {
 				failed.Store(true)
 			}
 		})
@@ -44,40 +44,40 @@
 }
 
 // boxSettled waits until the box serves a request of each service.
-func (s *Runner) boxSettled(ctx context.Context, probe *caller, b *box, end time.Time) bool {
+func (s *Runner) waitBoxServing(ctx context.Context, probe *caller, b *box, end time.Time) bool {
 	defer probe.client.CloseIdleConnections()
-	for _, path := range []Kind{KindIdempotent, KindResumableStream} {
-		for !s.serves(probe, b, path) {
+	for _, kind := range []Kind{KindIdempotent, KindResumableStream} {
+		for !s.sendProbe(probe, b, kind) {
 			if ctx.Err() != nil || s.Clock.Now().After(end) {
 				return false
 			}
-			s.sleep(ctx, pollEvery)
+			s.sleep(ctx, pollInterval)
 		}
 	}
 	return true
 }
 
-func (s *Runner) serves(probe *caller, b *box, kind Kind) bool {
+func (s *Runner) sendProbe(probe *caller, b *box, kind Kind) bool {
 	probe.number++
 	x := probe.call(b, Call{ID: fmt.Sprintf("%s-%d", probe.name, probe.number), Kind: kind, Key: s.keys[0], Path: "/" + string(kind) + "/", Body: "probe"})
 	s.history.RecordCall(x)
 	return x.Status == http.StatusOK && !x.Truncated
 }
 
-func (s *Runner) equip(c *caller) {
+func (s *Runner) configureCaller(c *caller) {
 	c.clock, c.boxes, c.history, c.keys, c.load = s.Clock, s.boxes, s.history, slices.Clone(s.keys), s.load()
 	c.routes = func() int { return int(s.routes.Load()) }
 	c.deadly = func() bool { return s.deadly.Load() > 0 }
 }
 
 // examine looks at what is left when all faults are over.
-func (s *Runner) examine(ctx context.Context) {
-	if !s.settled(ctx) {
+func (s *Runner) checkFinalState(ctx context.Context) {
+	if !s.waitServing(ctx) {
 		s.history.RecordFinding("served again: not all boxes serve %s after the last fault", settleTime)
 	}
-	s.sleep(ctx, holdTime)
+	s.sleep(ctx, releaseTime)
 	for _, t := range s.targets {
-		if held := t.child.heldMemory(); held > 0 {
+		if held := t.child.reservedMemory(); held > 0 {
 			s.history.RecordFinding("memory free: %s has %d tokens set aside", t.id, held)
 		}
 	}
@@ -85,7 +85,7 @@
 		u, err := b.usage()
 		if err != nil {
 			s.history.RecordFinding("resources: %s: %v", b.id, err)
-		} else if u.descriptors > moreDescriptors+s.Boxes+s.allTargets() || u.megabytes > mostMegabytes {
+		} else if u.descriptors > baseDescriptors+s.Boxes+s.targetCount() || u.megabytes > maxMegabytes {
 			s.history.RecordFinding("resources: %s holds %d descriptors and %d MB", b.id, u.descriptors, u.megabytes)
 		}
 	}
--- a/internal/soak/foreign.go
+++ b/internal/soak/foreign.go
@@ -22,14 +22,14 @@
 
 // foreignEntries are the ways in which another writer spoils a target's entry, by name.
 var foreignEntries = map[string]func(entry map[string]any) record{
-	"no-address":      without(fieldAddress),
-	"no-service":      without(fieldService),
-	"no-state":        without(fieldState),
-	"address-number":  with(fieldAddress, 7),
-	"service-number":  with(fieldService, 7),
-	"slots-text":      with(fieldSlots, "many"),
-	"state-unknown":   with(fieldState, "resting"),
-	"service-unknown": with(fieldService, "elsewhere"),
+	"no-address":      withoutField(fieldAddress),
+	"no-service":      withoutField(fieldService),
+	"no-state":        withoutField(fieldState),
+	"address-number":  withField(fieldAddress, 7),
+	"service-number":  withField(fieldService, 7),
+	"slots-text":      withField(fieldSlots, "many"),
+	"state-unknown":   withField(fieldState, "resting"),
+	"service-unknown": withField(fieldService, "elsewhere"),
 	"bytes":           func(map[string]any) record { return record{Bytes: []byte("\xff{")} },
 }
 
@@ -37,7 +37,7 @@
 var foreignNames = slices.Sorted(maps.Keys(foreignEntries))
 
 // without leaves a field out.
-func without(field string) func(map[string]any) record {
+func withoutField(field string) func(map[string]any) record {
 	return func(entry map[string]any) record {
 		delete(entry, field)
 		return record{Value: entry}
@@ -45,7 +45,7 @@
 }
 
 // with gives a field another value.
-func with(field string, value any) func(map[string]any) record {
+func withField(field string, value any) func(map[string]any) record {
 	return func(entry map[string]any) record {
 		entry[field] = value
 		return record{Value: entry}
--- a/internal/soak/foreign_internal_test.go
+++ b/internal/soak/foreign_internal_test.go
@@ -15,7 +15,7 @@
 	c := quicktest.New(t)
 	run := Setup{Seed: 1, Length: 10 * time.Minute, Boxes: 3, Targets: 6, Profile: ProfileUsual}
 	drawn := make(map[string]bool)
-	for _, e := range (source{streamForeign, foreignGap, map[Action]int{ActionForeign: 1}}).draw(run) {
+	for _, e := range (eventSource{streamForeign, foreignGap, map[Action]int{ActionForeign: 1}}).generate(run) {
 		c.Assert(e.Action, quicktest.Equals, ActionForeign)
 		drawn[e.Detail] = true
 	}
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -62,28 +62,28 @@
 	killed   map[string]time.Time
 	stopping map[string]time.Time
 	// frozen lists when lives stood still.
-	frozen map[string][]span
+	frozen map[string][]interval
 	// away lists when the store failed, and overwritten when another writer's entry stood
 	// in place of a target's.
-	away        []span
-	overwritten map[string][]span
+	storeDown   []interval
+	overwritten map[string][]interval
 	// revoked is when the store had taken each key away.
 	revoked map[string]time.Time
 	// tenants are the client accounts by their keys.
-	tenants map[string]string
-	found   []string
+	accounts   map[string]string
+	violations []string
 }
 
 // span is a stretch of time, whose end is zero while it lasts.
-type span struct{ from, to time.Time }
+type interval struct{ from, to time.Time }
 
 // meets reports whether the span and one that has ended have a moment in common.
-func (s span) meets(from, to time.Time) bool {
+func (s interval) overlaps(from, to time.Time) bool {
 	return !to.Before(s.from) && (s.to.IsZero() || !from.After(s.to))
 }
 
 // end ends the spans that last.
-func end(list []span, at time.Time) {
+func closeIntervals(list []interval, at time.Time) {
 	for i := range list {
 		if list[i].to.IsZero() {
 			list[i].to = at
@@ -92,15 +92,15 @@
 }
 
 // NewHistory returns an empty history.
-func NewHistory(tenants map[string]string) *History {
+func NewHistory(accounts map[string]string) *History {
 	return &History{
 		bodies:      make(map[string]string),
 		killed:      make(map[string]time.Time),
 		stopping:    make(map[string]time.Time),
-		frozen:      make(map[string][]span),
-		overwritten: make(map[string][]span),
+		frozen:      make(map[string][]interval),
+		overwritten: make(map[string][]interval),
 		revoked:     make(map[string]time.Time),
-		tenants:     tenants,
+		accounts:    accounts,
 	}
 }
 
@@ -108,7 +108,7 @@
 func (h *History) RecordCall(c Call) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	c.Body = h.body(c.Body)
+	c.Body = h.internBody(c.Body)
 	h.calls = append(h.calls, c)
 }
 
@@ -116,12 +116,12 @@
 func (h *History) RecordArrival(a platformtest.Arrival) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	a.Body = h.body(a.Body)
+	a.Body = h.internBody(a.Body)
 	h.arrivals = append(h.arrivals, a)
 }
 
 // body returns the copy that is kept of a body.
-func (h *History) body(text string) string {
+func (h *History) internBody(text string) string {
 	kept, ok := h.bodies[text]
 	if !ok {
 		h.bodies[text] = text
@@ -131,64 +131,64 @@
 }
 
 // Killed notes that a life of a box was killed.
-func (h *History) RecordKill(box string, life int, at time.Time) {
+func (h *History) RecordKill(box string, incarnation int, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if _, known := h.killed[lifeOf(box, life)]; !known {
-		h.killed[lifeOf(box, life)] = at
+	if _, known := h.killed[incarnationID(box, incarnation)]; !known {
+		h.killed[incarnationID(box, incarnation)] = at
 	}
 }
 
 // Stopping notes that a life of a box was told to stop.
-func (h *History) RecordStop(box string, life int, at time.Time) {
+func (h *History) RecordStop(box string, incarnation int, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if _, known := h.stopping[lifeOf(box, life)]; !known {
-		h.stopping[lifeOf(box, life)] = at
+	if _, known := h.stopping[incarnationID(box, incarnation)]; !known {
+		h.stopping[incarnationID(box, incarnation)] = at
 	}
 }
 
 // Frozen notes that a life of a box stands still from now on.
-func (h *History) RecordFreeze(box string, life int, at time.Time) {
+func (h *History) RecordFreeze(box string, incarnation int, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	id := lifeOf(box, life)
-	h.frozen[id] = append(h.frozen[id], span{from: at})
+	id := incarnationID(box, incarnation)
+	h.frozen[id] = append(h.frozen[id], interval{from: at})
 }
 
 // Thawed notes that a life of a box goes on.
-func (h *History) RecordThaw(box string, life int, at time.Time) {
+func (h *History) RecordThaw(box string, incarnation int, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	end(h.frozen[lifeOf(box, life)], at)
+	closeIntervals(h.frozen[incarnationID(box, incarnation)], at)
 }
 
 // StoreAway notes that the store fails from now on, and StoreBack that it serves again.
 func (h *History) RecordStoreDown(at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.away = append(h.away, span{from: at})
+	h.storeDown = append(h.storeDown, interval{from: at})
 }
 
 // StoreBack notes that the store serves again.
 func (h *History) RecordStoreUp(at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	end(h.away, at)
+	closeIntervals(h.storeDown, at)
 }
 
 // Overwritten notes that the store has another writer's entry in place of a target's.
 func (h *History) RecordOverwrite(target string, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.overwritten[target] = append(h.overwritten[target], span{from: at})
+	h.overwritten[target] = append(h.overwritten[target], interval{from: at})
 }
 
 // Healed notes that the target is about to write its entry again.
 func (h *History) RecordRestore(target string, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	end(h.overwritten[target], at)
+	closeIntervals(h.overwritten[target], at)
 }
 
 // Revoked notes that the store has taken a key away.
@@ -202,7 +202,7 @@
 func (h *History) RecordFinding(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.found = append(h.found, fmt.Sprintf(format, args...))
+	h.violations = append(h.violations, fmt.Sprintf(format, args...))
 }
 
-func lifeOf(box string, life int) string { return fmt.Sprintf("%s/%d", box, life) }
+func incarnationID(box string, incarnation int) string { return fmt.Sprintf("%s/%d", box, incarnation) }
--- a/internal/soak/history_internal_test.go
+++ b/internal/soak/history_internal_test.go
@@ -12,7 +12,7 @@
 
 // TestBodiesKeptOnce checks that a body which many calls have is kept once: runs of minutes took
 // gigabytes for them.
-func TestBodiesKeptOnce(t *testing.T) {
+func TestBodiesInterned(t *testing.T) {
 	h := NewHistory(nil)
 	body := func() string { return strings.Repeat("x", 1000) }
 	for range 3 {
--- a/internal/soak/play.go
+++ b/internal/soak/inject.go
@@ -9,21 +9,21 @@
 )
 
 // play has callers send requests while the events happen.
-func (s *Runner) play(ctx context.Context, events []Event) {
-	asking, cancel := context.WithCancel(ctx) // Processes that faults start go on after it.
+func (s *Runner) runEvents(ctx context.Context, events []Event) {
+	callersCtx, cancel := context.WithCancel(ctx) // Processes that faults start go on after it.
 	defer cancel()
 	var callers, faults sync.WaitGroup
 	for i := range s.Callers {
 		c := newCaller(i, s.Seed)
-		s.equip(c)
-		callers.Go(func() { c.run(asking) })
+		s.configureCaller(c)
+		callers.Go(func() { c.run(callersCtx) })
 	}
 	started := s.Clock.Now()
 	for _, e := range events {
 		if !s.sleep(ctx, started.Add(e.At).Sub(s.Clock.Now())) {
 			break
 		}
-		faults.Go(func() { s.act(ctx, e) })
+		faults.Go(func() { s.inject(ctx, e) })
 	}
 	s.sleep(ctx, started.Add(s.Length).Sub(s.Clock.Now()))
 	faults.Wait()
@@ -43,33 +43,33 @@
 }
 
 // act brings one fault about and ends it after its time.
-func (s *Runner) act(ctx context.Context, e Event) {
+func (s *Runner) inject(ctx context.Context, e Event) {
 	switch e.Action {
 	case ActionTerm, ActionKill, ActionReload, ActionFreeze:
-		s.actOnBox(ctx, e)
+		s.injectBoxFault(ctx, e)
 	case ActionKillAll:
 		for _, b := range s.boxes {
 			b.signal(syscall.SIGKILL)
 		}
 	case ActionStore:
-		s.storeFault(ctx, e)
+		s.injectStoreFault(ctx, e)
 	case ActionForget:
-		s.store.give(order{Forget: true})
+		s.store.execute(command{Forget: true})
 	case ActionRoute:
 		s.routes.Add(1)
-		s.configure()
+		s.writeConfig()
 	case ActionRevoke:
-		s.revoke()
+		s.revokeKey()
 	case ActionDeadly:
 		s.deadly.Add(1)
 		s.sleep(ctx, e.Duration)
 		s.deadly.Add(-1)
 	default:
-		s.targets[e.Index].act(ctx, e)
+		s.targets[e.Index].inject(ctx, e)
 	}
 }
 
-func (s *Runner) actOnBox(ctx context.Context, e Event) {
+func (s *Runner) injectBoxFault(ctx context.Context, e Event) {
 	b := s.boxes[e.Index]
 	switch e.Action {
 	case ActionTerm:
@@ -86,10 +86,10 @@
 }
 
 // storeFault has the store fail for a time. Where several overlap the newest is in force.
-func (s *Runner) storeFault(ctx context.Context, e Event) {
+func (s *Runner) injectStoreFault(ctx context.Context, e Event) {
 	s.storeMu.Lock()
 	s.storeFaults = append(s.storeFaults, e.Detail)
-	s.store.give(order{Fault: e.Detail})
+	s.store.execute(command{StoreFault: e.Detail})
 	s.history.RecordStoreDown(s.Clock.Now())
 	s.storeMu.Unlock()
 	s.sleep(ctx, e.Duration)
@@ -97,19 +97,19 @@
 	defer s.storeMu.Unlock()
 	s.storeFaults = slices.Delete(s.storeFaults, 0, 1)
 	if len(s.storeFaults) == 0 {
-		s.store.give(order{Fault: "none"})
+		s.store.execute(command{StoreFault: "none"})
 		s.history.RecordStoreUp(s.Clock.Now())
 	}
 }
 
 // revoke takes away the key that is there for it, once.
-func (s *Runner) revoke() {
-	s.configuring.Lock()
-	known := slices.Contains(s.keys, doomedKey)
-	s.keys = slices.DeleteFunc(slices.Clone(s.keys), func(k string) bool { return k == doomedKey })
-	s.configuring.Unlock()
+func (s *Runner) revokeKey() {
+	s.configMu.Lock()
+	known := slices.Contains(s.keys, revocableKey)
+	s.keys = slices.DeleteFunc(slices.Clone(s.keys), func(k string) bool { return k == revocableKey })
+	s.configMu.Unlock()
 	if known {
-		s.configure()
-		s.history.RecordRevocation(doomedKey, s.Clock.Now())
+		s.writeConfig()
+		s.history.RecordRevocation(revocableKey, s.Clock.Now())
 	}
 }
--- a/internal/soak/link.go
+++ b/internal/soak/proxy.go
@@ -14,83 +14,83 @@
 )
 
 // link stands between boxes and one target and can break, silence or slow what passes.
-type link struct {
+type proxy struct {
 	clock    barleystep.Clock
 	listener net.Listener
 	mu       sync.Mutex
-	to       string // to is the target's own address.
+	target   string // to is the target's own address.
 	conns    map[net.Conn]struct{}
 	// silent counts the reasons for which nothing passes, slow those for which it
 	// passes late; moved is closed when silent changes.
-	silent int
-	slow   int
-	moved  chan struct{}
+	stalled int
+	slow    int
+	changed chan struct{}
 }
 
 // slowness is how much later each piece passes on a slow link.
-const slowness = 60 * time.Millisecond
+const slowDelay = 60 * time.Millisecond
 
-func newLink(ctx context.Context, clk barleystep.Clock) (l *link, err error) {
+func newProxy(ctx context.Context, clk barleystep.Clock) (l *proxy, err error) {
 	listener, err := listen(ctx, os.Getpid())
 	if err != nil {
 		return nil, eris.Wrap(err, "soak: link")
 	}
-	l = &link{clock: clk, listener: listener, conns: make(map[net.Conn]struct{}), moved: make(chan struct{})}
+	l = &proxy{clock: clk, listener: listener, conns: make(map[net.Conn]struct{}), changed: make(chan struct{})}
 	go l.accept(ctx)
 	return l, nil
 }
 
 // lead has new connections lead to the address.
-func (l *link) lead(to string) {
+func (l *proxy) setTarget(target string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.to = to
+	l.target = target
 }
 
-func (l *link) addr() string { return l.listener.Addr().String() }
+func (l *proxy) addr() string { return l.listener.Addr().String() }
 
-func (l *link) accept(ctx context.Context) {
+func (l *proxy) accept(ctx context.Context) {
 	for {
-		near, err := l.listener.Accept()
+		client, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		go l.join(ctx, near)
+		go l.bridge(ctx, client)
 	}
 }
 
 // join passes bytes both ways until one side ends.
-func (l *link) join(ctx context.Context, near net.Conn) {
+func (l *proxy) bridge(ctx context.Context, client net.Conn) {
 	var d net.Dialer
 	l.mu.Lock()
-	to := l.to
+	target := l.target
 	l.mu.Unlock()
-	far, err := d.DialContext(ctx, "tcp", to)
+	server, err := d.DialContext(ctx, "tcp", target)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
 	l.mu.Lock()
-	l.conns[near], l.conns[far] = struct{}{}, struct{}{}
+	l.conns[client], l.conns[server] = struct{}{}, struct{}{}
 	l.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { l.pass(far, near) })
-	both.Go(func() { l.pass(near, far) })
+	both.Go(func() { l.forward(server, client) })
+	both.Go(func() { l.forward(client, server) })
 	both.Wait()
 	l.mu.Lock()
-	delete(l.conns, near)
-	delete(l.conns, far)
+	delete(l.conns, client)
+	delete(l.conns, server)
 	l.mu.Unlock()
-	_ = near.Close() // Both have ended.
-	_ = far.Close()
+	_ = client.Close() // Both have ended.
+	_ = server.Close()
 }
 
 // pass copies one way. Its end is passed on as it came, a reset as a reset.
-func (l *link) pass(to, from net.Conn) {
+func (l *proxy) forward(to, from net.Conn) {
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
-		l.hold()
+		l.waitToForward()
 		if _, failed := to.Write(buffer[:n]); failed != nil {
 			reset(from)
 			return
@@ -109,17 +109,17 @@
 }
 
 // hold waits while nothing passes, and a little where it passes late.
-func (l *link) hold() {
+func (l *proxy) waitToForward() {
 	for {
 		l.mu.Lock()
-		silent, slow, moved := l.silent > 0, l.slow > 0, l.moved
+		stalled, slow, changed := l.stalled > 0, l.slow > 0, l.changed
 		l.mu.Unlock()
-		if silent {
-			<-moved
+		if stalled {
+			<-changed
 			continue
 		}
 		if slow {
-			timer := l.clock.NewTimer(slowness)
+			timer := l.clock.NewTimer(slowDelay)
 			<-timer.C()
 		}
 		return
@@ -127,17 +127,17 @@
 }
 
 // change adds to the reasons for silence and slowness.
-func (l *link) change(silent, slow int) {
+func (l *proxy) adjust(stalled, slow int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.silent += silent
+	l.stalled += stalled
 	l.slow += slow
-	close(l.moved)
-	l.moved = make(chan struct{})
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
 // resetAll resets all connections.
-func (l *link) resetAll() {
+func (l *proxy) resetAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
@@ -145,7 +145,7 @@
 	}
 }
 
-func (l *link) close() {
+func (l *proxy) close() {
 	_ = l.listener.Close()
 	l.resetAll()
 }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -80,7 +80,7 @@
 	quietStart = 2 * time.Second
 	quietEnd   = 3 * time.Second
 	// gap is the mean time between two events; they overlap, since most last longer.
-	gap = 350 * time.Millisecond
+	faultGap = 350 * time.Millisecond
 	// restartGap and foreignGap are the same between targets that start again under their
 	// ids and between entries of another writer.
 	restartGap = 3 * time.Second
@@ -90,18 +90,18 @@
 	// statementGap is the same between targets that say something of themselves.
 	statementGap = 3 * time.Second
 	// shortest and longest bound how long a fault lasts.
-	shortest = 300 * time.Millisecond
-	longest  = 4 * time.Second
+	minFault = 300 * time.Millisecond
+	maxFault = 4 * time.Second
 	// leastShare and mostShare bound how many answers of a target are spoilt.
-	leastShare = 0.05
-	mostShare  = 0.4
+	minShare = 0.05
+	maxShare = 0.4
 )
 
 // source draws events of its own, so that a new one leaves the events of others as they
 // are: a seed that is kept goes on to draw what it drew.
-type source struct {
-	stream uint64 // stream tells its generator from those of others.
-	gap    time.Duration
+type eventSource struct {
+	stream  uint64 // stream tells its generator from those of others.
+	meanGap time.Duration
 	// weights say how often each action comes.
 	weights map[Action]int
 }
@@ -117,30 +117,30 @@
 )
 
 // sources returns what the events of a run are drawn from.
-func sources(s Setup) []source {
-	list := []source{
-		{streamFaults, gap, weights},
+func eventSources(s Setup) []eventSource {
+	list := []eventSource{
+		{streamFaults, faultGap, faultWeights},
 		{streamRestarts, restartGap, map[Action]int{ActionRestart: 1}},
 		{streamForeign, foreignGap, map[Action]int{ActionForeign: 1}},
 		{streamDeadly, deadlyGap, map[Action]int{ActionDeadly: 1}},
 		{streamStatements, statementGap, map[Action]int{ActionLeave: 1, ActionRest: 1}},
 	}
 	if n := s.load().stops; n > 0 {
-		between := grace * time.Duration(n) / time.Duration(s.Boxes)
-		list = append(list, source{streamStops, between, map[Action]int{ActionTerm: 1}})
+		meanInterval := gracePeriod * time.Duration(n) / time.Duration(s.Boxes)
+		list = append(list, eventSource{streamStops, meanInterval, map[Action]int{ActionTerm: 1}})
 	}
 	return list
 }
 
 // weights are those of the faults that every run has.
-var weights = map[Action]int{
+var faultWeights = map[Action]int{
 	ActionTerm: 6, ActionKill: 4, ActionFreeze: 4, ActionReload: 4, ActionKillAll: 1,
 	ActionCrash: 5, ActionDrain: 4, ActionSpoil: 30, ActionReset: 6, ActionSilence: 4, ActionSlow: 4,
 	ActionStore: 6, ActionForget: 2, ActionRoute: 4, ActionRevoke: 1,
 }
 
 // actions returns the actions in a fixed order, each as often as its weight says.
-func (s source) actions() []Action {
+func (s eventSource) weightedActions() []Action {
 	var list []Action
 	for a, n := range s.weights {
 		for range n {
@@ -154,26 +154,26 @@
 // Schedule draws the events of a run; the same seed gives the same schedule.
 func Schedule(s Setup) []Event {
 	var events []Event
-	for _, from := range sources(s) {
-		events = append(events, from.draw(s)...)
+	for _, from := range eventSources(s) {
+		events = append(events, from.generate(s)...)
 	}
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	return events
 }
 
 // draw draws the events of one source.
-func (s source) draw(run Setup) []Event {
+func (s eventSource) generate(run Setup) []Event {
 	r := rand.New(rand.NewPCG(run.Seed, s.stream))
-	list := s.actions()
+	list := s.weightedActions()
 	var events []Event
-	for at := quietStart; at < run.Length-quietEnd; at += time.Duration(r.ExpFloat64() * float64(s.gap)) {
+	for at := quietStart; at < run.Length-quietEnd; at += time.Duration(r.ExpFloat64() * float64(s.meanGap)) {
 		e := Event{
 			At:       at.Round(time.Millisecond),
-			Duration: (shortest + time.Duration(r.Int64N(int64(longest-shortest)))).Round(time.Millisecond),
+			Duration: (minFault + time.Duration(r.Int64N(int64(maxFault-minFault)))).Round(time.Millisecond),
 			Action:   list[r.IntN(len(list))],
 		}
 		e.Duration = min(e.Duration, (run.Length - quietEnd - e.At).Round(time.Millisecond))
-		e.detail(r, run.Boxes, run.allTargets())
+		e.detail(r, run.Boxes, run.targetCount())
 		events = append(events, e)
 	}
 	return events
@@ -187,7 +187,7 @@
 		e.Index = r.IntN(boxes)
 	case ActionSpoil:
 		e.Detail = string(platformtest.TargetFaults[r.IntN(len(platformtest.TargetFaults))])
-		e.Share = leastShare + (mostShare-leastShare)*r.Float64()
+		e.Share = minShare + (maxShare-minShare)*r.Float64()
 	case ActionForeign:
 		e.Detail = foreignNames[r.IntN(len(foreignNames))]
 	case ActionStore:
--- a/internal/soak/setup.go
+++ b/internal/soak/setup.go
@@ -20,7 +20,7 @@
 }
 
 // allTargets counts the targets of both services.
-func (s Setup) allTargets() int { return s.Targets + s.Targets/2 }
+func (s Setup) targetCount() int { return s.Targets + s.Targets/2 }
 
 // load returns the load of the profile.
 func (s Setup) load() load { return loads[s.Profile] }
@@ -61,17 +61,17 @@
 	slots int
 	pause time.Duration
 	// giantEvery is how seldom a prompt is over an engine's memory.
-	giantEvery int
+	oversizedEvery int
 	// stops is how many boxes are told to stop in series, as a divisor; 0 for none.
 	stops int
 }
 
 var loads = map[Profile]load{
 	ProfileUsual: {
-		timeLimit: 4 * time.Second, objective: 500 * time.Millisecond, slots: 16, pause: 8 * time.Millisecond, giantEvery: 25,
+		timeLimit: 4 * time.Second, objective: 500 * time.Millisecond, slots: 16, pause: 8 * time.Millisecond, oversizedEvery: 25,
 	},
 	ProfileCrowded: {
-		timeLimit: 15 * time.Second, objective: 3 * time.Second, slots: 2, pause: 400 * time.Millisecond, giantEvery: 4,
+		timeLimit: 15 * time.Second, objective: 3 * time.Second, slots: 2, pause: 400 * time.Millisecond, oversizedEvery: 4,
 		stops: 2,
 	},
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -30,14 +30,14 @@
 	history *History
 	store   *child
 	boxes   []*box
-	targets []*slot
+	targets []*targetSlot
 	routes  atomic.Int64
 	version int
 	keys    []string
 	deadly  atomic.Int64 // deadly counts the times that last in which callers send a deadly request.
 	probes  int          // probes counts the callers that looked whether all works.
 	// configuring orders changes of the configuration, and storeMu faults of the store.
-	configuring sync.Mutex
+	configMu    sync.Mutex
 	storeMu     sync.Mutex
 	storeFaults []string
 }
@@ -47,39 +47,39 @@
 	plainService  = "app"
 	engineMemory  = 50_000
 	// doomedKey is the key that may be taken away.
-	doomedKey = "key-doomed"
+	revocableKey = "key-doomed"
 )
 
 // Run starts all, brings the faults about, and returns what is wrong, a line each.
-func (s *Runner) Run(ctx context.Context) (found []string, err error) {
+func (s *Runner) Run(ctx context.Context) (violations []string, err error) {
 	defer func() { err = eris.Wrap(err, "soak") }()
-	s.history = NewHistory(map[string]string{"key-a": "tenant-a", "key-b": "tenant-b", doomedKey: "tenant-c"})
-	s.keys = []string{"key-a", "key-b", doomedKey}
-	defer s.end()
-	if err = s.begin(ctx); err != nil {
+	s.history = NewHistory(map[string]string{"key-a": "tenant-a", "key-b": "tenant-b", revocableKey: "tenant-c"})
+	s.keys = []string{"key-a", "key-b", revocableKey}
+	defer s.stopAll()
+	if err = s.startAll(ctx); err != nil {
 		return nil, err
 	}
 	events := Schedule(s.Setup)
 	for _, e := range events {
 		fmt.Fprintln(s.Out, e)
 	}
-	if !s.settled(ctx) {
+	if !s.waitServing(ctx) {
 		return nil, eris.New("the boxes did not begin to serve")
 	}
-	s.play(ctx, events)
+	s.runEvents(ctx, events)
 	if err = ctx.Err(); err != nil {
 		return nil, err // Interrupted, with processes away that were to start again.
 	}
-	s.examine(ctx)
+	s.checkFinalState(ctx)
 	return s.history.Check(), nil
 }
 
 // begin starts the processes.
-func (s *Runner) begin(ctx context.Context) (err error) {
+func (s *Runner) startAll(ctx context.Context) (err error) {
 	if s.store, err = startChild(ctx, s.StandInProgram, s.history.RecordArrival, "store"); err != nil {
 		return err
 	}
-	s.configure()
+	s.writeConfig()
 	if err = s.startTargets(ctx); err != nil {
 		return err
 	}
@@ -87,8 +87,8 @@
 }
 
 func (s *Runner) startTargets(ctx context.Context) error {
-	for i := range s.allTargets() {
-		t := &slot{soak: s, number: i, service: engineService, spoils: make(map[platformtest.TargetFault]float64)}
+	for i := range s.targetCount() {
+		t := &targetSlot{runner: s, number: i, service: engineService, faults: make(map[platformtest.TargetFault]float64)}
 		if i >= s.Targets {
 			t.service = plainService
 		}
@@ -117,7 +117,7 @@
 }
 
 // end stops all processes.
-func (s *Runner) end() {
+func (s *Runner) stopAll() {
 	var all sync.WaitGroup
 	for _, b := range s.boxes {
 		all.Go(b.stop)
@@ -132,9 +132,9 @@
 }
 
 // configure writes the next version of the configuration.
-func (s *Runner) configure() {
-	s.configuring.Lock()
-	defer s.configuring.Unlock()
+func (s *Runner) writeConfig() {
+	s.configMu.Lock()
+	defer s.configMu.Unlock()
 	s.version++
 	routes := []platformtest.Route{
 		{Name: "once", Prefix: "/once/", Kind: "non_idempotent", Service: plainService},
@@ -145,16 +145,16 @@
 	for i := range s.routes.Load() {
 		routes = append(routes, platformtest.Route{Name: fmt.Sprint("added", i+1), Prefix: fmt.Sprintf("/added%d/", i+1), Kind: "idempotent", Service: plainService})
 	}
-	var tenants []platformtest.Tenant
+	var accounts []platformtest.Tenant
 	for _, key := range s.keys {
-		tenants = append(tenants, platformtest.Tenant{Name: s.history.tenants[key], Key: key})
+		accounts = append(accounts, platformtest.Tenant{Name: s.history.accounts[key], Key: key})
 	}
 	l := s.load()
 	value := platformtest.ServicesConfiguration{
-		Version: s.version, Host: host, Routes: routes, Tenants: tenants, TimeLimit: l.timeLimit, Objective: l.objective,
+		Version: s.version, Host: host, Routes: routes, Tenants: accounts, TimeLimit: l.timeLimit, Objective: l.objective,
 		EngineService: engineService, PlainService: plainService, EngineSlots: l.slots, EngineTokens: engineMemory,
 	}.Value()
-	s.store.give(order{Put: &record{Table: "op", Key: "config", Value: value}})
+	s.store.execute(command{Put: &record{Table: "op", Key: "config", Value: value}})
 }
 
 // TempDir returns a directory for settings and logs of a run.
--- a/internal/soak/standin.go
+++ b/internal/soak/standin.go
@@ -17,23 +17,23 @@
 
 // output writes reports to the process that started this one.
 type output struct {
-	mu    sync.Mutex
-	lines *json.Encoder
+	mu      sync.Mutex
+	encoder *json.Encoder
 }
 
-func newOutput() *output { return &output{lines: json.NewEncoder(os.Stdout)} }
+func newOutput() *output { return &output{encoder: json.NewEncoder(os.Stdout)} }
 
-func (o *output) tell(r report) {
+func (o *output) send(r report) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	_ = o.lines.Encode(r) // The other process has ended; so does this one, with its input.
+	_ = o.encoder.Encode(r) // The other process has ended; so does this one, with its input.
 }
 
 // serveOrders carries out orders until the input ends.
-func serveOrders(out *output, carry func(order) (held int)) error {
+func serveCommands(out *output, execute func(command) (reserved int)) error {
 	in := json.NewDecoder(os.Stdin)
 	for {
-		var o order
+		var o command
 		err := in.Decode(&o)
 		if eris.Is(err, io.EOF) {
 			return nil
@@ -41,7 +41,7 @@
 		if err != nil {
 			return eris.Wrap(err, "soak: read orders")
 		}
-		out.tell(report{Done: o.Number, Held: carry(o)})
+		out.send(report{Done: o.Number, Held: execute(o)})
 	}
 }
 
@@ -54,14 +54,14 @@
 	}
 	context.AfterFunc(ctx, func() { _ = l.Close() })
 	out := newOutput()
-	t.OnArrival = func(a platformtest.Arrival) { out.tell(report{Arrival: &a}) }
+	t.OnArrival = func(a platformtest.Arrival) { out.send(report{Arrival: &a}) }
 	t.Crash = func() { os.Exit(1) }
 	t.Born = t.Clock.Now().UnixNano()
-	out.tell(report{Addr: l.Addr().String()})
+	out.send(report{Addr: l.Addr().String()})
 	go func() { _ = t.Serve(l) }() // It ends with the process.
-	return serveOrders(out, func(o order) int {
-		if o.Spoils != nil {
-			t.SetFaults(o.Spoils)
+	return serveCommands(out, func(o command) int {
+		if o.TargetFaults != nil {
+			t.SetFaults(o.TargetFaults)
 		}
 		if o.Says != nil {
 			t.SetStatement(o.Says.Leaving, o.Says.Rest)
@@ -82,16 +82,16 @@
 	context.AfterFunc(ctx, func() { _ = l.Close() })
 	s := &platformtest.Store{Clock: clk}
 	out := newOutput()
-	out.tell(report{Addr: l.Addr().String()})
+	out.send(report{Addr: l.Addr().String()})
 	server := &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout}
 	go func() { _ = server.Serve(l) }() // It ends with the process.
-	return serveOrders(out, func(o order) int {
-		carryStore(s, o)
+	return serveCommands(out, func(o command) int {
+		executeOnStore(s, o)
 		return 0
 	})
 }
 
-func carryStore(s *platformtest.Store, o order) {
+func executeOnStore(s *platformtest.Store, o command) {
 	switch {
 	case o.Put != nil && o.Put.Bytes != nil:
 		s.PutBytes(o.Put.Table, o.Put.Key, o.Put.Bytes)
@@ -101,12 +101,12 @@
 		s.Remove(o.Remove.Table, o.Remove.Key)
 	case o.Forget:
 		s.DropHistory()
-	case o.Fault != "":
-		s.SetFault(faultsByName[o.Fault])
+	case o.StoreFault != "":
+		s.SetFault(storeFaultsByName[o.StoreFault])
 	}
 }
 
-var faultsByName = map[string]platformtest.Fault{
+var storeFaultsByName = map[string]platformtest.Fault{
 	"none":  platformtest.FaultNone,
 	"busy":  platformtest.FaultBusy,
 	"reset": platformtest.FaultReset,
--- /dev/null
+++ b/internal/soak/target_slot.go
@@ -0,0 +1,211 @@
+package soak
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"sync"
+	"time"
+
+	"github.com/barleystep/barleystep/platform/platformtest"
+)
+
+// slot is a place for a target, in which one process follows another.
+type targetSlot struct {
+	runner  *Runner
+	number  int
+	service string
+
+	mu         sync.Mutex
+	generation int
+	id         string
+	born       time.Time // born is when the process started.
+	child      *child
+	proxy      *proxy
+	faults     map[platformtest.TargetFault]float64
+}
+
+// start starts a process in the slot and has it announced.
+func (t *targetSlot) start(ctx context.Context) (err error) {
+	t.generation++
+	t.id = fmt.Sprintf("t%d-%d", t.number, t.generation)
+	if t.proxy, err = newProxy(ctx, t.runner.Clock); err != nil {
+		return err
+	}
+	return t.startProcess(ctx)
+}
+
+// begin starts a process with the slot's id, which knows nothing of one before it.
+func (t *targetSlot) startProcess(ctx context.Context) (err error) {
+	t.born = t.runner.Clock.Now()
+	seed := t.runner.Seed*1000 + uint64(t.number)
+	t.child, err = startChild(ctx, t.runner.StandInProgram, t.runner.history.RecordArrival, "target", "--id", t.id, "--memory", fmt.Sprint(engineMemory), "--seed", fmt.Sprint(seed), "--pause", t.runner.load().pause.String())
+	if err != nil {
+		return err
+	}
+	t.proxy.setTarget(t.child.addr)
+	go t.watch(ctx, t.child)
+	t.child.execute(command{TargetFaults: maps.Clone(t.faults)})
+	t.announce(stateReady)
+	return nil
+}
+
+// deadTime is how long a target is away that has ended by itself.
+const crashRestartDelay = time.Second
+
+// watch has another process follow one that ends by itself. It says nothing of its end.
+func (t *targetSlot) watch(ctx context.Context, c *child) {
+	<-c.ended
+	if c.killed.Load() {
+		return
+	}
+	t.mu.Lock()
+	current := t.child == c
+	t.mu.Unlock()
+	if current && ctx.Err() == nil {
+		t.replace(ctx, crashRestartDelay, false)
+	}
+}
+
+// entry is what the target says of itself in the store.
+func (t *targetSlot) entry(state string) map[string]any {
+	e := platformtest.ServerRecord(t.service, t.proxy.addr(), fmt.Sprintf("h%d", t.number%2), t.runner.load().slots, state)
+	e["born"] = t.born.UnixMilli()
+	return e
+}
+
+func (t *targetSlot) announce(state string) {
+	t.write(record{Value: t.entry(state)})
+}
+
+// write writes the target's entry.
+func (t *targetSlot) write(r record) {
+	r.Table, r.Key = tableTargets, t.id
+	t.runner.store.execute(command{Put: &r})
+}
+
+func (t *targetSlot) stop() {
+	if t.proxy != nil {
+		t.proxy.close()
+	}
+	if t.child != nil {
+		t.child.kill()
+	}
+}
+
+// act brings a fault about at the slot's target.
+func (t *targetSlot) inject(ctx context.Context, e Event) {
+	t.mu.Lock()
+	l := t.proxy
+	t.mu.Unlock()
+	switch e.Action {
+	case ActionCrash:
+		t.replace(ctx, e.Duration, false)
+	case ActionDrain:
+		t.replace(ctx, max(e.Duration, drainTime), true)
+	case ActionRestart:
+		t.restart(ctx, e.Duration)
+	case ActionLeave:
+		t.leave(ctx, max(e.Duration, drainTime))
+	case ActionRest:
+		t.rest(ctx, e.Duration)
+	case ActionForeign:
+		t.overwriteEntry(ctx, e.Detail, max(e.Duration, foreignTime))
+	case ActionSpoil:
+		t.addFault(platformtest.TargetFault(e.Detail), e.Share)
+		t.runner.sleep(ctx, e.Duration)
+		t.addFault(platformtest.TargetFault(e.Detail), -e.Share)
+	case ActionReset:
+		l.resetAll()
+	case ActionSilence:
+		l.adjust(1, 0)
+		t.runner.sleep(ctx, e.Duration)
+		l.adjust(-1, 0)
+	case ActionSlow:
+		l.adjust(0, 1)
+		t.runner.sleep(ctx, e.Duration)
+		l.adjust(0, -1)
+	}
+}
+
+// drainTime is how long a target that leaves serves on.
+const drainTime = 3 * time.Second
+
+// replace ends the target's process, after a notice if it is planned, and starts another.
+// Boxes that cannot reach the store do not hear of it.
+func (t *targetSlot) replace(ctx context.Context, wait time.Duration, planned bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if planned {
+		t.announce("draining")
+		t.runner.sleep(ctx, wait)
+	}
+	t.stop()
+	if !planned {
+		t.runner.sleep(ctx, wait)
+	}
+	t.runner.store.execute(command{Remove: &record{Table: tableTargets, Key: t.id}})
+	t.recordStartError(t.start(ctx))
+}
+
+// leave ends the target's process after it has said in its answers, and nowhere else, that it
+// leaves, and starts another.
+func (t *targetSlot) leave(ctx context.Context, wait time.Duration) {
+	t.mu.Lock()
+	t.child.execute(command{Says: &statement{Leaving: true}})
+	t.mu.Unlock()
+	t.runner.sleep(ctx, wait)
+	t.replace(ctx, 0, false)
+}
+
+// restAsked is the rest that targets ask for.
+const requestedRest = 2 * time.Second
+
+// rest has the target turn requests away and ask for rest for a time.
+func (t *targetSlot) rest(ctx context.Context, wait time.Duration) {
+	t.mu.Lock()
+	c := t.child
+	c.execute(command{Says: &statement{Rest: requestedRest}})
+	t.mu.Unlock()
+	t.runner.sleep(ctx, wait)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.child == c {
+		c.execute(command{Says: &statement{}})
+	}
+}
+
+func (t *targetSlot) recordStartError(err error) {
+	if err != nil {
+		t.runner.history.RecordFinding("a target cannot be started: %v", err)
+	}
+}
+
+// restart kills the target's process and has another one follow it under its id.
+func (t *targetSlot) restart(ctx context.Context, wait time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.proxy.resetAll() // Before the end, since a stream without a length would look whole.
+	t.child.kill()
+	t.runner.sleep(ctx, wait)
+	t.recordStartError(t.startProcess(ctx))
+}
+
+// foreign has another writer overwrite the target's entry, until the target writes it again.
+func (t *targetSlot) overwriteEntry(ctx context.Context, name string, wait time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.write(foreignEntries[name](t.entry(stateReady)))
+	t.runner.history.RecordOverwrite(t.id, t.runner.Clock.Now())
+	t.runner.sleep(ctx, wait)
+	t.runner.history.RecordRestore(t.id, t.runner.Clock.Now())
+	t.announce(stateReady)
+}
+
+// spoil adds to the share of answers that are spoilt in one way.
+func (t *targetSlot) addFault(way platformtest.TargetFault, share float64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.faults[way] = max(t.faults[way]+share, 0)
+	t.child.execute(command{TargetFaults: maps.Clone(t.faults)})
+}
