--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	bytesPerToken  = 4
-	defaultTokens  = 16
-	minuteOfAnswer = time.Minute // minuteOfAnswer is how long a finished answer can be resumed.
+	bytesPerToken = 4
+	defaultOutput = 16
+	resumeWindow  = time.Minute // minuteOfAnswer is how long a finished answer can be resumed.
 )
 
 // Fault makes a stand-in engine misbehave on one attempt.
@@ -70,7 +70,7 @@
 	ChecksFence bool
 
 	mu       sync.Mutex
-	attempts map[string]*held
+	attempts map[string]*attemptState
 	runs     map[string]int
 	leaving  bool
 	fence    int64
@@ -78,15 +78,15 @@
 	weights  string
 }
 
-type held struct {
-	tokens   int
-	deadline time.Time // deadline is what the attempt came with.
-	events   []string
-	first    time.Time     // first is when the first token is due.
-	ready    chan struct{} // ready is closed when the answer is complete.
-	gone     chan struct{} // gone is closed when the attempt is cancelled.
-	closed   bool
-	ended    time.Time
+type attemptState struct {
+	tokens    int
+	deadline  time.Time // deadline is what the attempt came with.
+	events    []string
+	first     time.Time     // first is when the first token is due.
+	ready     chan struct{} // ready is closed when the answer is complete.
+	cancelled chan struct{} // gone is closed when the attempt is cancelled.
+	closed    bool
+	ended     time.Time
 }
 
 const defaultEngineTokens = 400_000
@@ -130,17 +130,17 @@
 func (e *Engine) UsedTokens() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.used()
+	return e.usedTokens()
 }
 
-func (e *Engine) used() int {
-	used := 0
+func (e *Engine) usedTokens() int {
+	usedTokens := 0
 	for _, h := range e.attempts {
 		if h.ended.IsZero() {
-			used += h.tokens
+			usedTokens += h.tokens
 		}
 	}
-	return used
+	return usedTokens
 }
 
 func (e *Engine) capacity() int {
@@ -162,7 +162,7 @@
 	return barleystep.Load{
 		At:          e.Clock.Now(),
 		Running:     running,
-		FreeTokens:  e.capacity() - e.used(),
+		FreeTokens:  e.capacity() - e.usedTokens(),
 		TotalTokens: e.capacity(),
 		Leaving:     e.leaving,
 		Weights:     e.weights,
@@ -190,10 +190,10 @@
 	}
 }
 
-func (h *held) close() {
+func (h *attemptState) close() {
 	if !h.closed {
 		h.closed = true
-		close(h.gone)
+		close(h.cancelled)
 	}
 }
 
@@ -220,42 +220,42 @@
 		refuse(w, http.StatusTooManyRequests)
 		return
 	}
-	e.answer(w, r, id, h, from, fault, gjson.GetBytes(body, "stream").Bool())
+	e.writeAnswer(w, r, id, h, from, fault, gjson.GetBytes(body, "stream").Bool())
 }
 
 // admit finds the attempt, or starts it if it is new and there is room.
-func (e *Engine) admit(id string, body []byte, resume bool, r *http.Request) (h *held, ok bool) {
+func (e *Engine) admit(id string, body []byte, resume bool, r *http.Request) (h *attemptState, ok bool) {
 	prompt := len(body) / bytesPerToken
 	output := int(gjson.GetBytes(body, "max_tokens").Int())
 	if output == 0 {
-		output = defaultTokens
+		output = defaultOutput
 	}
 	members := 1 + strings.Count(r.Header.Get(engine.HeaderGroup), ",")
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.forgetEnded()
+	e.evictEnded()
 	if h, ok := e.attempts[id]; ok {
 		return h, true
 	}
 	need := (prompt + output) / members
-	if resume || e.leaving || need > e.capacity()-e.used() {
+	if resume || e.leaving || need > e.capacity()-e.usedTokens() {
 		return nil, false
 	}
 	if e.attempts == nil {
-		e.attempts = make(map[string]*held)
+		e.attempts = make(map[string]*attemptState)
 		e.runs = make(map[string]int)
 	}
 	e.runs[id]++
-	h = &held{tokens: need, ready: make(chan struct{}), gone: make(chan struct{})}
+	h = &attemptState{tokens: need, ready: make(chan struct{}), cancelled: make(chan struct{})}
 	h.events = answerEvents(id, prompt, output, r.URL.Path)
 	h.deadline, _ = time.Parse(engine.DeadlineLayout, r.Header.Get(engine.HeaderDeadline))
-	h.first = e.Clock.Now().Add(e.readingTime(prompt))
+	h.first = e.Clock.Now().Add(e.prefillTime(prompt))
 	e.attempts[id] = h
 	go e.generate(h)
 	return h, true
 }
 
-func (e *Engine) readingTime(prompt int) time.Duration {
+func (e *Engine) prefillTime(prompt int) time.Duration {
 	if e.PrefillRate == 0 {
 		return 0
 	}
@@ -263,21 +263,21 @@
 }
 
 // due returns when the event with the index has been generated.
-func (e *Engine) due(h *held, index int) time.Time {
+func (e *Engine) due(h *attemptState, index int) time.Time {
 	return h.first.Add(time.Duration(index) * e.Step)
 }
 
-func (e *Engine) forgetEnded() {
+func (e *Engine) evictEnded() {
 	now := e.Clock.Now()
 	for id, h := range e.attempts {
-		if !h.ended.IsZero() && now.Sub(h.ended) > minuteOfAnswer {
+		if !h.ended.IsZero() && now.Sub(h.ended) > resumeWindow {
 			delete(e.attempts, id)
 		}
 	}
 }
 
 // generate waits as long as the answer takes and then marks it complete.
-func (e *Engine) generate(h *held) {
+func (e *Engine) generate(h *attemptState) {
 	if !h.waitUntil(context.Background(), e.Clock, e.due(h, len(h.events))) {
 		return
 	}
@@ -289,22 +289,22 @@
 
 // waitUntil waits for a time; it reports false if the attempt was cancelled or
 // its caller went away first.
-func (h *held) waitUntil(ctx context.Context, clk barleystep.Clock, at time.Time) bool {
+func (h *attemptState) waitUntil(ctx context.Context, clk barleystep.Clock, at time.Time) bool {
 	t := clk.NewTimer(at.Sub(clk.Now()))
 	defer t.Stop()
 	select {
 	case <-t.C():
 		return true
-	case <-h.gone:
+	case <-h.cancelled:
 		return false
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (e *Engine) answer(w http.ResponseWriter, r *http.Request, id string, h *held, from uint64, fault Fault, stream bool) {
+func (e *Engine) writeAnswer(w http.ResponseWriter, r *http.Request, id string, h *attemptState, from uint64, fault Fault, stream bool) {
 	if fault == FaultHang || fault == FaultNoAnswer {
-		e.silence(r.Context(), h, fault)
+		e.holdUnanswered(r.Context(), h, fault)
 		panic(http.ErrAbortHandler)
 	}
 	echo := id
@@ -313,7 +313,7 @@
 	}
 	w.Header().Set(engine.HeaderAttempt, echo)
 	if !stream {
-		if !h.wait(r.Context()) {
+		if !h.waitReady(r.Context()) {
 			panic(http.ErrAbortHandler)
 		}
 		w.Header().Set("Content-Type", "application/json")
@@ -328,25 +328,25 @@
 		if fault == FaultBreakStream && e.ForgetOnBreak {
 			defer e.cancel(id)
 		}
-		writeNumbered(w, id, h.events[i], uint64(i)+1, fault)
+		writeWithFault(w, id, h.events[i], uint64(i)+1, fault)
 	}
 }
 
-func (e *Engine) silence(ctx context.Context, h *held, fault Fault) {
+func (e *Engine) holdUnanswered(ctx context.Context, h *attemptState, fault Fault) {
 	if fault == FaultNoAnswer {
 		return
 	}
 	select {
 	case <-ctx.Done():
-	case <-h.gone:
+	case <-h.cancelled:
 	}
 }
 
-func (h *held) wait(ctx context.Context) bool {
+func (h *attemptState) waitReady(ctx context.Context) bool {
 	select {
 	case <-h.ready:
 		return true
-	case <-h.gone:
+	case <-h.cancelled:
 		return false
 	case <-ctx.Done():
 		return false
@@ -354,10 +354,10 @@
 }
 
 // faultyEvent is the number of the event at which a fault shows.
-const faultyEvent = 3
+const faultEvent = 3
 
-func writeNumbered(w http.ResponseWriter, id, data string, number uint64, fault Fault) {
-	if number == faultyEvent {
+func writeWithFault(w http.ResponseWriter, id, data string, number uint64, fault Fault) {
+	if number == faultEvent {
 		switch fault {
 		case FaultBreakStream:
 			panic(http.ErrAbortHandler)
