--- a/internal/lab/call.go
+++ b/internal/lab/attempt.go
@@ -15,10 +15,10 @@
 
 // clockOf is simulated time as the balancer takes it. Nothing in it waits on a
 // timer: the day polls its waits.
-type clockOf struct{ *timeline.Timeline }
+type simClock struct{ *timeline.Timeline }
 
 // NewTimer returns a timer that never fires.
-func (clockOf) NewTimer(time.Duration) barleystep.Timer { return idleTimer{} }
+func (simClock) NewTimer(time.Duration) barleystep.Timer { return idleTimer{} }
 
 type idleTimer struct{}
 
@@ -29,28 +29,28 @@
 func (idleTimer) Stop() bool { return true }
 
 // arrive is a caller's try.
-func (d *day) arrive(r *request) {
+func (d *day) sendTry(r *request) {
 	if r.ended {
 		return
 	}
 	r.tries++
-	r.sends, r.dials = 0, 0
+	r.sends, r.replans = 0, 0
 	r.last = d.timeline.Elapsed()
-	r.back = r.last - r.at
+	r.tryOffset = r.last - r.at
 	b := d.boxes[r.box]
 	if !b.up {
-		d.again(r, down, causeCut)
+		d.retry(r, boxRestartTime, causeCut)
 		return
 	}
-	d.watch(r, r.tries)
+	d.watchPatience(r, r.tries)
 	d.place(b, r, nil)
 }
 
 // watch ends the try for a caller who has waited for too long.
-func (d *day) watch(r *request, try int) {
+func (d *day) watchPatience(r *request, try int) {
 	kind := d.load.Kinds[r.kind]
 	patience := max(2*time.Second, 4*kind.Objective)
-	if r.got > 0 {
+	if r.received > 0 {
 		patience = max(patience, 8*kind.MaxPause)
 	}
 	now := d.timeline.Elapsed()
@@ -58,7 +58,7 @@
 	if now < due {
 		d.timeline.After(due-now, func() {
 			if !r.ended && r.tries == try {
-				d.watch(r, try)
+				d.watchPatience(r, try)
 			}
 		})
 		return
@@ -81,20 +81,20 @@
 }
 
 // again lets the caller come back, if it does.
-func (d *day) again(r *request, wait time.Duration, c cause) {
+func (d *day) retry(r *request, wait time.Duration, c cause) {
 	kind := d.load.Kinds[r.kind]
 	left := r.at + kind.Deadline - d.timeline.Elapsed()
-	if r.tries >= callerTries || left <= 0 {
+	if r.tries >= maxTries || left <= 0 {
 		r.end(c)
 		return
 	}
 	r.abandon = nil
 	r.box = d.rng.IntN(len(d.boxes))
-	r.got, r.first, r.pause, r.cause = 0, 0, 0, causeNone
+	r.received, r.first, r.pause, r.cause = 0, 0, 0, causeNone
 	try := r.tries
 	d.timeline.After(min(wait, left/3), func() {
 		if r.tries == try {
-			d.arrive(r)
+			d.sendTry(r)
 		}
 	})
 }
@@ -108,7 +108,7 @@
 		OutputTokens:       r.events * d.load.Cost.Stride,
 		Objective:          kind.Objective,
 		Cost:               &d.load.Cost,
-		MaxPause:           r.tightest,
+		MaxPause:           r.tightestPause,
 		FirstArrival:       first,
 		CallerRetry:        r.tries > 1,
 		FirstEventDeadline: first.Add(kind.Deadline),
@@ -131,14 +131,14 @@
 	case err != nil:
 		d.refuse(r, err)
 	case p != nil:
-		d.placed(asked, b, r, avoid, p)
+		d.dispatch(asked, b, r, avoid, p)
 	default:
 		d.wait(asked, b, r, avoid, w)
 	}
 }
 
 // placed sends a request; what the lead has placed is adopted by the request's box.
-func (d *day) placed(asked, b *box, r *request, avoid []barleystep.TargetID, p *balance.Placement) {
+func (d *day) dispatch(asked, b *box, r *request, avoid []barleystep.TargetID, p *balance.Placement) {
 	if asked != b {
 		j := d.job(r)
 		j.Avoid = avoid
@@ -152,24 +152,24 @@
 }
 
 func (d *day) refuse(r *request, err error) {
-	wait := noTargetPause
+	wait := noTargetRetryDelay
 	kind := d.load.Kinds[r.kind]
 	if eris.Is(err, balance.ErrFull) {
 		wait = kind.Deadline // Callers heed a third of what they have left.
 	}
-	r.toldSoon = r.sends == 0 && d.timeline.Elapsed()-r.at <= kind.Objective/soonPart
-	d.again(r, wait, causeRefused)
+	r.refusedEarly = r.sends == 0 && d.timeline.Elapsed()-r.at <= kind.Objective/earlyRefusalPart
+	d.retry(r, wait, causeRefused)
 }
 
 // soonPart is the part of the objective, as a divisor, within which a refusal leaves the
 // caller time to come back.
-const soonPart = 4
+const earlyRefusalPart = 4
 
 // noTargetPause is when a caller may come back whose request no engine took.
-const noTargetPause = 200 * time.Millisecond
+const noTargetRetryDelay = 200 * time.Millisecond
 
 // waiting is a request that waits at a box for a place.
-type waiting struct {
+type queuedRequest struct {
 	wait  *balance.QueuedJob
 	box   *box // box is where its caller asked.
 	avoid []barleystep.TargetID
@@ -177,7 +177,7 @@
 
 // wait keeps a request until the balancer that was asked has a place for it.
 func (d *day) wait(asked, b *box, r *request, avoid []barleystep.TargetID, w *balance.QueuedJob) {
-	asked.waits[r] = waiting{w, b, avoid}
+	asked.waits[r] = queuedRequest{w, b, avoid}
 	asked.order = append(asked.order, r)
 	r.abandon = func() {
 		delete(asked.waits, r)
@@ -196,7 +196,7 @@
 			d.refuse(r, err)
 			return
 		}
-		d.placed(asked, b, r, avoid, p)
+		d.dispatch(asked, b, r, avoid, p)
 	})
 }
 
@@ -214,7 +214,7 @@
 		case p := <-w.wait.Ready():
 			delete(b.waits, r)
 			r.abandon = nil
-			d.placed(b, w.box, r, w.avoid, p)
+			d.dispatch(b, w.box, r, w.avoid, p)
 		default:
 			left = append(left, r)
 		}
@@ -242,26 +242,26 @@
 }
 
 // replace places a prompt anew whose memory cannot be spread as it was chosen.
-func (d *day) replace(b *box, r *request, avoid []barleystep.TargetID, c *choice) {
+func (d *day) replan(b *box, r *request, avoid []barleystep.TargetID, c *choice) {
 	c.placement.Done(balance.Report{})
 	r.sends--
-	r.dials++
-	if r.dials >= mostDials {
-		d.again(r, noTargetPause, causeRefused)
+	r.replans++
+	if r.replans >= maxReplans {
+		d.retry(r, noTargetRetryDelay, causeRefused)
 		return
 	}
 	d.place(b, r, avoid)
 }
 
 // silent returns the helpers that are dead before the request is sent.
-func (c *choice) silent() []barleystep.TargetID {
-	var silent []barleystep.TargetID
+func (c *choice) deadHelpers() []barleystep.TargetID {
+	var deadHelpers []barleystep.TargetID
 	for _, h := range c.helpers {
 		if h.dead {
-			silent = append(silent, h.id())
+			deadHelpers = append(deadHelpers, h.id())
 		}
 	}
-	return silent
+	return deadHelpers
 }
 
 // dead returns a helper that is dead.
@@ -288,32 +288,32 @@
 // send starts the request at its engines.
 func (d *day) send(b *box, r *request, avoid []barleystep.TargetID, c *choice) {
 	r.sends++
-	r.abroad = c.first.target.Hall != b.balancer.Hall
+	r.otherHall = c.first.target.Hall != b.balancer.Hall
 	tokens := r.prompt + r.events*d.load.Cost.Stride
 	if c.memory == 0 {
 		tokens = 0
 	}
-	if silent := c.silent(); len(silent) > 0 {
-		for _, id := range silent {
+	if deadHelpers := c.deadHelpers(); len(deadHelpers) > 0 {
+		for _, id := range deadHelpers {
 			c.placement.NoteUnreachable(id)
 		}
-		if !c.placement.DropHelpers(silent) {
-			d.replace(b, r, append(slices.Clone(avoid), silent...), c)
+		if !c.placement.DropHelpers(deadHelpers) {
+			d.replan(b, r, append(slices.Clone(avoid), deadHelpers...), c)
 			return
 		}
 		c.helpers = slices.DeleteFunc(c.helpers, func(e *engine) bool { return e.dead })
 	}
 	a := &attempt{day: d, box: b, request: r, avoid: avoid, choice: c, sent: d.timeline.Now()}
 	a.run = &run{
-		request: r, first: c.first, helpers: c.helpers, tokens: tokens, events: r.events - r.got, event: a.event,
-		failed:   func() { a.again(balance.Report{Unreachable: true}, c.first.id()) },
-		unhelped: func() { a.again(balance.Report{}, c.dead()) },
+		request: r, first: c.first, helpers: c.helpers, tokens: tokens, events: r.events - r.received, event: a.event,
+		failed:       func() { a.retry(balance.Report{Unreachable: true}, c.first.id()) },
+		helperFailed: func() { a.retry(balance.Report{}, c.dead()) },
 	}
-	a.run.news = a.leave
-	a.run.down = func(e *engine) bool { return b.balancer.IsDown(e.id()) }
+	a.run.engineRestarted = a.retryIfLost
+	a.run.believedDown = func(e *engine) bool { return b.balancer.IsDown(e.id()) }
 	r.run = a.run
 	r.abandon = func() { a.end(balance.Report{}) }
-	d.timeline.After(network, func() {
+	d.timeline.After(networkDelay, func() {
 		if r.run == a.run && !r.ended && !a.run.over {
 			c.count(b)
 			c.first.start(a.run)
@@ -324,14 +324,14 @@
 // event passes an event on; the last one ends the request.
 func (a *attempt) event(p pass) {
 	r := a.request
-	if a.run.written == 1 {
-		a.tell()
+	if a.run.emitted == 1 {
+		a.reportLimit()
 	}
 	a.day.event(r, a.day.load.Kinds[r.kind], p)
 	if a.choice.placement != nil {
 		a.choice.placement.NoteFirstEvent()
 	}
-	if r.got >= r.events {
+	if r.received >= r.events {
 		r.end(causeNone)
 		r.abandon = nil
 		a.end(balance.Report{})
@@ -348,25 +348,25 @@
 }
 
 // again sends the request to other engines after a failure, or back to its caller.
-func (a *attempt) again(report balance.Report, avoid barleystep.TargetID) {
+func (a *attempt) retry(report balance.Report, avoid barleystep.TargetID) {
 	r := a.request
 	if r.run != a.run || r.ended {
 		return
 	}
 	r.abandon = nil
 	a.end(report)
-	if r.sends >= mostSends {
-		a.day.again(r, 0, causeGone)
+	if r.sends >= maxSends {
+		a.day.retry(r, 0, causeGone)
 		return
 	}
-	r.moved = r.got > 0
+	r.moved = r.received > 0
 	a.day.place(a.box, r, append(slices.Clone(a.avoid), avoid))
 }
 
 // event notes an event that the caller got.
 func (d *day) event(r *request, kind Kind, p pass) {
 	now := d.timeline.Elapsed()
-	if r.got == 0 {
+	if r.received == 0 {
 		r.first = now - r.at
 		if r.first > kind.Objective {
 			r.cause = causeFirst
@@ -377,7 +377,7 @@
 			r.cause = causeOf(r, p)
 		}
 	}
-	r.got++
+	r.received++
 	r.last = now
 }
 
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -45,41 +45,41 @@
 	service = "engines"
 	// told is the time between what a box tells of its work, and delay how old it is
 	// when the others have it, where a load does not say.
-	told  = 50 * time.Millisecond
-	delay = 50 * time.Millisecond
+	gossipInterval = 50 * time.Millisecond
+	gossipDelay    = 50 * time.Millisecond
 	// network is the way of a request to an engine.
-	network = 2 * time.Millisecond
+	networkDelay = 2 * time.Millisecond
 	// after is how long a day goes on after the last prompt.
-	after = 16 * time.Second
+	drainTime = 16 * time.Second
 	// down is how long the boxes are away when they are started anew.
-	down = time.Second
+	boxRestartTime = time.Second
 	// callerTries is how often callers ask.
-	callerTries = 2
+	maxTries = 2
 	// mostSends bounds the engines to which one try is sent.
-	mostSends = 2
+	maxSends = 2
 	// mostDials bounds the choices of engines that cannot be reached.
-	mostDials = 4
+	maxReplans = 4
 )
 
 // day is one run of a load.
 type day struct {
-	load     Scenario
-	timeline *timeline.Timeline
-	rng      *rand.Rand
-	engines  []*engine
-	byID     map[barleystep.TargetID]*engine
-	boxes    []*box
-	list     []*request
-	policy   Policy
-	namings  []*naming
-	lives    int // lives counts the starts of the boxes.
+	load         Scenario
+	timeline     *timeline.Timeline
+	rng          *rand.Rand
+	engines      []*engine
+	byID         map[barleystep.TargetID]*engine
+	boxes        []*box
+	allRequests  []*request
+	policy       Policy
+	statedLimits []*statedLimit
+	starts       int // lives counts the starts of the boxes.
 }
 
 // box is one box with its balancer and what it has told of its work.
 type box struct {
 	balancer *balance.Balancer
 	snapshot balance.Snapshot
-	waits    map[*request]waiting
+	waits    map[*request]queuedRequest
 	order    []*request // order is that of the waits, for the same day each time.
 	up       bool
 }
@@ -87,18 +87,18 @@
 // Run plays one day of the load and returns what was served.
 func Run(l Scenario, p Policy, seed uint64) Result {
 	d := newDay(l, p, seed)
-	for _, r := range d.list {
-		d.timeline.After(r.at, func() { d.arrive(r) })
+	for _, r := range d.allRequests {
+		d.timeline.After(r.at, func() { d.sendTry(r) })
 	}
-	d.faults()
-	d.limits()
-	d.timeline.RunUntil(l.Length + after)
+	d.scheduleFaults()
+	d.scheduleLimits()
+	d.timeline.RunUntil(l.Length + drainTime)
 	return d.measure()
 }
 
 func newDay(l Scenario, p Policy, seed uint64) *day {
 	d := &day{load: l, timeline: &timeline.Timeline{}, byID: make(map[barleystep.TargetID]*engine), policy: p}
-	d.list = l.requests(rand.New(rand.NewPCG(seed, 1)))
+	d.allRequests = l.requests(rand.New(rand.NewPCG(seed, 1)))
 	d.rng = rand.New(rand.NewPCG(seed, 2))
 	for i := range l.Engines {
 		id := barleystep.TargetID(fmt.Sprintf("e%03d", i))
@@ -116,8 +116,8 @@
 			e.target.StartMS = 1
 		}
 	}
-	d.begin(seed)
-	d.timeline.Every(orElse(l.GossipInterval, told), d.gossip)
+	d.startBoxes(seed)
+	d.timeline.Every(orDefault(l.GossipInterval, gossipInterval), d.gossip)
 	return d
 }
 
@@ -127,24 +127,24 @@
 }
 
 // orElse returns the duration, or the usual one if it is zero.
-func orElse(d, usual time.Duration) time.Duration {
+func orDefault(d, fallback time.Duration) time.Duration {
 	if d == 0 {
-		return usual
+		return fallback
 	}
 	return d
 }
 
 // begin starts all boxes, which know nothing. The first one is the lead.
-func (d *day) begin(seed uint64) {
-	d.lives++
+func (d *day) startBoxes(seed uint64) {
+	d.starts++
 	d.boxes = nil
 	for i := range d.load.Boxes {
-		b := &box{waits: make(map[*request]waiting), snapshot: balance.NewSnapshot(), up: true}
+		b := &box{waits: make(map[*request]queuedRequest), snapshot: balance.NewSnapshot(), up: true}
 		b.balancer = &balance.Balancer{
-			Clock:   clockOf{d.timeline},
+			Clock:   simClock{d.timeline},
 			Hall:    d.load.hall(i),
 			Targets: d.targets,
-			Rand:    rand.New(rand.NewPCG(seed, uint64(100*d.lives+i))),
+			Rand:    rand.New(rand.NewPCG(seed, uint64(100*d.starts+i))),
 		}
 		if i > 0 {
 			b.balancer.Lead = lead{d, d.boxes[0].balancer}
@@ -167,7 +167,7 @@
 
 // Read tells the lead after the network's delay.
 func (l lead) PrefillDone(plan uint64) {
-	l.day.timeline.After(network, func() {
+	l.day.timeline.After(networkDelay, func() {
 		l.balancer.PrefillDone(plan)
 		l.day.poll(l.day.boxes[0])
 	})
@@ -182,42 +182,42 @@
 }
 
 // faults plans the deaths of engines, the slow ones and the restart.
-func (d *day) faults() {
+func (d *day) scheduleFaults() {
 	for i := range d.load.Crashes {
 		at := d.load.Length * time.Duration(i+1) / time.Duration(d.load.Crashes+1)
-		d.timeline.After(at, d.engines[i].die)
+		d.timeline.After(at, d.engines[i].crash)
 	}
 	for _, e := range d.engines[:int(d.load.OutageLoss*float64(len(d.engines)))] {
-		d.timeline.After(d.load.Length/2, e.die)
+		d.timeline.After(d.load.Length/2, e.crash)
 	}
 	for i := range d.load.EngineRestarts {
 		at := d.load.Length * time.Duration(i+1) / time.Duration(d.load.EngineRestarts+1)
 		e := d.engines[i%len(d.engines)]
-		d.timeline.After(at, func() { d.fallSilent(e) })
+		d.timeline.After(at, func() { d.crashSilently(e) })
 	}
 	for i := range d.load.SlowEngines {
 		d.engines[len(d.engines)-1-i].slowness = 2
 	}
 	if d.load.BoxRestartAt > 0 {
-		d.timeline.After(d.load.BoxRestartAt, d.restart)
+		d.timeline.After(d.load.BoxRestartAt, d.restartBoxes)
 	}
 }
 
 // restart kills all boxes; callers come back once they are there again.
-func (d *day) restart() {
-	for _, r := range d.list {
+func (d *day) restartBoxes() {
+	for _, r := range d.allRequests {
 		if r.at > d.timeline.Elapsed() || r.ended || r.tries == 0 {
 			continue
 		}
 		if r.abandon != nil {
 			r.abandon()
 		}
-		d.again(r, down, causeCut)
+		d.retry(r, boxRestartTime, causeCut)
 	}
 	for _, b := range d.boxes {
 		b.up = false
 	}
-	d.timeline.After(down, func() { d.begin(d.rng.Uint64()) })
+	d.timeline.After(boxRestartTime, func() { d.startBoxes(d.rng.Uint64()) })
 }
 
 // gossip lets the boxes tell their work. What the others hear is older by the delay.
@@ -231,7 +231,7 @@
 		others.Add(sum)
 		others.Remove(b.snapshot)
 		b.snapshot = b.balancer.Snapshot()
-		d.timeline.After(orElse(d.load.GossipDelay, delay), func() {
+		d.timeline.After(orDefault(d.load.GossipDelay, gossipDelay), func() {
 			b.balancer.SetOthers(others)
 			d.poll(b)
 		})
--- a/internal/lab/engine.go
+++ b/internal/lab/engine.go
@@ -17,26 +17,26 @@
 	cost     *fleet.CostModel
 	timeline *timeline.Timeline
 	// slowness multiplies the time of each pass.
-	slowness float64
-	dead     bool
-	lives    int // lives counts the deaths.
+	slowness    float64
+	dead        bool
+	incarnation int // lives counts the deaths.
 	// naming is set while it names how much it takes.
-	naming *naming
+	statedLimit *statedLimit
 
 	// parts are read before prompts, the one that came last first. The first engine's
 	// own part of a prompt is among the prompts.
-	parts   []*reading
-	prompts []*reading
-	writers []*run
-	waiting []*run
-	memory  int
-	busy    bool
+	parts    []*prefill
+	prompts  []*prefill
+	decoding []*run
+	waiting  []*run
+	memory   int
+	busy     bool
 }
 
 // reading is what an engine has to read of a prompt: all of it, or a part.
-type reading struct {
-	run  *run
-	left int
+type prefill struct {
+	run       *run
+	remaining int
 	// whole is set for a prompt that is read by one engine.
 	whole bool
 	// perToken is the time for a token of a part: every part bears its share of
@@ -50,20 +50,20 @@
 	first   *engine
 	helpers []*engine
 	// unread counts the parts that are still being read.
-	unread  int
-	tokens  int // tokens is the memory that the run takes at its first engine.
-	written int // written counts the events that were written.
-	events  int // events is how many it has to write.
-	running bool
-	over    bool
+	pendingParts int
+	tokens       int // tokens is the memory that the run takes at its first engine.
+	emitted      int // written counts the events that were written.
+	events       int // events is how many it has to write.
+	running      bool
+	over         bool
 	// event and failed tell the box what becomes of the run, unhelped that a helper
 	// is dead, and news that there is word of a restart.
-	event    func(p pass)
-	failed   func()
-	unhelped func()
-	news     func()
+	event           func(p pass)
+	failed          func()
+	helperFailed    func()
+	engineRestarted func()
 	// down reports whether the box takes an engine to be down.
-	down func(e *engine) bool
+	believedDown func(e *engine) bool
 }
 
 // pass says what an engine did in one pass, to tell why streams paused.
@@ -79,7 +79,7 @@
 // start takes a run on, or lets it wait for a slot or for memory.
 func (e *engine) start(r *run) {
 	if e.dead {
-		e.timeline.After(deadStall, r.failed)
+		e.timeline.After(dialTimeout, r.failed)
 		return
 	}
 	e.waiting = append(e.waiting, r)
@@ -88,15 +88,15 @@
 
 // deadStall is after how long a box learns that an engine is dead: its connection
 // is not taken.
-const deadStall = 250 * time.Millisecond
+const dialTimeout = 250 * time.Millisecond
 
 // help takes on a part of a prompt.
 func (e *engine) help(r *run, tokens int, perToken time.Duration) {
 	if e.dead {
-		e.timeline.After(deadStall, r.unhelped)
+		e.timeline.After(dialTimeout, r.helperFailed)
 		return
 	}
-	e.parts = append(e.parts, &reading{run: r, left: tokens, perToken: perToken})
+	e.parts = append(e.parts, &prefill{run: r, remaining: tokens, perToken: perToken})
 	e.wake()
 }
 
@@ -106,14 +106,14 @@
 		return
 	}
 	e.admit()
-	if len(e.writers)+len(e.parts)+len(e.prompts) == 0 {
+	if len(e.decoding)+len(e.parts)+len(e.prompts) == 0 {
 		return
 	}
 	e.busy = true
 	p, end := e.plan()
-	life := e.lives
+	current := e.incarnation
 	e.timeline.After(p.took, func() {
-		if e.lives != life {
+		if e.incarnation != current {
 			return
 		}
 		e.busy = false
@@ -133,29 +133,29 @@
 		}
 		e.memory += r.tokens
 		r.running = true
-		e.read(r)
+		e.startPrefill(r)
 	}
 	e.waiting = left
 }
 
 // running counts the runs that hold a slot.
 func (e *engine) running() int {
-	return len(e.writers) + len(e.prompts)
+	return len(e.decoding) + len(e.prompts)
 }
 
 // read begins to read the run's prompt, with the run's helpers if it has any.
-func (e *engine) read(r *run) {
+func (e *engine) startPrefill(r *run) {
 	prompt := r.request.prompt
 	if len(r.helpers) == 0 {
-		r.unread = 1
-		e.prompts = append(e.prompts, &reading{run: r, left: prompt, whole: true})
+		r.pendingParts = 1
+		e.prompts = append(e.prompts, &prefill{run: r, remaining: prompt, whole: true})
 		return
 	}
 	count := len(r.helpers) + 1
-	r.unread = count
+	r.pendingParts = count
 	perToken := e.cost.Prefill(prompt) / time.Duration(max(prompt, 1))
 	share := (prompt + count - 1) / count
-	e.prompts = append(e.prompts, &reading{run: r, left: share, perToken: perToken})
+	e.prompts = append(e.prompts, &prefill{run: r, remaining: share, perToken: perToken})
 	for _, h := range r.helpers {
 		h.help(r, share, perToken)
 	}
@@ -164,21 +164,21 @@
 // plan decides what the next pass does, and returns what is to be done at its end.
 func (e *engine) plan() (p pass, end func(p pass)) {
 	steps := 1
-	writers := slices.Clone(e.writers)
-	if len(writers) > 0 {
+	decoding := slices.Clone(e.decoding)
+	if len(decoding) > 0 {
 		steps = e.cost.Stride
 	}
 	p.took = time.Duration(steps) * e.stepTime()
 	budget := steps * e.cost.PrefillChunk
-	var done []*reading
-	read := func(r *reading) {
-		tokens := min(budget, r.left)
-		if tokens == 0 && r.left > 0 {
+	var done []*prefill
+	read := func(r *prefill) {
+		tokens := min(budget, r.remaining)
+		if tokens == 0 && r.remaining > 0 {
 			return
 		}
 		budget -= tokens
 		p.note(r, e.cost, r.take(tokens, e.cost))
-		if r.left == 0 {
+		if r.remaining == 0 {
 			done = append(done, r)
 		}
 	}
@@ -189,12 +189,12 @@
 		read(r)
 	}
 	p.took = time.Duration(float64(p.took+p.parts+p.long+p.short) * e.slowness)
-	return p, func(p pass) { e.end(p, writers, done) }
+	return p, func(p pass) { e.end(p, decoding, done) }
 }
 
 func (e *engine) stepTime() time.Duration {
 	d := e.cost.Step
-	for _, w := range e.writers {
+	for _, w := range e.decoding {
 		context := float64(w.request.prompt) / perThousand
 		d += e.cost.PerStream + time.Duration(context*float64(e.cost.PerContext))
 	}
@@ -204,50 +204,50 @@
 const perThousand = 1000
 
 // take reads tokens and returns how long that takes.
-func (r *reading) take(tokens int, cost *fleet.CostModel) time.Duration {
-	before := r.left
-	r.left -= tokens
+func (r *prefill) take(tokens int, cost *fleet.CostModel) time.Duration {
+	before := r.remaining
+	r.remaining -= tokens
 	if !r.whole {
 		return time.Duration(tokens) * r.perToken
 	}
 	prompt := r.run.request.prompt
-	return cost.Prefill(prompt-r.left) - cost.Prefill(prompt-before)
+	return cost.Prefill(prompt-r.remaining) - cost.Prefill(prompt-before)
 }
 
-func (p *pass) note(r *reading, cost *fleet.CostModel, took time.Duration) {
+func (p *pass) note(r *prefill, cost *fleet.CostModel, took time.Duration) {
 	switch {
 	case !r.whole:
 		p.parts += took
-	case cost.Prefill(r.run.request.prompt) > r.run.request.tightest/2:
+	case cost.Prefill(r.run.request.prompt) > r.run.request.tightestPause/2:
 		p.long += took
 	default:
 		p.short += took
 	}
 }
 
-func (e *engine) end(p pass, writers []*run, done []*reading) {
-	for _, w := range writers {
+func (e *engine) end(p pass, decoding []*run, done []*prefill) {
+	for _, w := range decoding {
 		if w.over {
 			continue
 		}
-		w.written++
+		w.emitted++
 		w.event(p)
-		if w.written >= w.events && !w.over {
+		if w.emitted >= w.events && !w.over {
 			w.stop()
 		}
 	}
 	for _, r := range done {
 		e.drop(r)
-		r.run.unread--
-		if r.run.unread == 0 && !r.run.over {
-			r.run.first.writers = append(r.run.first.writers, r.run)
+		r.run.pendingParts--
+		if r.run.pendingParts == 0 && !r.run.over {
+			r.run.first.decoding = append(r.run.first.decoding, r.run)
 			r.run.first.wake()
 		}
 	}
 }
 
-func (e *engine) drop(r *reading) {
-	same := func(o *reading) bool { return o == r }
+func (e *engine) drop(r *prefill) {
+	same := func(o *prefill) bool { return o == r }
 	e.parts = slices.DeleteFunc(e.parts, same)
 	e.prompts = slices.DeleteFunc(e.prompts, same)
 }
@@ -269,32 +269,32 @@
 func (e *engine) forget(r *run) {
 	same := func(o *run) bool { return o == r }
 	e.waiting = slices.DeleteFunc(e.waiting, same)
-	e.writers = slices.DeleteFunc(e.writers, same)
-	mine := func(o *reading) bool { return o.run == r }
+	e.decoding = slices.DeleteFunc(e.decoding, same)
+	mine := func(o *prefill) bool { return o.run == r }
 	e.parts = slices.DeleteFunc(e.parts, mine)
 	e.prompts = slices.DeleteFunc(e.prompts, mine)
 }
 
 // die ends the engine; what depends on it fails after a stall.
-func (e *engine) die() {
+func (e *engine) crash() {
 	for _, r := range e.kill() {
-		e.timeline.After(deadStall, r.fails(e))
+		e.timeline.After(dialTimeout, r.failureFunc(e))
 	}
 }
 
 // fails returns what tells the run's box that an engine of it is dead.
-func (r *run) fails(e *engine) func() {
+func (r *run) failureFunc(e *engine) func() {
 	if r.first == e {
 		return r.failed
 	}
-	return r.unhelped
+	return r.helperFailed
 }
 
 // kill ends the engine and returns the runs that depend on it.
 func (e *engine) kill() (lost []*run) {
 	e.dead, e.busy = true, false
-	e.lives++
-	runs := append(slices.Clone(e.waiting), e.writers...)
+	e.incarnation++
+	runs := append(slices.Clone(e.waiting), e.decoding...)
 	for _, r := range slices.Concat(e.parts, e.prompts) {
 		runs = append(runs, r.run)
 	}
--- a/internal/lab/engine_internal_test.go
+++ b/internal/lab/engine_internal_test.go
@@ -35,7 +35,7 @@
 // run starts a prompt at the first engine, helped by others.
 func (b *bench) run(prompt, events int, helpers ...*engine) *run {
 	r := &run{
-		request: &request{prompt: prompt, tightest: 200 * time.Millisecond},
+		request: &request{prompt: prompt, tightestPause: 200 * time.Millisecond},
 		first:   b.engines[0], helpers: helpers, tokens: prompt, events: events,
 	}
 	r.event = func(pass) { b.events[r] = append(b.events[r], b.timeline.Elapsed()) }
@@ -96,20 +96,20 @@
 }
 
 // TestDeath checks that what an engine had fails, and nothing of it is left.
-func TestDeath(t *testing.T) {
+func TestCrash(t *testing.T) {
 	c := quicktest.New(t)
 	b := newBench(2)
 	failed := 0
 	for range 3 {
 		r := b.run(4000, 100, b.engines[1])
 		r.failed = func() { failed++ }
-		r.unhelped = r.failed
+		r.helperFailed = r.failed
 	}
-	b.timeline.After(300*time.Millisecond, b.engines[0].die)
+	b.timeline.After(300*time.Millisecond, b.engines[0].crash)
 	b.timeline.RunUntil(5 * time.Second)
 	c.Check(failed, quicktest.Equals, 3)
 	for _, e := range b.engines {
-		c.Check(len(e.parts)+len(e.prompts)+len(e.writers)+len(e.waiting)+e.memory, quicktest.Equals, 0)
+		c.Check(len(e.parts)+len(e.prompts)+len(e.decoding)+len(e.waiting)+e.memory, quicktest.Equals, 0)
 	}
 }
 
@@ -126,7 +126,7 @@
 
 // TestRebirth checks that an engine that starts anew has nothing of before, and that a pass
 // which was under way ends with the lifetime that began it.
-func TestRebirth(t *testing.T) {
+func TestEngineRestart(t *testing.T) {
 	c := quicktest.New(t)
 	b := newBench(1)
 	e := b.engines[0]
--- a/internal/lab/limit.go
+++ b/internal/lab/limit.go
@@ -24,8 +24,8 @@
 	limitSlack  = 5
 	// limitContact is after how long from the first naming on it counts, and limitTold how
 	// long before it a box must have been told whose requests do.
-	limitContact = 3 * time.Second
-	limitTold    = 500 * time.Millisecond
+	limitGrace    = 3 * time.Second
+	informedDelay = 500 * time.Millisecond
 )
 
 // LimitResult is what an engine got while it named a limit.
@@ -43,47 +43,47 @@
 
 // arrival is a request that reached an engine while it named a limit.
 type arrival struct {
-	at   time.Duration
-	told bool
+	at       time.Duration
+	informed bool
 }
 
 // naming is a limit that an engine names, and what it has got meanwhile.
-type naming struct {
+type statedLimit struct {
 	RateLimit
-	told     map[*box]time.Duration
+	informed map[*box]time.Duration
 	arrivals []arrival
 	// first is when it first told a box, zero if it has told none.
 	first time.Duration
 }
 
 // limits plans the limits of the engines.
-func (d *day) limits() {
+func (d *day) scheduleLimits() {
 	for _, l := range d.load.Limits {
-		n := &naming{RateLimit: l, told: make(map[*box]time.Duration)}
-		d.namings = append(d.namings, n)
+		n := &statedLimit{RateLimit: l, informed: make(map[*box]time.Duration)}
+		d.statedLimits = append(d.statedLimits, n)
 		e := d.engines[l.Engine]
-		d.timeline.After(l.From, func() { e.naming = n })
-		d.timeline.After(l.Until, func() { e.naming = nil })
+		d.timeline.After(l.From, func() { e.statedLimit = n })
+		d.timeline.After(l.Until, func() { e.statedLimit = nil })
 	}
 }
 
 // limit returns what the engine names now.
 func (e *engine) limit() barleystep.RateLimit {
-	if e.naming == nil {
+	if e.statedLimit == nil {
 		return barleystep.RateLimit{}
 	}
-	return barleystep.NewRateLimit(e.naming.PerSecond)
+	return barleystep.NewRateLimit(e.statedLimit.PerSecond)
 }
 
 // count notes a request of a box that reaches the engine.
 func (e *engine) count(b *box) {
-	n := e.naming
+	n := e.statedLimit
 	if n == nil {
 		return
 	}
 	now := e.timeline.Elapsed()
-	at, told := n.told[b]
-	n.arrivals = append(n.arrivals, arrival{at: now, told: told && now-at >= limitTold})
+	at, informed := n.informed[b]
+	n.arrivals = append(n.arrivals, arrival{at: now, informed: informed && now-at >= informedDelay})
 }
 
 // count notes a request of a box that reaches its engines. A part of a prompt counts as one.
@@ -95,12 +95,12 @@
 }
 
 // tell has a box read the head of an answer.
-func (a *attempt) tell() {
+func (a *attempt) reportLimit() {
 	e := a.choice.first
-	if n := e.naming; n != nil {
-		if _, told := n.told[a.box]; !told {
-			n.told[a.box] = e.timeline.Elapsed()
-			n.first = orElse(n.first, n.told[a.box])
+	if n := e.statedLimit; n != nil {
+		if _, informed := n.informed[a.box]; !informed {
+			n.informed[a.box] = e.timeline.Elapsed()
+			n.first = orDefault(n.first, n.informed[a.box])
 		}
 	}
 	if a.choice.placement != nil {
@@ -109,29 +109,29 @@
 }
 
 // result counts what the engine got.
-func (n *naming) result() LimitResult {
+func (n *statedLimit) result() LimitResult {
 	r := LimitResult{Allowed: limitFactor*n.PerSecond*limitWindow.Seconds() + limitSlack}
 	if n.first == 0 {
 		return r
 	}
-	from := n.first + limitContact
+	from := n.first + limitGrace
 	r.Acceptable = n.PerSecond * (n.Until - from).Seconds()
 	for i, last := range n.arrivals {
 		if last.at < from {
 			continue
 		}
 		r.Received++
-		all, told := 0, 0
+		all, informed := 0, 0
 		for _, a := range n.arrivals[:i+1] {
 			if a.at < from || last.at-a.at >= limitWindow {
 				continue
 			}
 			all++
-			if a.told {
-				told++
+			if a.informed {
+				informed++
 			}
 		}
-		r.Peak, r.PeakInformed = max(r.Peak, all), max(r.PeakInformed, told)
+		r.Peak, r.PeakInformed = max(r.Peak, all), max(r.PeakInformed, informed)
 	}
 	r.Acceptable = max(r.Acceptable, 0)
 	return r
--- a/internal/lab/rebirth.go
+++ b/internal/lab/restart.go
@@ -9,36 +9,36 @@
 const (
 	// rebirth is how long an engine is down that starts anew under its id, and newsDelay how
 	// long after its start the boxes have read of it.
-	rebirth   = 600 * time.Millisecond
-	newsDelay = 100 * time.Millisecond
+	engineRestartTime  = 600 * time.Millisecond
+	restartNoticeDelay = 100 * time.Millisecond
 	// downSilence and leastSilence are after how long a box gives up a silent engine: one
 	// that seems to be down, and any other. silenceLook is how often it looks.
-	downSilence  = 500 * time.Millisecond
-	leastSilence = 1500 * time.Millisecond
-	silenceLook  = 100 * time.Millisecond
+	downTimeout         = 500 * time.Millisecond
+	silenceTimeout      = 1500 * time.Millisecond
+	silencePollInterval = 100 * time.Millisecond
 )
 
 // fallSilent ends the engine without a word, and has it start anew.
-func (d *day) fallSilent(e *engine) {
+func (d *day) crashSilently(e *engine) {
 	lost := e.kill()
 	for _, r := range lost {
-		d.timeline.After(downSilence, func() { r.silent(e, downSilence) })
+		d.timeline.After(downTimeout, func() { r.checkSilence(e, downTimeout) })
 	}
-	d.timeline.After(rebirth, func() { e.dead = false })
-	d.timeline.After(rebirth+newsDelay, func() { d.tellRebirth(e, lost) })
+	d.timeline.After(engineRestartTime, func() { e.dead = false })
+	d.timeline.After(engineRestartTime+restartNoticeDelay, func() { d.announceRestart(e, lost) })
 }
 
 // silent gives the run up if its box takes the engine to be down, or has waited for long.
-func (r *run) silent(e *engine, waited time.Duration) {
-	if waited >= leastSilence || r.down(e) {
-		r.fails(e)()
+func (r *run) checkSilence(e *engine, waited time.Duration) {
+	if waited >= silenceTimeout || r.believedDown(e) {
+		r.failureFunc(e)()
 		return
 	}
-	e.timeline.After(silenceLook, func() { r.silent(e, waited+silenceLook) })
+	e.timeline.After(silencePollInterval, func() { r.checkSilence(e, waited+silencePollInterval) })
 }
 
 // tellRebirth lets all boxes read of the engine's start, if it says it.
-func (d *day) tellRebirth(e *engine, lost []*run) {
+func (d *day) announceRestart(e *engine, lost []*run) {
 	if !d.load.ReportsStart {
 		return
 	}
@@ -48,18 +48,18 @@
 		d.poll(b)
 	}
 	for _, r := range lost {
-		r.news()
+		r.engineRestarted()
 	}
 }
 
 // leave sends the request to other engines if its placement is lost.
-func (a *attempt) leave() {
+func (a *attempt) retryIfLost() {
 	if a.choice.placement == nil {
 		return
 	}
 	select {
 	case <-a.choice.placement.Lost():
-		a.again(balance.Report{}, a.choice.first.id())
+		a.retry(balance.Report{}, a.choice.first.id())
 	default:
 	}
 }
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -65,7 +65,7 @@
 // add counts a prompt.
 func (s *SizeResult) add(r *request, k Kind) {
 	s.Count++
-	if r.got < r.events {
+	if r.received < r.events {
 		return
 	}
 	s.Served++
@@ -82,22 +82,22 @@
 
 func (d *day) measure() Result {
 	var res Result
-	for _, r := range d.list {
+	for _, r := range d.allRequests {
 		kind := d.load.Kinds[r.kind]
 		k := &res.Kinds[r.kind]
-		owed, earned := kind.Worth*r.size, r.earned(kind)
+		offeredWorth, servedWorth := kind.Worth*r.size, r.servedWorth(kind)
 		k.Count++
-		k.OfferedWorth += owed
-		k.ServedWorth += earned
+		k.OfferedWorth += offeredWorth
+		k.ServedWorth += servedWorth
 		k.Causes[r.cause]++
-		if r.abroad {
+		if r.otherHall {
 			k.OtherHall++
 		}
-		res.OfferedWorth += owed
-		res.ServedWorth += earned
+		res.OfferedWorth += offeredWorth
+		res.ServedWorth += servedWorth
 	}
 	d.measureSizes(&res)
-	for _, n := range d.namings {
+	for _, n := range d.statedLimits {
 		res.Limits = append(res.Limits, n.result())
 	}
 	res.BoundWorth = d.bound()
@@ -107,7 +107,7 @@
 // measureSizes counts the prompts of each kind by their length.
 func (d *day) measureSizes(res *Result) {
 	const tenth, fifth = 10, 5
-	longest := slices.Clone(d.list)
+	longest := slices.Clone(d.allRequests)
 	slices.SortStableFunc(longest, func(a, b *request) int { return cmp.Compare(b.prompt, a.prompt) })
 	var seen [kinds]int
 	for _, r := range longest {
@@ -126,15 +126,15 @@
 
 // earned returns what the request was worth to its caller: all of it in time, the mean of
 // that and of late where the caller was soon told to come back, and then served in time.
-func (r *request) earned(k Kind) float64 {
+func (r *request) servedWorth(k Kind) float64 {
 	switch {
-	case r.got < r.events:
+	case r.received < r.events:
 		return 0
 	case r.pause > k.MaxPause:
 		return k.LateWorth * r.size
 	case r.first <= k.Objective:
 		return k.Worth * r.size
-	case r.toldSoon && r.first-r.back <= k.Objective:
+	case r.refusedEarly && r.first-r.tryOffset <= k.Objective:
 		return (k.Worth + k.LateWorth) / 2 * r.size
 	}
 	return k.LateWorth * r.size
@@ -173,7 +173,7 @@
 }
 
 // slot is the length of the intervals into which the bound divides a day.
-const slot = 200 * time.Millisecond
+const slotLength = 200 * time.Millisecond
 
 // bound returns a worth that no policy exceeds: that of a planner who knows all
 // prompts in advance, may divide reading among all engines at will and stop it at
@@ -183,18 +183,18 @@
 // sets of prompts that can be read in time form a matroid, so that this is best.
 func (d *day) bound() float64 {
 	total := 0.0
-	order := slices.Clone(d.list)
+	order := slices.Clone(d.allRequests)
 	density := func(r *request) float64 {
 		k := d.load.Kinds[r.kind]
 		return (k.Worth - k.LateWorth) * r.size / d.load.Cost.Prefill(r.prompt).Seconds()
 	}
 	slices.SortStableFunc(order, func(a, b *request) int { return cmp.Compare(density(b), density(a)) })
-	p := newSchedule(int((d.load.Length+after)/slot)+1, float64(d.load.Engines)*slot.Seconds())
+	p := newSchedule(int((d.load.Length+drainTime)/slotLength)+1, float64(d.load.Engines)*slotLength.Seconds())
 	for _, r := range order {
 		k := d.load.Kinds[r.kind]
 		read := d.load.Cost.Prefill(r.prompt).Seconds()
-		from := int(r.at / slot)
-		until := int((r.at + k.Objective) / slot)
+		from := int(r.at / slotLength)
+		until := int((r.at + k.Objective) / slotLength)
 		part := p.fit(from, until, read) / read
 		total += r.size * (k.LateWorth + (k.Worth-k.LateWorth)*part)
 	}
--- a/internal/lab/load.go
+++ b/internal/lab/scenario.go
@@ -80,8 +80,8 @@
 // Families are the ways of drawing loads that are measured.
 var Families = []Family{
 	{"steady", func(rng *rand.Rand) Scenario { return draw(rng, 18) }},
-	{"turns of 8 to 11 s", func(rng *rand.Rand) Scenario { return turns(rng, 18, 8, 11) }},
-	{"turns of 4 to 6 s", func(rng *rand.Rand) Scenario { return turns(rng, 18, 4, 6) }},
+	{"turns of 8 to 11 s", func(rng *rand.Rand) Scenario { return bursts(rng, 18, 8, 11) }},
+	{"turns of 4 to 6 s", func(rng *rand.Rand) Scenario { return bursts(rng, 18, 4, 6) }},
 	{"many middling prompts", func(rng *rand.Rand) Scenario {
 		l := draw(rng, 18)
 		l.Kinds[1].Rate *= 4
@@ -89,20 +89,20 @@
 		return l
 	}},
 	{"engines die and are slow", func(rng *rand.Rand) Scenario {
-		l := turns(rng, 18, 8, 11)
+		l := bursts(rng, 18, 8, 11)
 		l.Crashes, l.SlowEngines = 3, 2
 		return l
 	}},
 	{"all boxes start anew", func(rng *rand.Rand) Scenario {
-		l := turns(rng, 18, 8, 11)
-		l.BoxRestartAt = span / 2
+		l := bursts(rng, 18, 8, 11)
+		l.BoxRestartAt = defaultLength / 2
 		return l
 	}},
-	{"engines start anew", func(rng *rand.Rand) Scenario { return rebirths(rng, true) }},
-	{"engines start anew, unsaid", func(rng *rand.Rand) Scenario { return rebirths(rng, false) }},
+	{"engines start anew", func(rng *rand.Rand) Scenario { return engineRestarts(rng, true) }},
+	{"engines start anew, unsaid", func(rng *rand.Rand) Scenario { return engineRestarts(rng, false) }},
 	{"three engines", func(rng *rand.Rand) Scenario { return draw(rng, 3) }},
 	{"one engine", func(rng *rand.Rand) Scenario { return draw(rng, 1) }},
-	{"sixty engines, turns", func(rng *rand.Rand) Scenario { return turns(rng, 60, 8, 11) }},
+	{"sixty engines, turns", func(rng *rand.Rand) Scenario { return bursts(rng, 60, 8, 11) }},
 	{"a fifth over memory", overMemory},
 	{"engines leave in an outage", func(rng *rand.Rand) Scenario {
 		l := overMemory(rng)
@@ -110,43 +110,43 @@
 		return l
 	}},
 	{"engines go while long prompts come", engineLoss},
-	{"three hundred boxes", func(rng *rand.Rand) Scenario { return hundreds(rng, 100*time.Millisecond, 50*time.Millisecond) }},
-	{"three hundred boxes, old news", func(rng *rand.Rand) Scenario { return hundreds(rng, 250*time.Millisecond, 150*time.Millisecond) }},
+	{"three hundred boxes", func(rng *rand.Rand) Scenario { return manyBoxes(rng, 100*time.Millisecond, 50*time.Millisecond) }},
+	{"three hundred boxes, old news", func(rng *rand.Rand) Scenario { return manyBoxes(rng, 250*time.Millisecond, 150*time.Millisecond) }},
 }
 
 const (
-	span = 32 * time.Second
+	defaultLength = 32 * time.Second
 	// boxesOf is how many engines there are for each box.
-	boxesOf = 2
+	enginesPerBox = 2
 )
 
 // between draws a number from a range.
-func between(rng *rand.Rand, low, high float64) float64 { return low + (high-low)*rng.Float64() }
+func uniform(rng *rand.Rand, low, high float64) float64 { return low + (high-low)*rng.Float64() }
 
 // draw draws a steady day: the speed of the engines, three kinds of prompts, and how
 // much of the engines they need.
 func draw(rng *rand.Rand, engines int) Scenario {
-	l := Scenario{Engines: engines, Boxes: max(engines/boxesOf, 1), Length: span}
+	l := Scenario{Engines: engines, Boxes: max(engines/enginesPerBox, 1), Length: defaultLength}
 	l.Cost = fleet.CostModel{
 		Slots:            []int{8, 12, 16, 24}[rng.IntN(4)],
-		KVTokens:         int(between(rng, 350e3, 500e3)),
-		Step:             millis(between(rng, 0.8, 1.4)),
-		PerStream:        millis(between(rng, 0.001, 0.005)),
+		KVTokens:         int(uniform(rng, 350e3, 500e3)),
+		Step:             millis(uniform(rng, 0.8, 1.4)),
+		PerStream:        millis(uniform(rng, 0.001, 0.005)),
 		PerContext:       millis(0.0023),
-		PrefillRate:      between(rng, 140e3, 280e3),
-		PerMillionPairs:  millis(between(rng, 0.08, 0.17)),
+		PrefillRate:      uniform(rng, 140e3, 280e3),
+		PerMillionPairs:  millis(uniform(rng, 0.08, 0.17)),
 		PrefillChunk:     2048,
 		MeanOutputTokens: 1200,
 	}
 	l.Cost.Stride = int(45 / (l.Cost.Step.Seconds() * perThousand))
 	l.Kinds = []Kind{
-		{Name: kindShort, MeanPrompt: between(rng, 3e3, 6e3), MeanEvents: between(rng, 28, 42), Spread: 0.8, Objective: 300 * time.Millisecond, MaxPause: millis(between(rng, 180, 280)), Deadline: 10 * time.Second, Worth: 1.3, LateWorth: 0.33},
-		{Name: kindMiddling, MeanPrompt: between(rng, 30e3, 60e3), MeanEvents: between(rng, 18, 26), Spread: 0.5, Objective: 1500 * time.Millisecond, MaxPause: millis(between(rng, 450, 650)), Deadline: 10 * time.Second, Worth: 3.5, LateWorth: 0.9},
-		{Name: kindLong, MeanPrompt: between(rng, 150e3, 240e3), MeanEvents: between(rng, 15, 22), Spread: 0.55, Objective: 3 * time.Second, MaxPause: millis(between(rng, 750, 1050)), Deadline: 15 * time.Second, Worth: 23, LateWorth: 5.7},
+		{Name: kindShort, MeanPrompt: uniform(rng, 3e3, 6e3), MeanEvents: uniform(rng, 28, 42), Spread: 0.8, Objective: 300 * time.Millisecond, MaxPause: millis(uniform(rng, 180, 280)), Deadline: 10 * time.Second, Worth: 1.3, LateWorth: 0.33},
+		{Name: kindMiddling, MeanPrompt: uniform(rng, 30e3, 60e3), MeanEvents: uniform(rng, 18, 26), Spread: 0.5, Objective: 1500 * time.Millisecond, MaxPause: millis(uniform(rng, 450, 650)), Deadline: 10 * time.Second, Worth: 3.5, LateWorth: 0.9},
+		{Name: kindLong, MeanPrompt: uniform(rng, 150e3, 240e3), MeanEvents: uniform(rng, 15, 22), Spread: 0.55, Objective: 3 * time.Second, MaxPause: millis(uniform(rng, 750, 1050)), Deadline: 15 * time.Second, Worth: 23, LateWorth: 5.7},
 	}
 	// Each kind needs so much of the engines: short streams of the slots, the others
 	// of the time.
-	needs := []float64{between(rng, 0.15, 0.3), between(rng, 0.03, 0.07), between(rng, 0.18, 0.3)}
+	needs := []float64{uniform(rng, 0.15, 0.3), uniform(rng, 0.03, 0.07), uniform(rng, 0.18, 0.3)}
 	for i := range l.Kinds {
 		l.Kinds[i].Rate = needs[i] * float64(engines) / l.Kinds[i].need(&l.Cost)
 	}
@@ -154,16 +154,16 @@
 	return l
 }
 
-func turns(rng *rand.Rand, engines int, low, high float64) Scenario {
+func bursts(rng *rand.Rand, engines int, low, high float64) Scenario {
 	l := draw(rng, engines)
-	l.BurstLength = millis(between(rng, low, high) * perThousand)
+	l.BurstLength = millis(uniform(rng, low, high) * perThousand)
 	return l
 }
 
 // rebirths draws a day on which each engine starts anew twice.
-func rebirths(rng *rand.Rand, said bool) Scenario {
-	l := turns(rng, 18, 8, 11)
-	l.EngineRestarts, l.ReportsStart = 36, said
+func engineRestarts(rng *rand.Rand, reported bool) Scenario {
+	l := bursts(rng, 18, 8, 11)
+	l.EngineRestarts, l.ReportsStart = 36, reported
 	return l
 }
 
@@ -172,9 +172,9 @@
 // deployment met so far. Its boxes are told of the others every 100 ms, of work that
 // is 50 to 150 ms old, as plane.TestHundreds measures; before roles held, it was
 // 250 ms and more.
-func hundreds(rng *rand.Rand, told, delay time.Duration) Scenario {
-	l := turns(rng, 150, 8, 11)
-	l.Boxes, l.GossipInterval, l.GossipDelay = 295, told, delay
+func manyBoxes(rng *rand.Rand, gossipInterval, gossipDelay time.Duration) Scenario {
+	l := bursts(rng, 150, 8, 11)
+	l.Boxes, l.GossipInterval, l.GossipDelay = 295, gossipInterval, gossipDelay
 	l.Cost.Slots = 10
 	l.Kinds[1].MeanPrompt, l.Kinds[2].MeanPrompt = 45e3, 300e3
 	l.Kinds[2].Objective = 4 * time.Second
@@ -188,7 +188,7 @@
 // the reading. Bursts of short and of long prompts come by turns. It is the sheet of the
 // deployment whose long prompts are the longest for its engines.
 func overMemory(rng *rand.Rand) Scenario {
-	l := turns(rng, 60, 8, 11)
+	l := bursts(rng, 60, 8, 11)
 	l.Boxes, l.Halls = 85, 3
 	l.Cost = fleet.CostModel{
 		Slots: 12, KVTokens: 344_250, Step: millis(1.31), PerStream: millis(0.000917), PerContext: millis(0.00213),
@@ -207,7 +207,7 @@
 // long prompts, of which a fifth is over an engine's memory, come in bursts: callers then
 // ask for more than there is. It is the largest deployment on its worst days.
 func engineLoss(rng *rand.Rand) Scenario {
-	l := turns(rng, 150, 8, 11)
+	l := bursts(rng, 150, 8, 11)
 	l.Boxes, l.Halls, l.GossipInterval, l.GossipDelay = 295, 5, 100*time.Millisecond, 50*time.Millisecond
 	l.Cost = fleet.CostModel{
 		Slots: 10, KVTokens: 450_000, Step: millis(0.925), PerStream: millis(0.00483), PerContext: millis(0.00254),
@@ -244,53 +244,53 @@
 }
 
 // The factors of bursts by kind, for turns of long prompts and of short ones.
-var turnFactors = [2][3]float64{{0.33, 1.3, 2.7}, {2.3, 0.5, 0.06}}
+var burstFactors = [2][3]float64{{0.33, 1.3, 2.7}, {2.3, 0.5, 0.06}}
 
 // request is one prompt of a day.
 type request struct {
-	id       int
-	at       time.Duration
-	kind     int
-	prompt   int
-	events   int
-	tightest time.Duration
+	id            int
+	at            time.Duration
+	kind          int
+	prompt        int
+	events        int
+	tightestPause time.Duration
 	// size is the factor of its worth.
 	size float64
 	box  int
 
 	// tries counts the caller's own, sends those to engines.
-	tries int
-	sends int
-	dials int           // dials counts the choices of engines that could not be reached.
-	got   int           // got counts the events that came.
-	last  time.Duration // last is when the caller was last answered something.
+	tries    int
+	sends    int
+	replans  int           // dials counts the choices of engines that could not be reached.
+	received int           // got counts the events that came.
+	last     time.Duration // last is when the caller was last answered something.
 	// toldSoon is set if the first try was refused within a quarter of the objective, and
 	// back is how long after it the second one came.
-	toldSoon bool
-	back     time.Duration
-	first    time.Duration
-	ended    bool
-	pause    time.Duration
-	cause    cause
-	run      *run
-	abandon  func() // abandon ends its try at the box.
-	moved    bool   // moved is set while another engine takes it up.
-	abroad   bool   // abroad is set if its engine is in another hall than its box.
+	refusedEarly bool
+	tryOffset    time.Duration
+	first        time.Duration
+	ended        bool
+	pause        time.Duration
+	cause        cause
+	run          *run
+	abandon      func() // abandon ends its try at the box.
+	moved        bool   // moved is set while another engine takes it up.
+	otherHall    bool   // abroad is set if its engine is in another hall than its box.
 }
 
 // requests draws the day's prompts.
 func (l Scenario) requests(rng *rand.Rand) []*request {
 	var list []*request
-	tightest := l.Kinds[0].MaxPause
+	tightestPause := l.Kinds[0].MaxPause
 	for k, kind := range l.Kinds {
 		for at := 0.0; ; {
-			at += rng.ExpFloat64() / (kind.Rate * l.peak(k))
-			r := &request{at: millis(at * perThousand), kind: k, tightest: tightest, box: rng.IntN(l.Boxes)}
+			at += rng.ExpFloat64() / (kind.Rate * l.peakRateFactor(k))
+			r := &request{at: millis(at * perThousand), kind: k, tightestPause: tightestPause, box: rng.IntN(l.Boxes)}
 			if r.at > l.Length {
 				break
 			}
 			prompt, events := lognormal(rng, kind.Spread), lognormal(rng, kind.Spread)
-			if rng.Float64() > l.factor(k, r.at)/l.peak(k) {
+			if rng.Float64() > l.rateFactor(k, r.at)/l.peakRateFactor(k) {
 				continue
 			}
 			r.prompt = int(kind.MeanPrompt * min(prompt, 4.5))
@@ -315,18 +315,18 @@
 	return min(base+(1-base)*own/usual, most)
 }
 
-func (l Scenario) factor(kind int, at time.Duration) float64 {
+func (l Scenario) rateFactor(kind int, at time.Duration) float64 {
 	if l.BurstLength == 0 {
 		return 1
 	}
-	return turnFactors[int(at/l.BurstLength)%len(turnFactors)][kind]
+	return burstFactors[int(at/l.BurstLength)%len(burstFactors)][kind]
 }
 
-func (l Scenario) peak(kind int) float64 {
+func (l Scenario) peakRateFactor(kind int) float64 {
 	if l.BurstLength == 0 {
 		return 1
 	}
-	return max(turnFactors[0][kind], turnFactors[1][kind])
+	return max(burstFactors[0][kind], burstFactors[1][kind])
 }
 
 // lognormal draws a factor of mean 1 with the given standard deviation.
--- a/internal/lab/table.go
+++ b/internal/lab/table.go
@@ -66,7 +66,7 @@
 			days.Add(1)
 			wait.Go(func() {
 				defer days.Done()
-				results[seed] = r.day(uint64(seed + 1))
+				results[seed] = r.runDay(uint64(seed + 1))
 				<-workers
 			})
 		}
@@ -81,7 +81,7 @@
 	wait.Wait()
 }
 
-func (r *row) day(seed uint64) Result {
+func (r *row) runDay(seed uint64) Result {
 	load := r.family.Draw(rand.New(rand.NewPCG(seed, 0)))
 	return Run(load, r.policy, seed)
 }
