--- a/internal/front/active_requests.go
+++ b/internal/front/active_requests.go
@@ -6,13 +6,13 @@
 	"sync"
 )
 
-// roster is the set of the requests that are being served. Its zero value is empty.
+// activeRequests is the set of requests being served. The zero value is empty.
 type activeRequests struct {
 	mu       sync.Mutex
 	requests map[*Exchange]struct{}
 }
 
-// add enters a request.
+// add adds a request.
 func (r *activeRequests) add(x *Exchange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -22,21 +22,21 @@
 	r.requests[x] = struct{}{}
 }
 
-// remove takes a request out.
+// remove removes a request.
 func (r *activeRequests) remove(x *Exchange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.requests, x)
 }
 
-// size returns how many requests are being served.
+// count returns the number of requests being served.
 func (r *activeRequests) count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.requests)
 }
 
-// oldest returns the requests that have been served for the longest, at most so many.
+// oldest returns at most limit requests, those that have been served longest first.
 func (r *activeRequests) oldest(limit int) []*Exchange {
 	r.mu.Lock()
 	list := make([]*Exchange, 0, len(r.requests))
--- a/internal/front/authenticate.go
+++ b/internal/front/authenticate.go
@@ -8,16 +8,17 @@
 	"github.com/barleystep/barleystep"
 )
 
-// authenticate finds the client account of the caller's key.
+// authenticate identifies the client account by the caller's API key.
 type authenticate struct {
-	// freshness is how old the proof may be that the known keys are current; a
-	// key that was taken away longer ago must not be served by any box.
+	// freshness is the maximum age of the last confirmation that the known keys are current, in
+	// nanoseconds; 0 disables the check. It bounds how long a box may accept a key after its
+	// revocation.
 	freshness *atomic.Int64
 }
 
-// Run refuses requests without a valid key, and those whose key cannot be
-// proved to be still valid. It is the caller's sending that counts, which was
-// before now, so a proof that is new enough now is new enough.
+// Run refuses requests without a valid key, and those whose key cannot be confirmed as still valid.
+// The key has to be valid at the time the caller sent the request, which is before now, so a
+// confirmation within the limit now is recent enough.
 func (s *authenticate) Run(ctx context.Context, x *Exchange, next Next) error {
 	if x.route.Public || !x.view.RequiresKeys() {
 		return next(ctx, x)
--- a/internal/front/crash_test.go
+++ b/internal/front/crash_test.go
@@ -18,14 +18,14 @@
 	"github.com/barleystep/barleystep/internal/suspect"
 )
 
-// mortal is a target that ends when it runs a request with the body deadly: nothing listens
-// at its address any more, and its connections close.
+// crashingTarget is a target that crashes when it gets a request with the body crashBody: its
+// address refuses connections, and its open connections close.
 type crashingTarget struct {
 	listener net.Listener
 	mu       sync.Mutex
 	conns    []net.Conn
 	crashed  bool
-	// instead, if set, is what it does with requests instead of answering them.
+	// instead, if set, handles requests instead of answering them.
 	instead func(c net.Conn)
 }
 
@@ -79,7 +79,7 @@
 	}
 }
 
-// mortals gives the fixture so many targets that can end.
+// useCrashingTargets replaces the fixture's targets by n that can crash.
 func (f *fixture) useCrashingTargets(t *testing.T, n int) []*crashingTarget {
 	f.targets = nil
 	list := make([]*crashingTarget, n)
@@ -91,17 +91,17 @@
 	return list
 }
 
-// mostEnded is how many targets may end under one request before it is sent to no other.
+// maxCrashes is how many targets may crash under one request before it is sent to no other.
 const maxCrashes = 3
 
-// TestDeadlyRequest checks that a request under which targets end is not sent to all of them,
-// however often callers ask for it, and that all else is served meanwhile.
+// TestCrashingRequestBounded checks that a request that makes targets crash is not sent to all of
+// them, however often callers repeat it, and that all other requests are served meanwhile.
 //
-// Operators saw one body, which came fifty times under other ids, end 62 targets; 37 times it
-// was sent on after three had ended under it. Each caller's attempt has an id of its own, and
-// nothing knew that two attempts carry the same request, or that a target had ended under it:
-// of fifty attempts at one body in the logs of such a day each began anew, and each send was
-// broken off by a target whose address then refused connections.
+// One such body, sent fifty times under different ids, ended 62 targets in operation; 37 of the
+// sends came after three targets had ended under it. Each attempt of a caller has its own id, so
+// without the suspect digest nothing shows that two attempts carry the same request, nor that a
+// target ended under it: the sends break off, and the address of the target then refuses
+// connections.
 func TestCrashingRequestBounded(t *testing.T) {
 	for name, path := range map[string]string{"repeatable": "/again/", "once": "/once/", "stream": "/stream/"} {
 		t.Run(name, func(t *testing.T) {
@@ -127,8 +127,8 @@
 	}
 }
 
-// TestEndedOrNot checks what is held against a request: that nobody listens any more at the
-// address of a target which had it. Whatever else breaks a try does not count.
+// TestCrashDetection checks what counts as evidence against a request: only that the address of a
+// target that had it refuses connections. Other failures of a try do not count.
 func TestCrashDetection(t *testing.T) {
 	drain := func(targets []fleet.Target) []fleet.Target {
 		targets[0].Draining = true
@@ -139,13 +139,13 @@
 		act  func(f *fixture, m *crashingTarget, c net.Conn) // act is what the target does instead of answering.
 		want suspect.Status
 	}{
-		"it ends":                      {func(_ *fixture, m *crashingTarget, _ net.Conn) { m.crash() }, suspect.Isolated},
-		"it closes the connection":     {func(_ *fixture, _ *crashingTarget, c net.Conn) { c.Close() }, suspect.Allowed},
-		"it resets the connection":     {func(_ *fixture, _ *crashingTarget, c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); c.Close() }, suspect.Allowed},
-		"it was about to leave":        {func(f *fixture, m *crashingTarget, _ net.Conn) { f.change(drain); m.crash() }, suspect.Allowed},
-		"it has left":                  {func(f *fixture, m *crashingTarget, _ net.Conn) { f.change(none); m.crash() }, suspect.Allowed},
-		"it answers what is no answer": {func(_ *fixture, _ *crashingTarget, c net.Conn) { _, _ = io.WriteString(c, "zzz\r\n\r\n"); c.Close() }, suspect.Allowed},
-		"it fails": {func(_ *fixture, _ *crashingTarget, c net.Conn) {
+		"target crashes":                    {func(_ *fixture, m *crashingTarget, _ net.Conn) { m.crash() }, suspect.Isolated},
+		"target closes the connection":      {func(_ *fixture, _ *crashingTarget, c net.Conn) { c.Close() }, suspect.Allowed},
+		"target resets the connection":      {func(_ *fixture, _ *crashingTarget, c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); c.Close() }, suspect.Allowed},
+		"draining target terminates":        {func(f *fixture, m *crashingTarget, _ net.Conn) { f.change(drain); m.crash() }, suspect.Allowed},
+		"target removed from the catalogue": {func(f *fixture, m *crashingTarget, _ net.Conn) { f.change(none); m.crash() }, suspect.Allowed},
+		"invalid answer":                    {func(_ *fixture, _ *crashingTarget, c net.Conn) { _, _ = io.WriteString(c, "zzz\r\n\r\n"); c.Close() }, suspect.Allowed},
+		"status 500": {func(_ *fixture, _ *crashingTarget, c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 500 X\r\nId: r1\r\nSeal: s\r\nContent-Length: 0\r\n\r\n")
 		}, suspect.Allowed},
 	}
@@ -160,15 +160,15 @@
 	}
 }
 
-// standing returns how a request of no account stands.
+// suspectStatus returns the suspect status of a request without a client account.
 func (f *fixture) suspectStatus(path, body string) suspect.Status {
 	d := suspect.Request{Method: http.MethodPost, Host: "h", RequestURI: path, Body: []byte(body)}.Digest()
 	s, _ := f.front.Balancer.Suspects.Status(d)
 	return s
 }
 
-// TestRefusedAtOnce checks what callers of a request are told under which targets have ended,
-// and that nobody else's is refused.
+// TestSuspectRefused checks what callers of a request that targets crashed under are told, and that
+// no other request is refused.
 func TestSuspectRefused(t *testing.T) {
 	const times = 3
 	cases := map[string]struct {
@@ -177,10 +177,10 @@
 		key    string
 		status int
 	}{
-		"the request":               {"/keyed/", crashBody, "k", http.StatusServiceUnavailable},
+		"same request":              {"/keyed/", crashBody, "k", http.StatusServiceUnavailable},
 		"another body":              {"/keyed/", "beadly", "k", http.StatusOK},
 		"another path":              {"/keyed/a", "beadly", "k", http.StatusOK},
-		"another account's":         {"/keyed/", crashBody, "l", http.StatusOK},
+		"another account":           {"/keyed/", crashBody, "l", http.StatusOK},
 		"another route, no account": {"/once/", crashBody, "", http.StatusOK},
 	}
 	for name, tc := range cases {
@@ -204,8 +204,8 @@
 	}
 }
 
-// TestHelperEnds checks that a helper which ends is held against the prompt that it read a
-// part of.
+// TestHelperCrashRecorded checks that the crash of a helper counts as evidence against the prompt
+// that it prefilled a part of.
 func TestHelperCrashRecorded(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(t, state{view: newView()})
@@ -226,8 +226,8 @@
 	c.Check(f.suspectStatus("/giant/", crashBody), quicktest.Not(quicktest.Equals), suspect.Allowed)
 }
 
-// TestUnderWay checks that an attempt which is under way is ended once its request is refused,
-// and that its caller is told that it may have run; other requests go on.
+// TestRunningTryCancelledOnRefusal checks that a running try is cancelled once its request is
+// refused, that its caller is told that it may have run, and that other requests continue.
 func TestRunningTryCancelledOnRefusal(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(t, state{view: newView()})
--- a/internal/front/deliver.go
+++ b/internal/front/deliver.go
@@ -16,8 +16,8 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// deliver sends the request to a target and relays the answer; where that is
-// safe it tries another target, or takes a stream up there.
+// deliver sends the request to a target and relays the answer. Where it is safe, it retries on
+// another target or resumes a stream there.
 type deliver struct {
 	clock        barleystep.Clock
 	protocol     barleystep.Protocol
@@ -28,36 +28,36 @@
 	log          *log.Logger
 	shutdown     *shutdown
 	limitHistory limitHistory
-	// releasing counts the tries that have ended whose memory at helpers is being released.
+	// pendingReleases counts the ended tries whose reserved helper memory is still being released.
 	pendingReleases atomic.Int64
 }
 
 const (
-	// maxDials bounds how many targets are tried that cannot be reached at all;
-	// such tries reach no target and so do not count as sends.
+	// maxDials bounds the tries per request that fail before anything reaches a target; such tries
+	// do not count as sends.
 	maxDials = 4
-	// fullPause is when a caller may come back whose request no target took.
+	// noTargetRetryAfter is the Retry-After of a request that no target took.
 	noTargetRetryAfter = 200 * time.Millisecond
-	// returnPart is the part of its time, as a divisor, after which a caller may come back
-	// to targets that are full. Callers heed no longer a pause, and come back once: the
-	// later, the likelier the burst is over.
+	// fullRetryDivisor divides the time left until the deadline; the result is the Retry-After when
+	// all targets are full. Callers ignore longer delays and retry only once, and a later retry is
+	// more likely to come after the burst.
 	fullRetryDivisor = 3
 )
 
-// result says how one try of a request ended.
+// result is the outcome of one try of a request.
 type result uint8
 
 const (
-	// resultDone means that the caller has a whole answer, good or bad.
+	// resultDone means that the caller has received a complete answer, good or bad.
 	resultDone result = iota
 	// resultNotSent means that nothing reached the target.
 	resultNotSent
-	// resultNotRun means that the target says that it did not run the request.
+	// resultNotRun means that the target states that it did not run the request.
 	resultNotRun
-	// resultFailed means that the target answered with a failure of its own,
-	// which is kept to be passed on.
+	// resultFailed means that the target answered with a failure of its own. The answer is kept to
+	// be relayed later.
 	resultFailed
-	// resultBroken means that no whole answer came; the request may have run.
+	// resultBroken means that no complete answer arrived; the request may have run.
 	resultBroken
 )
 
@@ -77,7 +77,7 @@
 	d.budget.CountRequest(x.service)
 	x.firstTry = d.limitHistory.firstTry(d.clock, x)
 	job := d.job(x)
-	var failed *try // failed is the last try whose target gave a whole failure of its own.
+	var failed *try // failed is the last try whose target returned a complete failure of its own.
 	for dials, tries := 0, 0; ; {
 		queuedAt := d.clock.Now()
 		x.progress.enter(PhaseWaiting, queuedAt)
@@ -111,9 +111,9 @@
 	}
 }
 
-// place finds a place for the request. Where the box ends before the answer could be whole,
-// it returns errStopping, as soon as that is known. A stream that has begun is taken up
-// elsewhere for as long as the box serves: its caller could not have it otherwise.
+// place obtains a placement for the request. It returns errStopping as soon as it is known that the
+// answer cannot be complete before the box shuts down. A stream that has begun is instead resumed
+// for as long as the box serves, because its caller cannot start it again on another box.
 func (d *deliver) place(ctx context.Context, x *Exchange, job *balance.Job) (*balance.Placement, error) {
 	if err := d.checkSuspect(x, job); err != nil {
 		return nil, err
@@ -140,9 +140,9 @@
 	return p, nil
 }
 
-// ask asks for a place. A request that a target may have run cannot be refused as not run,
-// and one whose answer has begun would be cut: where all targets are full, it is asked for
-// again for as long as its caller, and its box, are there.
+// requestPlacement asks the balancer for a placement. A request that may have run cannot be refused
+// as not run, and a begun stream would be cut off. While all targets are full, it therefore asks
+// again for such a request until ctx ends.
 func (d *deliver) requestPlacement(ctx context.Context, x *Exchange, job balance.Job) (p *balance.Placement, err error) {
 	since := d.clock.Now()
 	for {
@@ -150,14 +150,14 @@
 		if !x.mayHaveRun || !eris.Is(err, balance.ErrFull) || !clock.Sleep(ctx, d.clock, claimRetryInterval) {
 			return p, err
 		}
-		job.Arrival = since // It has waited, and is counted as demand, once.
+		job.Arrival = since // The arrival stays the same, so that the wait and the demand are counted once.
 	}
 }
 
-// learn takes into account what the try taught for the next one: a helper that is to
-// blame is avoided, and the target otherwise. A helper in another hall that cannot be
-// reached is rarely the only one there. Where it is not known whom to blame, no helpers
-// are asked for again.
+// updateJob excludes what made the try fail from the next one: the blamed helper, or else the
+// target. If the blamed helper is in another hall, helpers are restricted to the target's hall,
+// since other helpers there are probably unreachable too. If the target did not run the request and
+// it is not known which helper is to blame, the next try uses no helpers.
 func (t *try) updateJob(job *balance.Job, res result) {
 	job.Avoid = append(job.Avoid, t.unreachable...)
 	if t.needsPlacement {
@@ -190,7 +190,7 @@
 	return j
 }
 
-// again decides whether the request is tried once more.
+// shouldRetry reports whether the request is tried again.
 func (d *deliver) shouldRetry(ctx context.Context, t *try, res result, dials int) bool {
 	x := t.exchange
 	if ctx.Err() != nil {
@@ -211,8 +211,8 @@
 	return t.retryPaid.Load() || d.budget.AllowRetry(x.service)
 }
 
-// ended ends a request for which nothing more is tried. A whole failure of a target's own is
-// passed on as it came, also where what was tried after it came to nothing.
+// finish ends a request that is not tried again. A complete failure from a target is relayed
+// unchanged, even if later tries failed in other ways.
 func (d *deliver) finish(ctx context.Context, x *Exchange, failed *try, err error) error {
 	outcome := barleystep.OutcomeNotRun
 	if x.mayHaveRun {
@@ -241,22 +241,22 @@
 	}
 }
 
-// end says what ended a request besides its targets.
+// endReason is a cause other than its targets that ended a request.
 type endReason uint8
 
 const (
-	// endNone means that nothing else did.
+	// endNone means that there is no such cause.
 	endNone endReason = iota
-	// endCaller means that its caller went away, endTime that its time was over, and
-	// endBox that its box ends.
+	// endCallerGone means that the caller disconnected, endDeadline that the deadline passed, and
+	// endShutdown that the box shut down.
 	endCallerGone
 	endDeadline
 	endShutdown
 )
 
-// endOf returns what ended a request by its context and last error. Once the box has ended
-// all requests, a caller that seems to have gone may be one whose connection it has stopped
-// reading: it is answered.
+// endReasonOf derives the end reason from the context and the last error. After the shutdown has
+// ended all requests, a caller that seems to be gone may be one whose connection the box no longer
+// reads, so the request is answered.
 func (d *deliver) endReasonOf(ctx context.Context, err error) endReason {
 	cause := context.Cause(ctx)
 	switch {
@@ -273,7 +273,8 @@
 	}
 }
 
-// notTaken refuses a request that no target has run. It is in vain, or may come back.
+// unservedRefusal returns the refusal of a request that no target has run: it cannot meet its
+// deadline, or the caller may retry.
 func (d *deliver) unservedRefusal(x *Exchange, err error) *barleystep.Refusal {
 	x.passedOver = d.balancer.DecliningTargets(x.service)
 	switch {
@@ -294,7 +295,7 @@
 	return err.Error()
 }
 
-// note writes a line about a try that did not end the request.
+// logFailedTry logs a try that did not end the request.
 func (d *deliver) logFailedTry(x *Exchange, t *try, res result, err error) {
 	e := d.log.Warn().Str("request", x.call.RequestID).Str("target", string(t.placement.Target.ID)).
 		Str("result", res.String()).Str("blamed", string(t.blamed)).Int("send", x.sends).Int("status", t.head.Status()).
--- a/internal/front/doc.go
+++ b/internal/front/doc.go
@@ -1,5 +1,4 @@
-// Package front serves callers over a barleystep.Protocol. A request is an
-// Exchange that passes through a Pipeline of stages: route, authenticate, read
-// and deliver. Bodies and streams pass through as bytes; only the borders and
-// ids of events are looked at.
+// Package front serves callers over a barleystep.Protocol. Each request is an Exchange that passes
+// through a Pipeline of stages: route, authenticate, read and deliver. Bodies and streams are
+// relayed as bytes; only the boundaries and ids of events are parsed.
 package front
--- a/internal/front/event.go
+++ b/internal/front/event.go
@@ -10,7 +10,8 @@
 	idField        = []byte("id:")
 )
 
-// eventEnd returns where the last whole event of data ends, 0 if there is none.
+// lastEventEnd returns the offset of the end of the last complete event in data, 0 if there is
+// none.
 func lastEventEnd(data []byte) int {
 	i := bytes.LastIndex(data, eventDelimiter)
 	if i < 0 {
@@ -19,7 +20,7 @@
 	return i + len(eventDelimiter)
 }
 
-// firstEvent returns where the first event of data ends.
+// firstEventEnd returns the offset of the end of the first event in data.
 func firstEventEnd(data []byte) int {
 	i := bytes.Index(data, eventDelimiter)
 	if i < 0 {
@@ -28,7 +29,7 @@
 	return i + len(eventDelimiter)
 }
 
-// lastID returns the last event id in whole events, empty if there is none.
+// lastEventID returns the last event id in complete events, empty if there is none.
 func lastEventID(events []byte) string {
 	for end := len(events); end > 0; {
 		start := bytes.LastIndexByte(events[:end-1], '\n') + 1
@@ -41,8 +42,8 @@
 	return ""
 }
 
-// notAfter reports whether the event id is the other one or one before it. Ids
-// that are no numbers are only compared for equality.
+// isAtOrBefore reports whether the event id equals other or precedes it. Non-numeric ids are only
+// compared for equality.
 func isAtOrBefore(id, other string) bool {
 	a, err := strconv.ParseUint(id, 10, 64)
 	if err != nil {
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -13,48 +13,48 @@
 	"github.com/barleystep/barleystep/internal/suspect"
 )
 
-// Exchange is one request on its way through the stages.
+// Exchange is the state of one request as it passes through the stages.
 type Exchange struct {
 	r       *http.Request
 	answer  *reply.Writer
 	started time.Time
 	call    barleystep.CallerHeaders
-	// progress is how far the request has come, for other goroutines.
+	// progress is the current phase of the request, readable by other goroutines.
 	progress progress
 
 	view     *fleet.View
-	viewAge  time.Duration // age is that of the view's proof when it decided.
+	viewAge  time.Duration // viewAge is the age of the view's confirmation when the request was routed.
 	route    *fleet.Route
 	service  string
 	account  string
-	priority int // rank is the request's priority, 0 first.
+	priority int // priority is the request's priority; 0 is the highest.
 	deadline time.Time
-	// firstTry is when the caller first tried, as far as is known.
+	// firstTry is the estimated time of the caller's first attempt.
 	firstTry time.Time
 	body     []byte
-	// known is the digest, once it was asked for. It is asked for once the body has come, also
-	// by other goroutines.
+	// digestValue is the suspect digest, computed once by suspectDigest. It needs the body, so it
+	// is computed only after the body has been read, possibly by another goroutine.
 	digestValue suspect.Digest
 	digestOnce  sync.Once
-	abort       context.CancelCauseFunc // cut ends the request while it is being delivered.
+	abort       context.CancelCauseFunc // abort ends the delivery of the request.
 
 	sends      int
-	mayHaveRun bool // ran is set once a target may have run the request.
+	mayHaveRun bool // mayHaveRun is set once a target may have run the request.
 	target     barleystep.TargetID
 	helpers    int
-	// queued is the time that the request waited for places at targets, and
-	// expected when the balancer expected the first event after the last send.
+	// queued is the time that the request spent waiting for placements. expected is the balancer's
+	// estimate of the time to the first event after the last send.
 	queued      time.Duration
 	expected    time.Duration
-	passedOver  []string      // passed names the targets that a refused request was not offered to.
-	timeToFirst time.Duration // first is when the first event, or the answer, went out.
-	lastEvent   string        // last is the id of the last event that went out.
+	passedOver  []string      // passedOver lists the targets that a refused request was not offered to.
+	timeToFirst time.Duration // timeToFirst is the time from the start to the first event or the complete answer.
+	lastEvent   string        // lastEvent is the id of the last event that was sent.
 	events      int
-	lastWrite   time.Time     // written is when the last events went out.
-	maxPause    time.Duration // pause is the longest one between events so far.
+	lastWrite   time.Time     // lastWrite is when the last events were sent.
+	maxPause    time.Duration // maxPause is the longest pause between events so far.
 }
 
-// The parts of the pipeline through which exchanges pass.
+// Aliases of the pipeline's types for exchanges.
 type (
 	// Next runs the stages that follow.
 	Next = pipeline.Next[*Exchange]
@@ -64,22 +64,22 @@
 	Pipeline = pipeline.Pipeline[*Exchange]
 )
 
-// comeBack returns after how long the caller may come back to targets that are full.
+// retryAfter returns the delay after which the caller may retry when all targets are full.
 func (x *Exchange) retryAfter(now time.Time) time.Duration {
 	return max(x.route.Objective, x.deadline.Sub(now)/fullRetryDivisor)
 }
 
 const (
-	// callerSilence, callerObjectives and callerPauses say for how long callers of
-	// streams wait for an event: two seconds, so many objectives or so many of the longest
-	// pauses, whichever is the longest.
+	// Callers of streams wait for an event for the longest of three durations: minCallerWait (two
+	// seconds), callerWaitObjectives times the objective, and callerWaitPauses times the maximum
+	// pause.
 	minCallerWait        = 2 * time.Second
 	callerWaitObjectives = 4
 	callerWaitPauses     = 8
 )
 
-// patience returns when the caller stops waiting for the first event or the answer. A
-// stream that was sent is taken up elsewhere for as long as its caller is there.
+// giveUpAt returns when the caller stops waiting for the first event or the answer. A stream that
+// has been sent to a target is resumed elsewhere until its deadline.
 func (x *Exchange) giveUpAt() time.Time {
 	if x.route.Kind != fleet.KindStream || x.sends > 0 {
 		return x.deadline
@@ -91,12 +91,12 @@
 	return x.deadline
 }
 
-// notRun returns a refusal that promises that the request has not run.
+// notRunRefusal returns a refusal that guarantees that the request has not run.
 func notRunRefusal(reason barleystep.Reason, message string, after time.Duration) *barleystep.Refusal {
 	return barleystep.NewRefusal(reason, barleystep.OutcomeNotRun, message).WithRetryAfter(after)
 }
 
-// stopping returns the refusal of a request that has not run since the box ends.
+// stoppingRefusal returns the refusal of a request that has not run because the box shuts down.
 func stoppingRefusal() *barleystep.Refusal {
 	return notRunRefusal(barleystep.ReasonStopping, "The box is stopping.", unavailableRetryAfter)
 }
--- a/internal/front/fixture_test.go
+++ b/internal/front/fixture_test.go
@@ -31,7 +31,7 @@
 	"github.com/barleystep/barleystep/internal/suspect"
 )
 
-// protocol is a plain form of barleystep.Protocol for these tests.
+// protocol is a minimal barleystep.Protocol for these tests.
 type protocol struct{}
 
 func (protocol) ReadCallerHeaders(h http.Header) barleystep.CallerHeaders {
@@ -97,13 +97,12 @@
 type server struct {
 	mu       sync.Mutex
 	steps    []step
-	orders   []step // orders answer orders instead, the last one all further ones.
+	orders   []step // orders are used for orders instead of steps; the last one is repeated.
 	requests []*http.Request
 	bodies   []string
 }
 
-// step writes an answer to a connection; the connection is closed after it
-// unless it returns true.
+// step writes an answer to a connection. It returns false to have the connection closed.
 type step func(c net.Conn, r *http.Request) bool
 
 func (s *server) next(r *http.Request, body string) step {
@@ -130,11 +129,11 @@
 	return strings.HasPrefix(r.RequestURI, "/reserve/") || strings.HasPrefix(r.RequestURI, "/release/")
 }
 
-// listened counts the listeners of these tests.
+// listenerCount counts the listeners of these tests.
 var listenerCount atomic.Uint32
 
-// listen listens on a loopback address of its own: the ports of a single one would run
-// out while closed connections of thousands of cases linger.
+// listen listens on a separate loopback address. The ports of a single address would run out while
+// the closed connections of thousands of cases linger.
 func listen(t *testing.T) net.Listener {
 	n := listenerCount.Add(1)
 	l, err := net.Listen("tcp4", fmt.Sprintf("127.%d.%d.%d:0", 1+n>>16&0x3f, n>>8&0xff, n&0xff))
@@ -172,7 +171,7 @@
 	}
 }
 
-// raw writes a text as it is; ID stands for the request's id.
+// rawAnswer writes a text unchanged, except that ID is replaced by the request's id.
 func rawAnswer(text string) step {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = io.WriteString(c, strings.ReplaceAll(text, "ID", r.Header.Get("Id")))
@@ -188,7 +187,7 @@
 	}
 }
 
-// events writes a stream of numbered events; cut leaves out its end.
+// eventStream writes a stream of numbered events; cut ends it inside an event.
 func eventStream(from, to int, cut bool) step {
 	text := "HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for i := from; i <= to; i++ {
@@ -206,7 +205,7 @@
 	return false
 }
 
-// state is a configuration whose age of proof is set by a test.
+// state is a Configuration whose age is set by a test.
 type state struct {
 	view *fleet.View
 	age  time.Duration
@@ -258,17 +257,17 @@
 	return fleet.NewView(c)
 }
 
-// engineCost is that of engines with memory for 1,000 tokens, which read a token
-// in a millisecond.
+// engineCost is the cost of engines with memory for 1,000 tokens, which prefill a token in a
+// millisecond.
 var engineCost = &fleet.CostModel{Slots: 4, KVTokens: 1000, Stride: 1, Step: time.Millisecond, PrefillRate: 1000, MeanPromptTokens: 100}
 
-// fixture is a front before some targets.
+// fixture is a front.Server with several targets.
 type fixture struct {
 	url    string
 	front  *front.Server
 	target *server
 	view   *fleet.View
-	// targets are the ones that the balancer knows; mu is held where they change meanwhile.
+	// targets are those that the balancer knows; mu is held when they change during a test.
 	mu      sync.Mutex
 	targets []fleet.Target
 }
@@ -280,7 +279,7 @@
 	return slices.Clone(f.targets)
 }
 
-// change changes the targets while requests are served.
+// change modifies the targets while requests are served.
 func (f *fixture) change(do func(targets []fleet.Target) []fleet.Target) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -323,12 +322,12 @@
 	return f
 }
 
-// reply is what a caller got.
+// reply is what a caller received.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	// broken is set when the answer did not come whole.
+	// broken is set when the answer was incomplete.
 	broken bool
 }
 
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -24,8 +24,8 @@
 
 const sealed = "Seal: s\r\n"
 
-// TestAnswers checks, for each kind of route, what becomes of what targets do:
-// the status and body for the caller, and how many times the request was sent.
+// TestAnswers checks, for each kind of route, what callers get for each behaviour of targets: the
+// status and body, and how many times the request is sent.
 func TestAnswers(t *testing.T) {
 	ok := completeAnswer(200, sealed, "good")
 	shed := completeAnswer(503, "Not-Run: 1\r\n", "")
@@ -40,26 +40,26 @@
 		"whole answer":                     {"/once/", []step{ok}, 200, "good", 1, false},
 		"shed once, repeatable":            {"/again/", []step{shed, ok}, 200, "good", 2, false},
 		"shed twice":                       {"/again/", []step{shed, shed, ok}, 503, "", 2, false},
-		"closed, must not repeat":          {"/once/", []step{rawAnswer(""), ok}, 502, "", 1, false},
+		"closed, not repeatable":           {"/once/", []step{rawAnswer(""), ok}, 502, "", 1, false},
 		"closed, repeatable":               {"/again/", []step{rawAnswer(""), ok}, 200, "good", 2, false},
 		"closed, then shed":                {"/again/", []step{rawAnswer(""), shed}, 502, "", 2, false},
 		"not an answer":                    {"/again/", []step{rawAnswer("zzz\r\n\r\n"), ok}, 200, "good", 2, false},
-		"cut body, must not repeat":        {"/once/", []step{rawAnswer("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\nContent-Length: 9\r\n\r\nabc")}, 502, "", 1, false},
+		"truncated body, not repeatable":   {"/once/", []step{rawAnswer("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\nContent-Length: 9\r\n\r\nabc")}, 502, "", 1, false},
 		"success without digest":           {"/once/", []step{completeAnswer(200, "", "forged")}, 502, "", 1, false},
-		"encoded on its way":               {"/again/", []step{completeAnswer(200, sealed+"Content-Encoding: gzip\r\n", "zip"), ok}, 200, "good", 2, false},
+		"re-encoded on the way":            {"/again/", []step{completeAnswer(200, sealed+"Content-Encoding: gzip\r\n", "zip"), ok}, 200, "good", 2, false},
 		"another request's answer":         {"/once/", []step{rawAnswer("HTTP/1.1 200 OK\r\nId: other\r\nSeal: s\r\nContent-Length: 3\r\n\r\nbad")}, 502, "", 1, false},
-		"own failure, must not repeat":     {"/once/", []step{completeAnswer(500, sealed, "bad"), ok}, 500, "bad", 1, false},
+		"own failure, not repeatable":      {"/once/", []step{completeAnswer(500, sealed, "bad"), ok}, 500, "bad", 1, false},
 		"own failure, repeatable":          {"/again/", []step{completeAnswer(500, sealed, "bad"), ok}, 200, "good", 2, false},
-		"own failure, then no place":       {"/lone/", []step{completeAnswer(500, sealed, "bad")}, 500, "bad", 1, false},
+		"own failure, no slot for a retry": {"/lone/", []step{completeAnswer(500, sealed, "bad")}, 500, "bad", 1, false},
 		"own failure twice":                {"/again/", []step{completeAnswer(500, sealed, "bad"), completeAnswer(500, sealed, "bad2")}, 500, "bad2", 2, false},
 		"503 that may have run":            {"/once/", []step{completeAnswer(503, sealed, "x")}, 502, "The target did not answer: front: the target does not say that the request has not run.\n", 1, false},
-		"own 4xx goes through":             {"/again/", []step{completeAnswer(422, sealed, "no"), ok}, 422, "no", 1, false},
-		"length by close":                  {"/once/", []step{rawAnswer("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\n\r\nall")}, 200, "all", 1, false},
+		"own 4xx is relayed":               {"/again/", []step{completeAnswer(422, sealed, "no"), ok}, 422, "no", 1, false},
+		"body delimited by close":          {"/once/", []step{rawAnswer("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\n\r\nall")}, 200, "all", 1, false},
 		"stream":                           {"/stream/", []step{eventStream(1, 3, false)}, 200, eventText(1, 3), 1, false},
 		"stream resumed inside an event":   {"/stream/", []step{eventStream(1, 3, true), eventStream(4, 6, false)}, 200, eventText(1, 6), 2, false},
-		"resumed with events twice":        {"/stream/", []step{eventStream(1, 3, true), eventStream(2, 6, false)}, 200, eventText(1, 6), 2, false},
+		"resumed with repeated events":     {"/stream/", []step{eventStream(1, 3, true), eventStream(2, 6, false)}, 200, eventText(1, 6), 2, false},
 		"stream broken twice looks broken": {"/stream/", []step{eventStream(1, 3, true), eventStream(4, 5, true)}, 200, eventText(1, 5), 2, true},
-		"stream that must not resume":      {"/plainstream/", []step{eventStream(1, 3, true), eventStream(4, 6, false)}, 200, eventText(1, 3), 1, true},
+		"stream not resumable":             {"/plainstream/", []step{eventStream(1, 3, true), eventStream(4, 6, false)}, 200, eventText(1, 3), 1, true},
 		"stream shed, then served":         {"/plainstream/", []step{shed, eventStream(1, 2, false)}, 200, eventText(1, 2), 2, false},
 	}
 	for name, tc := range cases {
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestResumeAsksOn checks that a resumed stream asks for what comes after the
-// last event that the caller has.
+// TestResumeFromLastEvent checks that a resumed stream is requested from the last event that the
+// caller has.
 func TestResumeFromLastEvent(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(t, state{view: newView()}, eventStream(1, 3, true), eventStream(4, 6, false))
@@ -95,7 +95,7 @@
 	c.Check(f.target.requests[0].Header.Get("Instance"), quicktest.Not(quicktest.Equals), f.target.requests[1].Header.Get("Instance"))
 }
 
-// TestRefusals checks what is refused before any target is asked.
+// TestRefusals checks which requests are refused before any target is asked.
 func TestRefusals(t *testing.T) {
 	known := newView()
 	cases := map[string]struct {
@@ -105,15 +105,15 @@
 		headers []string
 		status  int
 	}{
-		"no configuration":      {state{}, "/once/", "", nil, 503},
-		"no route":              {state{view: known}, "/none/", "", nil, 404},
-		"no key":                {state{view: known}, "/keyed/", "", nil, 401},
-		"unknown key":           {state{view: known}, "/keyed/", "", []string{"Key", "z"}, 401},
-		"keys not proved":       {state{view: known, age: freshness + 1}, "/keyed/", "", []string{"Key", "k"}, 503},
-		"keys never proved":     {state{view: known, age: -1}, "/keyed/", "", []string{"Key", "k"}, 503},
-		"body too large":        {state{view: known}, "/once/", strings.Repeat("x", 101), nil, 413},
-		"proof not needed here": {state{view: known, age: -1}, "/once/", "", nil, 200},
-		"proof just new enough": {state{view: known, age: freshness}, "/keyed/", "", []string{"Key", "k"}, 200},
+		"no configuration":                   {state{}, "/once/", "", nil, 503},
+		"no route":                           {state{view: known}, "/none/", "", nil, 404},
+		"no key":                             {state{view: known}, "/keyed/", "", nil, 401},
+		"unknown key":                        {state{view: known}, "/keyed/", "", []string{"Key", "z"}, 401},
+		"key confirmation too old":           {state{view: known, age: freshness + 1}, "/keyed/", "", []string{"Key", "k"}, 503},
+		"keys never confirmed":               {state{view: known, age: -1}, "/keyed/", "", []string{"Key", "k"}, 503},
+		"body too large":                     {state{view: known}, "/once/", strings.Repeat("x", 101), nil, 413},
+		"public route needs no confirmation": {state{view: known, age: -1}, "/once/", "", nil, 200},
+		"confirmation just recent enough":    {state{view: known, age: freshness}, "/keyed/", "", []string{"Key", "k"}, 200},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -131,8 +131,8 @@
 	}
 }
 
-// TestForwarded checks that method, path, query and body reach the target
-// unchanged, and that headers of one connection do not.
+// TestForwarded checks that method, path, query and body reach the target unchanged, and that
+// hop-by-hop headers do not.
 func TestForwarded(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(t, state{view: newView()}, completeAnswer(200, sealed, ""))
@@ -150,8 +150,8 @@
 	c.Check(left > 0 && left <= 3*time.Second, quicktest.IsTrue)
 }
 
-// TestTimeLimit checks that a request ends at its route's time limit although
-// its target says nothing, and that no promise is made.
+// TestTimeLimit checks that a request ends at its route's time limit although its target does not
+// answer, and that its status does not claim that it has not run.
 func TestTimeLimit(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(t, state{view: newView()}, neverAnswer)
@@ -159,8 +159,7 @@
 	c.Check(got.status, quicktest.Equals, http.StatusGatewayTimeout)
 }
 
-// TestCallerLeaves checks that the target's connection ends when the caller has
-// gone.
+// TestCallerGone checks that the connection to the target closes when the caller disconnects.
 func TestCallerGone(t *testing.T) {
 	arrived := make(chan struct{})
 	ended := make(chan struct{})
@@ -185,8 +184,8 @@
 	<-ended
 }
 
-// TestComeBack checks that a caller whose prompt finds all engines full is told to come
-// back as late as it heeds.
+// TestRetryAfterWhenFull checks that a caller whose prompt finds all engines full is told to retry
+// after a third of its time limit.
 func TestRetryAfterWhenFull(t *testing.T) {
 	c := quicktest.New(t)
 	manual := clock.NewManual(time.Unix(1000, 0))
@@ -199,7 +198,8 @@
 	c.Check(got.status, quicktest.Equals, http.StatusServiceUnavailable)
 }
 
-// TestStop checks that a stopping box ends its connections and then refuses.
+// TestShutdownRejectsNew checks that a box that shuts down still answers, and refuses requests
+// after RejectNew.
 func TestShutdownRejectsNew(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(t, state{view: newView()}, completeAnswer(200, sealed, "a"), completeAnswer(200, sealed, "b"))
--- a/internal/front/helper.go
+++ b/internal/front/helper.go
@@ -11,18 +11,18 @@
 	"github.com/barleystep/barleystep/internal/clock"
 )
 
-// helperTimeout bounds how long it may take to connect to a helper: several times the way
-// between halls, and a small part of the tightest objective of a prompt that has any.
+// helperDialTimeout bounds connecting to a helper. It is several times the latency between halls
+// and a small part of the shortest objective of a prompt that uses helpers.
 const helperDialTimeout = 40 * time.Millisecond
 
-// errSilent means that helpers cannot be reached without which the prompt has no memory.
+// errHelpersUnreachable means that the prompt does not fit in memory without the unreachable
+// helpers.
 var errHelpersUnreachable = eris.New("front: helpers that hold the prompt cannot be reached")
 
-// reach leaves out the helpers to which no connection can be had. A target refuses a prompt
-// if one of its helpers is gone, and a route allows few sends: where a quarter of the
-// engines ends at once while nobody can read of it, hardly a choice of sixteen is without
-// one of them, and two such choices refuse the prompt. Each box asks for itself, over the
-// connections that it keeps.
+// checkHelpers drops unreachable helpers from the placement. A target refuses a prompt if one of
+// its helpers is gone, and a route allows few sends. If a quarter of the engines terminate at once
+// before the catalogue shows it, almost every choice of sixteen engines contains one of them, and
+// two such choices refuse the prompt. Each box checks for itself, over its pooled connections.
 func (t *try) checkHelpers(ctx context.Context) error {
 	t.unreachable = t.unreachableHelpers(ctx)
 	if ctx.Err() != nil {
@@ -34,7 +34,7 @@
 	remain := t.placement.DropHelpers(t.unreachable)
 	t.stage.log.Info().Str("request", t.exchange.call.RequestID).Str("target", string(t.placement.Target.ID)).
 		Strs("silent", idStrings(t.unreachable)).Bool("goes_on", remain).Dur("within", helperDialTimeout).
-		Msg(logPrefix + "Helpers cannot be reached. They are left out.")
+		Msg(logPrefix + "Some helpers are unreachable. They are left out.")
 	if remain {
 		return nil
 	}
@@ -42,8 +42,9 @@
 	return eris.Wrap(barleystep.ErrNotStarted, errHelpersUnreachable.Error())
 }
 
-// silentHelpers returns the helpers that do not take a connection in time. Of those that
-// refuse it the balancer learns; a lost packet of one box's says nothing to the others.
+// unreachableHelpers returns the helpers that do not accept a connection within helperDialTimeout.
+// Helpers that refuse it are reported to the balancer; a timeout is not, since a packet lost by one
+// box says nothing about the others.
 func (t *try) unreachableHelpers(ctx context.Context) []barleystep.TargetID {
 	helpers := t.placement.Helpers
 	dialCtx, cancel := clock.WithDeadline(ctx, t.stage.clock, t.stage.clock.Now().Add(helperDialTimeout))
--- a/internal/front/helper_test.go
+++ b/internal/front/helper_test.go
@@ -14,20 +14,20 @@
 	"github.com/barleystep/barleystep/internal/fleet"
 )
 
-// TestEnginesThatLeft checks that long prompts are served where a part of the engines has
-// ended while the list still names them: an engine refuses a prompt if one of its helpers
-// is gone, and the route allows two sends.
+// TestUnreachableHelpersLeftOut checks that long prompts are served while some engines have
+// terminated but are still listed. An engine refuses a prompt if one of its helpers is gone, and
+// the route allows two sends.
 func TestUnreachableHelpersLeftOut(t *testing.T) {
 	cases := map[string]struct {
 		prompt string
-		gone   int // gone is how many engines of eight have ended.
+		gone   int // gone is how many of the eight engines have terminated.
 	}{
-		"a quarter":                          {"900", 2},
-		"half":                               {"900", 4},
-		"all but one":                        {"900", 7},
-		"a quarter, prompt over memory":      {"1200", 2},
-		"nobody":                             {"900", 0},
-		"nobody, and a prompt over a memory": {"1200", 0},
+		"a quarter":                     {"900", 2},
+		"half":                          {"900", 4},
+		"all but one":                   {"900", 7},
+		"a quarter, prompt over memory": {"1200", 2},
+		"none":                          {"900", 0},
+		"none, prompt over memory":      {"1200", 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -51,8 +51,8 @@
 	}
 }
 
-// refuseWithout answers as an engine does: it refuses a prompt with a helper that is not
-// at the address, and writes events otherwise.
+// refuseWithout behaves like an engine: it refuses a prompt if any of its helpers is not at the
+// address alive, and otherwise writes events.
 func refuseWithout(alive string) step {
 	return func(c net.Conn, r *http.Request) bool {
 		for _, at := range r.Header.Values("Helper-At") {
@@ -64,14 +64,14 @@
 	}
 }
 
-// closedAddr returns an address at which nobody listens.
+// unusedAddr returns an address that refuses connections.
 func unusedAddr(t *testing.T) string {
 	l := listen(t)
 	defer l.Close()
 	return l.Addr().String()
 }
 
-// sent counts the requests that are no orders.
+// sentCount returns the number of requests that are not orders.
 func (s *server) sentCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,8 +84,8 @@
 	return n
 }
 
-// TestTargetThatLeftToo checks that a target which has ended itself is left alone, also when
-// helpers of the same plan have ended, whatever the order of the engines is by their names.
+// TestUnreachableTargetSkipped checks that a target that has terminated is not chosen again, even
+// if helpers of the same plan have terminated too, for different orders of the engines' ids.
 func TestUnreachableTargetSkipped(t *testing.T) {
 	for order := range 12 {
 		t.Run(fmt.Sprint(order), func(t *testing.T) {
@@ -98,7 +98,7 @@
 				f.targets = append(f.targets, fleet.Target{ID: id, Service: "engines", Addr: gone, Slots: 4})
 			}
 			peers := balance.NewSnapshot()
-			peers.Work[balance.KeyOf("alive")] = balance.Work{KVTokens: 990, Long: 1} // It is the last choice.
+			peers.Work[balance.KeyOf("alive")] = balance.Work{KVTokens: 990, Long: 1} // Makes it the last choice.
 			f.front.Balancer.SetOthers(peers)
 			got := f.do(t, http.MethodPost, "/giant/", "", "Prompt", "800")
 			quicktest.Check(t, got.status, quicktest.Equals, http.StatusOK)
--- a/internal/front/leaving_test.go
+++ b/internal/front/leaving_test.go
@@ -13,9 +13,9 @@
 	"github.com/barleystep/barleystep"
 )
 
-// TestLeavingRead checks that a target which says in any answer that it leaves gets nothing
-// more, whatever became of the request, and that another one's answer at its address does not
-// speak for it.
+// TestLeavingStatement checks that a target that states in any answer that it is leaving gets no
+// more requests, whatever the result, and that an answer of another target at its address does not
+// count as its statement.
 func TestLeavingStatement(t *testing.T) {
 	const leaves = "Leaves: 1\r\n"
 	cases := map[string]struct {
@@ -24,12 +24,12 @@
 		status int
 		left   bool
 	}{
-		"whole answer":       {"/once/", completeAnswer(200, sealed+leaves, "good"), 200, true},
-		"its own failure":    {"/once/", completeAnswer(500, sealed+leaves, "bad"), 500, true},
-		"not run":            {"/once/", completeAnswer(503, "Not-Run: 1\r\n"+leaves, ""), 503, true},
-		"without digest":     {"/once/", completeAnswer(200, leaves, "forged"), 502, true},
-		"stream that is cut": {"/plainstream/", rawAnswer("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\n" + leaves + "Transfer-Encoding: chunked\r\n\r\n1"), 502, true},
-		"another one's":      {"/once/", completeAnswer(421, "Not-Run: 1\r\n"+leaves, ""), 503, false},
+		"whole answer":             {"/once/", completeAnswer(200, sealed+leaves, "good"), 200, true},
+		"own failure":              {"/once/", completeAnswer(500, sealed+leaves, "bad"), 500, true},
+		"not run":                  {"/once/", completeAnswer(503, "Not-Run: 1\r\n"+leaves, ""), 503, true},
+		"without digest":           {"/once/", completeAnswer(200, leaves, "forged"), 502, true},
+		"truncated stream":         {"/plainstream/", rawAnswer("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\n" + leaves + "Transfer-Encoding: chunked\r\n\r\n1"), 502, true},
+		"answer of another target": {"/once/", completeAnswer(421, "Not-Run: 1\r\n"+leaves, ""), 503, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestLeavingHelper checks that what helpers say in their answers to orders counts, and that a
-// prompt is not sent with helpers that leave.
+// TestLeavingHelperNotUsed checks that statements of helpers in their answers to orders are taken
+// in, and that a prompt is not sent with helpers that are leaving.
 func TestLeavingHelperNotUsed(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(t, state{view: newView()}, eventStream(1, 2, false))
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestOrderTakesNothingBack checks that a helper which leaves is not taken to stay since its answer
-// to a later order lacks the word: it was asked on.
+// TestOrderAnswerDoesNotRevokeLeaving checks that a helper that is leaving still counts as leaving
+// after an answer to a later order that does not repeat the statement.
 func TestOrderAnswerDoesNotRevokeLeaving(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(t, state{view: newView()}, eventStream(1, 2, false))
@@ -89,8 +89,8 @@
 	c.Check(leaving >= 2, quicktest.IsTrue, quicktest.Commentf("%d leave", leaving))
 }
 
-// TestPassedOver checks that the line of a refused request names the targets that it was not
-// offered to, and by whose word.
+// TestPassedOver checks that the log line of a refused request names the targets that it was not
+// offered to, and the source of the reason.
 func TestPassedOver(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(t, state{view: newView()}, completeAnswer(http.StatusOK, sealed+"Leaves: 1\r\n", "good"))
@@ -103,7 +103,7 @@
 	c.Check(strings.Contains(line, `"passed_over":["c leaves, heard"]`), quicktest.IsTrue, quicktest.Commentf("%s", line))
 }
 
-// lineReader is a log's output that passes its lines on.
+// lineReader is a log writer that passes the lines on.
 type lineReader chan string
 
 // Write passes a line on.
--- a/internal/front/limit_history.go
+++ b/internal/front/limit_history.go
@@ -7,15 +7,15 @@
 	"github.com/barleystep/barleystep"
 )
 
-// habit knows for how long the callers of each route usually wait. A caller that comes
-// back after a refusal has less time left, which tells when it first tried. Its zero
-// value is ready for use; it is safe for concurrent use.
+// limitHistory tracks the time limits that the callers of each route usually set. A caller that
+// retries after a refusal sets a shorter limit, and the difference is the time since its first
+// attempt. The zero value is ready to use; it is safe for concurrent use.
 type limitHistory struct {
 	mu     sync.Mutex
 	routes map[string]*longestLimit
 }
 
-// longest is the longest time limit of a route in the current and the last period.
+// longestLimit is the longest time limit of a route in the current and the previous period.
 type longestLimit struct {
 	since    time.Time
 	current  time.Duration
@@ -23,16 +23,16 @@
 }
 
 const (
-	// habitPeriod is how long a time limit is remembered at least; callers of one route
-	// mostly share one, which changes with their programs.
+	// limitPeriod is the minimum time for which a limit is remembered. Callers of one route mostly
+	// share a limit, which changes when their programs change.
 	limitPeriod = 30 * time.Second
-	// leastAge is the shortest time since a first try that counts: less is the way of the
-	// request, or a limit that was rounded.
+	// minSinceFirstTry is the shortest difference that counts as a retry; smaller ones come from
+	// network delay or rounding.
 	minSinceFirstTry = 50 * time.Millisecond
 )
 
-// age notes a request's time limit and returns how long ago its caller first tried, as
-// far as the limit tells.
+// sinceFirstTry records a request's time limit and returns the estimated time since its caller's
+// first attempt, 0 if this is the first.
 func (h *limitHistory) sinceFirstTry(now time.Time, route string, limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
@@ -57,7 +57,7 @@
 	return 0
 }
 
-// firstTry returns when the caller of the exchange first tried.
+// firstTry returns the estimated time of the caller's first attempt.
 func (h *limitHistory) firstTry(clk barleystep.Clock, x *Exchange) time.Time {
 	return x.started.Add(-h.sinceFirstTry(clk.Now(), x.route.Name, x.call.TimeLimit))
 }
--- a/internal/front/limit_history_internal_test.go
+++ b/internal/front/limit_history_internal_test.go
@@ -7,7 +7,7 @@
 	"github.com/frankban/quicktest"
 )
 
-// TestHabit checks what a request's time limit tells of its caller's first try.
+// TestLimitHistory checks what a request's time limit implies about its caller's first attempt.
 func TestLimitHistory(t *testing.T) {
 	const usual = 10 * time.Second
 	start := time.Unix(1000, 0)
@@ -17,13 +17,13 @@
 		after time.Duration
 		want  time.Duration
 	}{
-		"as usual":          {"r", usual, 0, 0},
-		"a little less":     {"r", usual - 10*time.Millisecond, 0, 0},
-		"comes back":        {"r", 7 * time.Second, 0, 3 * time.Second},
-		"another route":     {"other", 7 * time.Second, 0, 0},
-		"no limit":          {"r", 0, 0, 0},
-		"longer than usual": {"r", 2 * usual, 0, 0},
-		"the next period":   {"r", 7 * time.Second, limitPeriod + 1, 3 * time.Second},
+		"usual limit":            {"r", usual, 0, 0},
+		"slightly shorter limit": {"r", usual - 10*time.Millisecond, 0, 0},
+		"retry after a refusal":  {"r", 7 * time.Second, 0, 3 * time.Second},
+		"another route":          {"other", 7 * time.Second, 0, 0},
+		"no limit":               {"r", 0, 0, 0},
+		"longer than usual":      {"r", 2 * usual, 0, 0},
+		"next period":            {"r", 7 * time.Second, limitPeriod + 1, 3 * time.Second},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/front/limit_test.go
+++ b/internal/front/limit_test.go
@@ -7,8 +7,8 @@
 	"github.com/frankban/quicktest"
 )
 
-// TestLimitRead checks that a limit counts which a target names in any answer, whatever became
-// of the request: the next requests go to the other target until it is lifted.
+// TestLimitStatement checks that a rate limit that a target states in any answer is respected,
+// whatever the result: the next requests go to the other target until it is lifted.
 func TestLimitStatement(t *testing.T) {
 	const takes = "Takes: 1\r\n"
 	cases := map[string]struct {
@@ -16,11 +16,11 @@
 		first  step
 		status int
 	}{
-		"whole answer":       {"/once/", completeAnswer(200, sealed+takes, "good"), 200},
-		"its own failure":    {"/once/", completeAnswer(500, sealed+takes, "bad"), 500},
-		"not run":            {"/once/", completeAnswer(503, "Not-Run: 1\r\n"+takes, ""), 503},
-		"without digest":     {"/once/", completeAnswer(200, takes, "forged"), 502},
-		"stream that is cut": {"/plainstream/", rawAnswer("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\n" + takes + "Transfer-Encoding: chunked\r\n\r\n1"), 502},
+		"whole answer":     {"/once/", completeAnswer(200, sealed+takes, "good"), 200},
+		"own failure":      {"/once/", completeAnswer(500, sealed+takes, "bad"), 500},
+		"not run":          {"/once/", completeAnswer(503, "Not-Run: 1\r\n"+takes, ""), 503},
+		"without digest":   {"/once/", completeAnswer(200, takes, "forged"), 502},
+		"truncated stream": {"/plainstream/", rawAnswer("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\n" + takes + "Transfer-Encoding: chunked\r\n\r\n1"), 502},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// answersAfter returns a first answer and some good ones.
+// withGoodAnswers returns first, followed by five good answers.
 func withGoodAnswers(first step) []step {
 	steps := []step{first}
 	for range 5 {
@@ -38,8 +38,8 @@
 	return steps
 }
 
-// sentOn asks once, for an answer with the status, and five times more, and returns how many of
-// these went to the target that got the first.
+// laterSends sends a request that must get the status, then five more, and returns how many of
+// these went to the target of the first one.
 func laterSends(t *testing.T, f *fixture, path string, status int) (count int) {
 	f.view.Route("h", path).MaxTries = 1
 	quicktest.Check(t, f.do(t, http.MethodPost, path, "").status, quicktest.Equals, status)
--- a/internal/front/progress.go
+++ b/internal/front/progress.go
@@ -7,21 +7,21 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Phase is how far a request has come.
+// Phase is the stage that a request has reached.
 type Phase uint8
 
-// The phases, in the order in which a request passes through them. A request that is tried
-// again is in an earlier one once more.
+// The phases, in the order in which a request passes through them. A retried request returns to an
+// earlier phase.
 const (
-	// PhaseReading means that the request is being taken in.
+	// PhaseReading means that the request body is being read.
 	PhaseReading Phase = iota
-	// PhaseWaiting means that it waits for a place at a target.
+	// PhaseWaiting means that the request waits for a placement.
 	PhaseWaiting
-	// PhaseReaching means that its target and helpers are being reached.
+	// PhaseReaching means that connections to its target and helpers are being set up.
 	PhaseReaching
-	// PhaseSent means that it was sent, and that its target has not answered.
+	// PhaseSent means that the request was sent and its target has not answered yet.
 	PhaseSent
-	// PhaseAnswering means that an answer is being passed on.
+	// PhaseAnswering means that an answer is being relayed.
 	PhaseAnswering
 )
 
@@ -30,8 +30,8 @@
 // String returns the phase's name for logs.
 func (p Phase) String() string { return phaseNames[p] }
 
-// progress tells other goroutines how far a request has come. The zero value is that of a
-// request which has just begun.
+// progress publishes the phase of a request to other goroutines. The zero value is that of a new
+// request.
 type progress struct {
 	mu     sync.Mutex
 	phase  Phase
@@ -39,22 +39,22 @@
 	target barleystep.TargetID
 }
 
-// enter notes that a phase begins.
+// enter records that a phase begins.
 func (p *progress) enter(phase Phase, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.phase, p.since = phase, now
 }
 
-// sendTo notes the target to which the request is sent now.
+// enterSent records that the request is being sent to the target.
 func (p *progress) enterSent(target barleystep.TargetID, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.phase, p.since, p.target = PhaseSent, now, target
 }
 
-// look returns the phase, since when it lasts, and the target to which the request was
-// sent last, empty before the first one.
+// snapshot returns the phase, when it began, and the target of the last send, empty before the
+// first one.
 func (p *progress) snapshot() (phase Phase, since time.Time, target barleystep.TargetID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/front/read.go
+++ b/internal/front/read.go
@@ -12,11 +12,11 @@
 	"github.com/barleystep/barleystep"
 )
 
-// read takes in the whole body, so that it can be sent more than once.
+// read buffers the whole body, so that it can be sent more than once.
 type read struct{}
 
-// Run refuses bodies over the configured size, and those that have not come when the box
-// ends.
+// Run refuses bodies over the configured size, and those that are incomplete when the box shuts
+// down.
 func (s *read) Run(ctx context.Context, x *Exchange, next Next) error {
 	if x.r.ContentLength == 0 {
 		return next(ctx, x)
@@ -27,7 +27,7 @@
 	return next(ctx, x)
 }
 
-// take takes the body in.
+// readBody buffers the body.
 func (*read) readBody(x *Exchange) error {
 	limit := x.view.Limits().BodyBytes
 	if limit <= 0 {
@@ -42,7 +42,7 @@
 	switch {
 	case eris.As(err, &tooLarge):
 		return barleystep.NewRefusal(barleystep.ReasonBodyTooLarge, barleystep.OutcomeNotRun, "The body is too large.")
-	case eris.Is(err, os.ErrDeadlineExceeded): // The box ends.
+	case eris.Is(err, os.ErrDeadlineExceeded): // The box shuts down.
 		return stoppingRefusal()
 	case err != nil && !eris.Is(err, io.EOF):
 		return barleystep.NewRefusal(barleystep.ReasonCallerGone, barleystep.OutcomeNotRun, "The body did not come whole.")
@@ -51,5 +51,5 @@
 	return nil
 }
 
-// defaultBody bounds bodies in bytes if the configuration does not.
+// defaultMaxBody bounds bodies, in bytes, if the configuration does not.
 const defaultMaxBody = 4 << 20
--- a/internal/front/relay.go
+++ b/internal/front/relay.go
@@ -10,18 +10,17 @@
 )
 
 const (
-	// eventBuffer is the first size of the buffer for events; a longer event
-	// makes it grow.
+	// initialEventBuffer is the initial size of the event buffer in bytes; it grows for longer
+	// events.
 	initialEventBuffer = 4 << 10
-	// longestEvent bounds one event in bytes, against a target that never ends
-	// one.
+	// maxEventBytes bounds one event in bytes, against a target that never ends one.
 	maxEventBytes = 1 << 20
 )
 
 var errEventTooLong = eris.New("front: an event is too long")
 
-// relay passes a stream on, whole events at a time, so that a stream that
-// breaks can be taken up elsewhere at the border of an event.
+// relay forwards a stream in whole events, so that a broken stream can be resumed at an event
+// boundary.
 func (t *try) relay(resp *http.Response, w *stallWatch) (result, error) {
 	buffer := make([]byte, 0, initialEventBuffer)
 	for {
@@ -50,16 +49,16 @@
 	}
 }
 
-// mayBeEmpty reports whether the stream may be whole as far as its events go. One that
-// ends with its connection looks the same if the target broke off after the head; then
-// it is whole only if the caller has events, after which there may be no more.
+// mayBeComplete reports whether a stream that ends without a pending event may be complete. An
+// unframed answer that the target broke off after the head looks the same as one without events. It
+// counts as complete only if the caller already has events, since there may be none after those.
 func (t *try) mayBeComplete(resp *http.Response) bool {
 	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 	x := t.exchange
 	return framed || x.answer.HeadSent() || x.call.LastEventID != ""
 }
 
-// forward sends the whole events of data and returns what is left.
+// forward sends the complete events of data and returns the remaining bytes.
 func (t *try) forward(data []byte, w *stallWatch) (rest []byte, err error) {
 	end := lastEventEnd(data)
 	if end == 0 {
@@ -70,7 +69,7 @@
 	x := t.exchange
 	fresh := data[:end]
 	for x.lastEvent != "" && len(fresh) > 0 {
-		// An event that the caller already has is left out.
+		// Drop an event that the caller already has.
 		first := firstEventEnd(fresh)
 		id := lastEventID(fresh[:first])
 		if id == "" || !isAtOrBefore(id, x.lastEvent) {
@@ -93,7 +92,7 @@
 	return data[end:], nil
 }
 
-// begin sends the head of the try's answer, unless that of an earlier try went out.
+// startAnswer sends the head of the answer, unless an earlier try has sent one.
 func (t *try) startAnswer() {
 	x := t.exchange
 	if t.timeToFirst == 0 {
@@ -109,7 +108,7 @@
 	x.answer.WriteHead(t.head)
 }
 
-// notePause notes that events go out now.
+// recordPause records that events are being sent now.
 func (x *Exchange) recordPause(now time.Time) {
 	if !x.lastWrite.IsZero() {
 		x.maxPause = max(x.maxPause, now.Sub(x.lastWrite))
--- a/internal/front/reserve.go
+++ b/internal/front/reserve.go
@@ -14,7 +14,7 @@
 	"github.com/barleystep/barleystep/internal/clock"
 )
 
-// reservation is memory that is set aside at one helper.
+// reservation is KV cache memory reserved at one helper.
 type reservation struct {
 	target barleystep.TargetID
 	addr   string
@@ -22,25 +22,22 @@
 }
 
 const (
-	// holdTime is how long memory is set aside at a time. If this box dies, its
-	// memory is free again after so long, well before the 4 s after which targets
-	// count it as lost.
+	// reservationTTL is the duration of a reservation. If this box dies, its memory is free again
+	// after that time, well before the 4 s after which targets count it as lost.
 	reservationTTL = 3500 * time.Millisecond
-	// renewEvery is how often reservations are renewed: two renewals may fail
-	// before one ends.
+	// renewInterval is the interval between renewals. Two renewals may fail before a reservation
+	// expires.
 	renewInterval = time.Second
-	// orderTimeout bounds one order to a target, which answers within
-	// milliseconds.
+	// orderTimeout bounds one order to a target, which normally answers within milliseconds.
 	orderTimeout = 500 * time.Millisecond
-	// releaseTries is how often the release of a reservation is tried; after that
-	// it ends by itself.
+	// maxReleaseTries bounds the tries to release a reservation; after that it expires by itself.
 	maxReleaseTries = 3
 )
 
-// errNoMemory means that a helper has not set memory aside.
+// errNoMemory means that a helper did not reserve memory.
 var errNoMemory = eris.New("front: a helper has no memory for the prompt")
 
-// helpers returns the helpers as the target is told of them.
+// helperList returns the helpers in the form that is sent to the target.
 func (t *try) helperList() []barleystep.Helper {
 	var list []barleystep.Helper
 	for _, h := range t.placement.Helpers {
@@ -53,13 +50,13 @@
 	return list
 }
 
-// reservationID names the try's reservations; at each helper it has one.
+// reservationID returns the id of the try's reservations, one at each helper.
 func (t *try) reservationID() string {
 	return t.exchange.call.RequestID + "-" + strconv.Itoa(t.number)
 }
 
-// reserve sets memory aside at the helpers, where the placement asks for it, and
-// keeps it until the context ends.
+// reserve reserves memory at the helpers for which the placement asks for it, and renews it until
+// the context ends.
 func (t *try) reserve(ctx context.Context) error {
 	for _, h := range t.placement.Helpers {
 		if h.KVTokens > 0 {
@@ -80,19 +77,19 @@
 	return nil
 }
 
-// renew keeps the reservations until the context ends.
+// renew renews the reservations until the context ends.
 func (t *try) renew(ctx context.Context) {
 	defer close(t.renewalsDone)
 	for clock.Sleep(ctx, t.stage.clock, renewInterval) {
 		if !t.orderAll(ctx, t.reserveAt) && ctx.Err() == nil {
 			t.stage.log.Warn().Str("request", t.exchange.call.RequestID).
-				Msg(logPrefix + "Memory at a helper could not be kept. It is tried again.")
+				Msg(logPrefix + "A memory reservation at a helper could not be renewed. The renewal is tried again.")
 		}
 	}
 }
 
-// release frees what was set aside once the try has ended. It waits for renewals
-// that are on their way, which would set the memory aside again.
+// release frees the reservations after the try has ended. It waits for renewals in flight, which
+// would otherwise reserve the memory again.
 func (t *try) release(ctx context.Context) {
 	if len(t.reserved) == 0 {
 		return
@@ -108,11 +105,11 @@
 			clock.Sleep(ctx, t.stage.clock, orderTimeout)
 		}
 		t.stage.log.Warn().Str("request", t.exchange.call.RequestID).Dur("hold", reservationTTL).
-			Msg(logPrefix + "Memory at a helper could not be released. It ends by itself after its hold.")
+			Msg(logPrefix + "A memory reservation at a helper could not be released. It expires after its hold time.")
 	}()
 }
 
-// orderAll gives an order to all helpers at once and reports whether all took it.
+// orderAll sends an order to all helpers concurrently and reports whether all accepted it.
 func (t *try) orderAll(ctx context.Context, send func(context.Context, reservation) bool) bool {
 	ctx, cancel := clock.WithDeadline(ctx, t.stage.clock, t.stage.clock.Now().Add(orderTimeout))
 	defer cancel()
@@ -130,8 +127,8 @@
 	return true
 }
 
-// reserveAt sets memory aside at a helper. One that has started anew holds nothing of the
-// prompt: setting memory aside there would keep it from others.
+// reserveAt reserves memory at a helper. A helper that has restarted holds nothing of the prompt,
+// so reserving memory there would only withhold it from others.
 func (t *try) reserveAt(ctx context.Context, r reservation) bool {
 	if t.placement.HasRestarted(r.target) {
 		return true
@@ -146,11 +143,11 @@
 	return status > 0 && status < http.StatusInternalServerError
 }
 
-// order gives one order and returns the status of the answer, 0 if there was none. What the
-// target says of itself in it counts as in any other.
+// sendOrder sends one order and returns the status of the answer, 0 if there was none. The target's
+// statement in the answer is taken in as from any other answer.
 //
-// Answers to orders name nothing that they belong to. So each order has a connection of
-// its own, on which no late answer to anything else can come.
+// Answers to orders do not name the order that they belong to. Each order therefore uses a
+// connection of its own, on which no late answer to anything else can arrive.
 func (t *try) sendOrder(ctx context.Context, r reservation, req *http.Request, body []byte) int {
 	c, err := t.stage.pool.Dial(ctx, r.addr)
 	if err != nil {
@@ -164,7 +161,7 @@
 	}
 	defer resp.Body.Close()
 	if !misdirected(resp) {
-		// Answers to orders may lack words that others carry: they take nothing back.
+		// Answers to orders may omit statements that others carry, so an omission revokes nothing.
 		t.placement.NoteStatement(r.target, t.stage.protocol.ReadResponseHead(resp.StatusCode, resp.Header).Statement, time.Time{})
 	}
 	if _, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswerBytes)); err != nil {
@@ -173,7 +170,7 @@
 	return resp.StatusCode
 }
 
-// answersOrder reports whether an answer may be one to an order: it names no request.
+// isOrderAnswer reports whether an answer may belong to an order: it names no request.
 func (t *try) isOrderAnswer(h http.Header) bool {
 	return t.stage.protocol.ReadResponseHead(0, h).RequestID == ""
 }
--- a/internal/front/reserve_test.go
+++ b/internal/front/reserve_test.go
@@ -15,26 +15,23 @@
 	"github.com/barleystep/barleystep"
 )
 
-// TestReserve checks that the memory of a prompt that is longer than an engine's
-// is set aside at helpers before the request is sent, and released after it,
-// whatever became of it.
+// TestReserve checks that for a prompt that exceeds an engine's memory, memory is reserved at
+// helpers before the request is sent, and released afterwards whatever the result.
 func TestReserve(t *testing.T) {
 	ok, full := completeAnswer(200, "", ""), completeAnswer(409, "", "")
 	cases := map[string]struct {
 		steps []step
-		// order is how engines answer orders, each time in turn; the last one
-		// answers all further ones.
+		// order is how engines answer orders, in turn; the last answer is repeated.
 		order []step
-		// sends is how many times the request itself is sent, after reserved
-		// reservations.
+		// sends is how many times the request is sent, after at least so many reservations.
 		reserved int
 		sends    int
 		status   int
 	}{
-		"served":        {[]step{eventStream(1, 2, false)}, []step{ok}, 2, 1, 200},
-		"breaks off":    {[]step{rawAnswer("")}, []step{ok}, 2, 1, 502},
-		"release fails": {[]step{eventStream(1, 2, false)}, []step{failingOnce("/release/", ok)}, 2, 1, 200},
-		"no memory":     {nil, []step{full}, 0, 0, 503},
+		"served":            {[]step{eventStream(1, 2, false)}, []step{ok}, 2, 1, 200},
+		"connection closed": {[]step{rawAnswer("")}, []step{ok}, 2, 1, 502},
+		"release fails":     {[]step{eventStream(1, 2, false)}, []step{failingOnce("/release/", ok)}, 2, 1, 200},
+		"no memory":         {nil, []step{full}, 0, 0, 503},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -57,8 +54,9 @@
 	}
 }
 
-// TestReleasing checks that the front tells that memory is still being released after the
-// request's answer: a box that ends before has it set aside for the rest of its hold.
+// TestPendingReleases checks that the server reports that memory is still being released after the
+// request has been answered. If the box terminates before that, the memory stays reserved until the
+// reservation expires.
 func TestPendingReleases(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(t, state{view: newView()}, eventStream(1, 2, false))
@@ -78,8 +76,8 @@
 	}
 }
 
-// TestBlamed checks that a prompt whose helper is to blame gets others, and that
-// helpers are not asked for again where it is not known which one is.
+// TestBlamedHelper checks that a prompt with a blamed helper gets other helpers, and that no
+// helpers are used again if it is not known which one is to blame.
 func TestBlamedHelper(t *testing.T) {
 	refuse := func(blame bool) step {
 		return func(c net.Conn, r *http.Request) bool {
@@ -94,8 +92,8 @@
 		blame  bool
 		status int
 	}{
-		"a helper is named": {true, http.StatusOK},
-		"nobody is named":   {false, http.StatusServiceUnavailable},
+		"helper named":    {true, http.StatusOK},
+		"no helper named": {false, http.StatusServiceUnavailable},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -107,12 +105,12 @@
 	}
 }
 
-// TestForeignOrderAnswer checks that an order is not taken for done because of an answer
-// to something else that comes late on a connection that has been used before.
+// TestForeignOrderAnswer checks that an order does not count as accepted because of a late answer
+// to something else on a reused connection.
 func TestForeignOrderAnswer(t *testing.T) {
 	cases := map[string]string{
-		"of a request":       "HTTP/1.1 200 X\r\nId: r0\r\nSeal: s\r\nContent-Length: 0\r\n\r\n",
-		"of another order":   "HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n",
+		"to a request":       "HTTP/1.1 200 X\r\nId: r0\r\nSeal: s\r\nContent-Length: 0\r\n\r\n",
+		"to another order":   "HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n",
 		"without any length": "HTTP/1.1 200 X\r\n\r\n",
 	}
 	for name, foreign := range cases {
@@ -121,7 +119,7 @@
 			view := newView()
 			view.Route("h", "/giant/").MaxTries = 1
 			var used sync.Map
-			var together sync.WaitGroup // It keeps a connection for each of the two helpers.
+			var together sync.WaitGroup // Makes the box open a connection for each of the two helpers.
 			together.Add(2)
 			first := func(k net.Conn, r *http.Request) bool {
 				used.Store(k, true)
@@ -149,8 +147,8 @@
 	}
 }
 
-// TestBlamedFar checks that a prompt whose target cannot reach a helper in another hall
-// gets helpers of one hall, of which the others are as likely to be out of reach.
+// TestBlamedHelperInOtherHall checks that a prompt whose target cannot reach a helper in another
+// hall gets helpers of one hall, since the other helpers there are probably unreachable too.
 func TestBlamedHelperInOtherHall(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(t, state{view: newView()})
@@ -165,7 +163,7 @@
 		f.targets[i].Addr = f.target.start(t)
 		addrs[f.targets[i].Addr] = hall
 	}
-	// An engine takes no prompt that is read in two halls, and names one that is not its own.
+	// Engines refuse prompts with helpers in another hall, and blame one of those.
 	cut := func(k net.Conn, r *http.Request) bool {
 		for _, helper := range r.Header.Values("Helper-At") {
 			if addrs[helper] != addrs[k.LocalAddr().String()] {
@@ -179,7 +177,8 @@
 	c.Check(got.status, quicktest.Equals, http.StatusOK)
 }
 
-// failingOnce closes the connection of the first request below the path.
+// failingOnce closes the connection at the first request with the path prefix, and otherwise
+// answers with the given step.
 func failingOnce(path string, otherwise step) step {
 	var failed atomic.Bool
 	return func(c net.Conn, r *http.Request) bool {
@@ -190,9 +189,8 @@
 	}
 }
 
-// released returns the kinds of the requests that the engines got, R for a
-// reservation, F for its release and S for the request itself, once as many
-// releases as reservations have come.
+// waitReleased waits until there are as many releases as reservations, and returns the kinds of the
+// requests that the engines got: R for a reservation, F for a release and S for the request itself.
 func (s *server) waitReleased() string {
 	for {
 		kinds := s.kinds()
--- a/internal/front/restart_test.go
+++ b/internal/front/restart_test.go
@@ -16,10 +16,10 @@
 	"github.com/barleystep/barleystep/internal/fleet"
 )
 
-// never is longer than any time that plays a part in these tests.
+// never is longer than any time that matters in these tests.
 const never = 24 * time.Hour
 
-// lives are the targets of a fixture, whose starts a test sets.
+// restartTargets holds the targets of a fixture with start times that a test sets.
 type restartTargets struct {
 	mu      sync.Mutex
 	targets []fleet.Target
@@ -31,7 +31,7 @@
 	return append([]fleet.Target(nil), l.targets...)
 }
 
-// say has the target say when it started; an empty id stands for all.
+// setStart sets the start time that the target states; an empty id stands for all targets.
 func (l *restartTargets) setStart(id barleystep.TargetID, born int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -42,7 +42,7 @@
 	}
 }
 
-// newLives returns a fixture whose targets were born at 100.
+// newRestartFixture returns a fixture whose targets started at 100 ms.
 func newRestartFixture(t *testing.T, s state, steps ...step) (*fixture, *restartTargets, *clock.Manual) {
 	manual := clock.NewManual(time.Unix(1000, 0))
 	for _, prefix := range []string{"/once/", "/again/", "/stream/", "/plainstream/", "/giant/"} {
@@ -56,8 +56,8 @@
 	return f, l, manual
 }
 
-// TestRestart checks which requests leave a target that has started anew: at once, and only
-// those that may run elsewhere.
+// TestRestart checks which requests leave a target that has restarted: immediately, and only those
+// that may run elsewhere.
 func TestRestart(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n"
 	begun := rawAnswer(head + "11\r\nid: 1\ndata: xyz\n\n\r\n")
@@ -67,16 +67,16 @@
 		path   string
 		first  step
 		second step
-		sends  int // sends is how many may be made.
+		sends  int // sends is how many sends the route allows.
 		moves  bool
 		end    string
 	}{
-		"a stream":                   {"/stream/", begun, eventStream(2, 3, false), 2, true, eventText(2, 3)},
-		"a stream before its head":   {"/stream/", nothing, eventStream(1, 3, false), 2, true, eventText(1, 3)},
-		"a repeatable request":       {"/again/", nothing, good, 2, true, "good"},
-		"one that runs once":         {"/once/", nothing, good, 2, false, ""},
-		"a stream that runs once":    {"/plainstream/", begun, eventStream(2, 3, false), 2, false, ""},
-		"no further send is allowed": {"/again/", nothing, good, 1, false, ""},
+		"stream":                  {"/stream/", begun, eventStream(2, 3, false), 2, true, eventText(2, 3)},
+		"stream before its head":  {"/stream/", nothing, eventStream(1, 3, false), 2, true, eventText(1, 3)},
+		"repeatable request":      {"/again/", nothing, good, 2, true, "good"},
+		"non-repeatable request":  {"/once/", nothing, good, 2, false, ""},
+		"non-resumable stream":    {"/plainstream/", begun, eventStream(2, 3, false), 2, false, ""},
+		"no further send allowed": {"/again/", nothing, good, 1, false, ""},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -96,7 +96,8 @@
 			go func() { answer <- f.do(t, http.MethodPost, tc.path, "") }()
 			id := barleystep.TargetID(<-sent)
 			for i := 0; f.target.requestCount() < 2 && (tc.moves || i < 1000); i++ {
-				// The try may have been heard of a moment ago: it is told again.
+				// The target may have been heard after the restart was set, so the restart is
+				// stated again.
 				manual.Advance(300 * time.Millisecond)
 				targets.setStart(id, int64(200+i))
 				f.front.Balancer.DetectRestarts()
@@ -117,8 +118,8 @@
 	}
 }
 
-// TestRestartOfHelper checks that memory which helpers set aside in an earlier lifetime is not
-// asked for again in the next.
+// TestRestartOfHelper checks that memory reserved by helpers in an earlier incarnation is not
+// reserved again in the next one.
 func TestRestartOfHelper(t *testing.T) {
 	c := quicktest.New(t)
 	view := newView()
@@ -130,7 +131,7 @@
 		return false
 	}
 	f, targets, manual := newRestartFixture(t, state{view: view}, stall)
-	view.Route("h", "/giant/").MaxTries = 1 // The request stays where it is.
+	view.Route("h", "/giant/").MaxTries = 1 // The request must not move.
 	f.target.orders = []step{completeAnswer(http.StatusOK, "", "")}
 	answer := make(chan reply, 1)
 	go func() { answer <- f.do(t, http.MethodPost, "/giant/", "", "Prompt", "1200") }()
@@ -151,15 +152,15 @@
 	<-answer
 }
 
-// TestMoved checks which target is left alone after a refusal that says that an address is
-// another's: the one that was asked, unless a helper is to blame.
+// TestMisdirected checks which target counts as down after an answer that says that the address
+// belongs to another target: the target that was asked, unless a helper is blamed.
 func TestMisdirected(t *testing.T) {
 	cases := map[string]struct {
 		headers string
 		down    bool
 	}{
-		"the target":   {"Not-Run: 1\r\n", true},
-		"a helper has": {"Not-Run: 1\r\nBlamed: HELPER\r\n", false},
+		"target misdirected": {"Not-Run: 1\r\n", true},
+		"helper misdirected": {"Not-Run: 1\r\nBlamed: HELPER\r\n", false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -169,7 +170,7 @@
 			var asked string
 			refuse := func(k net.Conn, r *http.Request) bool {
 				asked = r.Header.Get("Instance")
-				headers := strings.ReplaceAll(tc.headers, "HELPER", k.LocalAddr().String()) // All have it.
+				headers := strings.ReplaceAll(tc.headers, "HELPER", k.LocalAddr().String()) // All helpers have this address.
 				return completeAnswer(http.StatusMisdirectedRequest, headers, "")(k, r)
 			}
 			f := newFixture(t, state{view: view}, refuse)
--- a/internal/front/route.go
+++ b/internal/front/route.go
@@ -9,11 +9,11 @@
 	"github.com/barleystep/barleystep"
 )
 
-// restartPause is when a caller may come back to a box that is not yet, or no
-// longer, able to serve: another box takes the next try, so it need not wait.
+// unavailableRetryAfter is the Retry-After of a box that cannot serve yet or any more. It is short
+// because another box takes the next attempt.
 const unavailableRetryAfter = 100 * time.Millisecond
 
-// route finds the route of the request and the time by which it must end.
+// route finds the route of the request and computes its deadline.
 type route struct {
 	configuration Configuration
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -19,13 +19,13 @@
 	"github.com/barleystep/barleystep/internal/reply"
 )
 
-// Configuration is the configuration in force and the age of its proof.
+// Configuration provides the configuration in force and the age of its confirmation.
 type Configuration interface {
 	View() *fleet.View
 	Age() time.Duration
 }
 
-// Server serves callers. Its exported fields are set before Handler.
+// Server serves callers. Its exported fields must be set before Handler is called.
 type Server struct {
 	Clock         barleystep.Clock
 	Protocol      barleystep.Protocol
@@ -40,7 +40,7 @@
 	pipeline  Pipeline
 	deliver   *deliver
 	active    activeRequests
-	// leaving answers with the end of the connection; closed refuses.
+	// shuttingDown makes answers close their connections; rejecting refuses all requests.
 	shuttingDown atomic.Bool
 	rejecting    atomic.Bool
 	shutdown     *shutdown
@@ -48,7 +48,7 @@
 
 const logPrefix = "front: "
 
-// Handler returns the handler for callers. It is called once.
+// Handler returns the handler for callers. It must be called once.
 func (s *Server) Handler() http.Handler {
 	s.shutdown = newShutdown(s.Clock)
 	s.deliver = &deliver{
@@ -71,23 +71,23 @@
 	return s
 }
 
-// SetFreshness bounds the age of the proof that keys are current; zero asks for
-// none.
+// SetKeyFreshness sets the maximum age of the confirmation that keys are current; zero disables the
+// check.
 func (s *Server) SetKeyFreshness(d time.Duration) { s.freshness.Store(int64(d)) }
 
-// Leave begins a planned stop: answers end their connections, so that callers go to other
-// boxes. At the given time, which leaves some for answers on their way, all requests are
-// answered that are still being served; those whose answer could not be whole by then are
-// refused as soon as that is known, while their callers have time for another box.
+// BeginShutdown begins a planned stop. Answers close their connections, so that callers move to
+// other boxes. At end, which must leave time for transmitting answers, all requests still being
+// served are answered. A request whose answer cannot be complete by then is refused as soon as that
+// is known, while its caller still has time for another box.
 func (s *Server) BeginShutdown(end time.Time) {
 	s.shuttingDown.Store(true)
 	s.shutdown.begin(end)
 	go s.abortPendingBodies(end)
 }
 
-// endBodies ends the reading of the bodies that have not come whole by the given time. It
-// leaves requests that have come further alone: their connections are read on to notice
-// that the caller goes away.
+// abortPendingBodies aborts the reading of bodies that are incomplete at end. It leaves requests in
+// later phases alone, because their connections are still read to detect that the caller
+// disconnects.
 func (s *Server) abortPendingBodies(end time.Time) {
 	clock.Sleep(context.Background(), s.Clock, end.Sub(s.Clock.Now()))
 	for _, x := range s.active.oldest(math.MaxInt) {
@@ -97,29 +97,29 @@
 	}
 }
 
-// Close refuses what still comes.
+// RejectNew refuses all further requests.
 func (s *Server) RejectNew() { s.rejecting.Store(true) }
 
-// Running returns how many requests are being served.
+// Running returns the number of requests being served.
 func (s *Server) Running() int { return s.active.count() }
 
-// Releasing returns how many tries have ended whose memory at helpers is still being
-// released. Their requests may have been answered.
+// PendingReleases returns the number of ended tries whose reserved helper memory is still being
+// released. Their requests may already have been answered.
 func (s *Server) PendingReleases() int { return int(s.deliver.pendingReleases.Load()) }
 
-// mostUnfinished bounds the lines that LogUnfinished writes: a box serves some dozens of
-// requests at a time, and a thousand lines may wait for their reader.
+// maxUnfinishedLines bounds the lines that LogUnfinished writes. A box serves some dozens of
+// requests at a time, and a thousand log lines may already be queued.
 const maxUnfinishedLines = 100
 
-// LogUnfinished writes a line about each request that is being served: how far it has come
-// and since when. Requests that the process does not outlive write no other.
+// LogUnfinished logs the phase of each request being served, and since when it lasts. Requests that
+// outlive the process write no other log line.
 func (s *Server) LogUnfinished() {
 	now := s.Clock.Now()
 	for _, x := range s.active.oldest(maxUnfinishedLines) {
 		phase, since, target := x.progress.snapshot()
 		s.Log.Warn().Str("request", x.call.RequestID).Str("phase", phase.String()).Str("target", string(target)).
 			Int("prompt", x.call.PromptTokens).Dur("in_phase", now.Sub(since)).Dur("took", now.Sub(x.started)).
-			Msg(logPrefix + "A request is not finished.")
+			Msg(logPrefix + "A request has not finished.")
 	}
 }
 
@@ -144,7 +144,7 @@
 	s.finish(x, s.pipeline.Run(r.Context(), x))
 }
 
-// end answers a request that was refused, and writes its line.
+// finish answers a refused request and logs the end of the request.
 func (s *Server) finish(x *Exchange, err error) {
 	if err == nil {
 		s.logEnd(x, "", barleystep.OutcomeDone)
@@ -158,7 +158,7 @@
 	}
 	s.logEnd(x, r.Reason(), r.Outcome())
 	if headSent || r.Reason() == barleystep.ReasonCallerGone {
-		// An answer that was cut must not look whole.
+		// Abort the connection, so that an incomplete answer does not look complete.
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -170,8 +170,8 @@
 	x.answer.WriteFull(reply.FromBox(statusOf(r), h), []byte(r.Error()+"\n"))
 }
 
-// statusOf returns the HTTP status for a refusal. Statuses that promise that a
-// request has not run are only used where that is true.
+// statusOf returns the HTTP status for a refusal. Statuses that guarantee that a request has not
+// run are only used where that is true.
 func statusOf(r *barleystep.Refusal) int {
 	switch {
 	case r.Reason() == barleystep.ReasonUnknownService:
@@ -213,7 +213,7 @@
 	e.Dur("queued", x.queued).Dur("expected", x.expected).Dur("first", x.timeToFirst).Dur("pause", x.maxPause).Dur("took", s.Clock.Now().Sub(x.started)).Msg(logPrefix + "A request ended.")
 }
 
-// bound returns a context that ends when the request's time is over.
+// withDeadline returns a context that ends at the request's deadline.
 func withDeadline(ctx context.Context, clk barleystep.Clock, x *Exchange) (context.Context, context.CancelFunc) {
 	return clock.WithDeadline(ctx, clk, x.deadline)
 }
--- a/internal/front/shutdown.go
+++ b/internal/front/shutdown.go
@@ -10,14 +10,14 @@
 	"github.com/barleystep/barleystep/internal/clock"
 )
 
-// errStopping is the cause of contexts that end because the box does, and is returned for
-// requests whose answer could not be whole by then.
+// errStopping is the cause of contexts that end because the box shuts down. It is also returned for
+// requests whose answer could not be complete by then.
 var errStopping = eris.New("front: the box is stopping")
 
-// stop tells requests when the box ends. It is made by newStop.
+// shutdown tells requests when the box shuts down. Use newShutdown to create one.
 type shutdown struct {
 	clock barleystep.Clock
-	// planned ends when a stop begins; end is set before.
+	// started is cancelled when a shutdown begins; end is set before.
 	started context.Context
 	start   context.CancelFunc
 	end     time.Time
@@ -29,19 +29,19 @@
 	return s
 }
 
-// begin tells that the box ends at the given time. It is called once.
+// begin starts a shutdown that completes at end. It must be called once.
 func (s *shutdown) begin(end time.Time) {
 	s.end = end
 	s.start()
 }
 
-// before reports whether the box ends before so much time has passed.
+// endsWithin reports whether the box shuts down within d.
 func (s *shutdown) endsWithin(d time.Duration) bool {
 	return s.started.Err() != nil && s.clock.Now().Add(d).After(s.end)
 }
 
-// bound returns a context that ends with errStopping as its cause so long before the box
-// ends, also if the stop begins later. The cancel function must be called.
+// withDeadline returns a context that ends with errStopping as its cause at the given margin before
+// the box shuts down, also if the shutdown begins later. The cancel function must be called.
 func (s *shutdown) withDeadline(ctx context.Context, margin time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	unregister := context.AfterFunc(s.started, func() {
--- a/internal/front/shutdown_body_test.go
+++ b/internal/front/shutdown_body_test.go
@@ -11,9 +11,9 @@
 	"github.com/barleystep/barleystep/internal/clock"
 )
 
-// TestStopAfterBody checks that callers whose bodies came whole are told at the end of the
-// box that their requests have not ended: what ends the reading of bodies that have not come
-// must not end the connections of others. The two raced, so it is tried many times.
+// TestShutdownCompleteBody checks that callers whose bodies are complete get an answer when the box
+// shuts down: aborting incomplete bodies must not end other connections. It runs many times because
+// the two can race.
 func TestShutdownCompleteBody(t *testing.T) {
 	const left = 20 * time.Millisecond
 	for range 40 {
--- a/internal/front/shutdown_test.go
+++ b/internal/front/shutdown_test.go
@@ -21,20 +21,20 @@
 	"github.com/barleystep/barleystep/internal/clock"
 )
 
-// lines collects log lines.
+// logLines collects log lines.
 type logLines struct {
 	mu   sync.Mutex
 	data bytes.Buffer
 }
 
-// Write takes one line.
+// Write appends one line.
 func (l *logLines) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.data.Write(p)
 }
 
-// take returns the lines so far, and forgets them.
+// drain returns the lines collected so far and clears them.
 func (l *logLines) drain(t *testing.T) []map[string]any {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,7 +51,7 @@
 	}
 }
 
-// until waits for a line in which a field has a value, and forgets those before it.
+// waitFor waits for a line in which the field has the value, and clears it and those before it.
 func (l *logLines) waitFor(t *testing.T, field, value string) {
 	has := func(line map[string]any) bool { return line[field] == value }
 	for !slices.ContainsFunc(l.drain(t), has) {
@@ -59,8 +59,8 @@
 	}
 }
 
-// newOneEngine returns a front before one engine, which answers with the steps, at a clock
-// that stands still, and the lines that the front writes.
+// newSingleEngineFixture returns a fixture with one engine that answers with the steps, its manual
+// clock, and the lines that the server logs.
 func newSingleEngineFixture(t *testing.T, steps ...step) (*fixture, *clock.Manual, *logLines) {
 	manual := clock.NewManual(time.Unix(1000, 0))
 	view := newView()
@@ -73,26 +73,26 @@
 	return f, manual, out
 }
 
-// askAside sends a long prompt from another goroutine.
+// startLong sends a long prompt from another goroutine.
 func (f *fixture) startLong(t *testing.T) <-chan reply {
 	answer := make(chan reply, 1)
 	go func() { answer <- f.doLong(t) }()
 	return answer
 }
 
-// oneEvent begins a stream with one event.
+// writeOneEvent starts a stream with one event.
 func writeOneEvent(c net.Conn, r *http.Request) bool {
 	return rawAnswer("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n11\r\nid: 1\ndata: xyz\n\n\r\n")(c, r)
 }
 
-// untilTimers waits until so many timers run.
+// waitTimers waits until n timers are running.
 func waitTimers(clk *clock.Manual, n int) {
 	for clk.PendingTimers() != n {
 		runtime.Gosched()
 	}
 }
 
-// askOpen is askAside that also tells when the head of the answer has come.
+// startLongTraced is like startLong and also signals when the head of the answer arrives.
 func (f *fixture) startLongTraced(t *testing.T) (head <-chan struct{}, answer <-chan reply) {
 	came := make(chan struct{})
 	trace := &httptrace.ClientTrace{GotFirstResponseByte: func() { close(came) }}
@@ -103,20 +103,20 @@
 	return came, got
 }
 
-// askLong sends a long prompt, which the engine reads in 0.9 s.
+// doLong sends a long prompt, which the engine prefills in 0.9 s.
 func (f *fixture) doLong(t *testing.T) reply {
 	return f.do(t, http.MethodPost, "/giant/", "body", "Prompt", "900")
 }
 
-// untilRunning waits until so many requests are being served.
+// waitRunning waits until n requests are being served.
 func (f *fixture) waitRunning(n int) {
 	for f.front.Running() != n {
 		runtime.Gosched()
 	}
 }
 
-// TestLogUnfinished checks that a request which the process will not outlive tells how far
-// it has come: it writes no other line.
+// TestLogUnfinished checks that the phase of a request that outlives the process is logged, since
+// such a request writes no other line.
 func TestLogUnfinished(t *testing.T) {
 	cases := map[string]struct {
 		begin  func(t *testing.T, f *fixture)
@@ -135,7 +135,7 @@
 				hang = func(c net.Conn, r *http.Request) bool { writeOneEvent(c, r); <-over; return false }
 			}
 			f, _, out := newSingleEngineFixture(t, hang, hang)
-			t.Cleanup(func() { close(over) }) // Before the front is closed, which waits for requests.
+			t.Cleanup(func() { close(over) }) // Must run before the server closes, which waits for requests.
 			tc.begin(t, f)
 			for found := false; !found; {
 				f.front.LogUnfinished()
@@ -147,10 +147,10 @@
 	}
 }
 
-// beginBody sends half of a request's body.
+// partialBody sends half of a request's body.
 func partialBody(t *testing.T, f *fixture) { f.startPartialBody(t) }
 
-// sendHalf is beginBody that returns the caller's connection.
+// startPartialBody is like partialBody and returns the caller's connection.
 func (f *fixture) startPartialBody(t *testing.T) net.Conn {
 	c, err := net.Dial("tcp", f.url[len("http://"):])
 	quicktest.Assert(t, err, quicktest.IsNil)
@@ -161,10 +161,10 @@
 	return c
 }
 
-// beginOne sends a request that reaches the engine.
+// oneSent sends a request that reaches the engine.
 func oneSent(t *testing.T, f *fixture) { f.startSent(t) }
 
-// sendOne sends a request that reaches the engine, and returns the channel for its answer.
+// startSent sends a request that reaches the engine, and returns the channel for its reply.
 func (f *fixture) startSent(t *testing.T) <-chan reply {
 	answer := f.startLong(t)
 	for f.target.requestCount() == 0 {
@@ -173,16 +173,16 @@
 	return answer
 }
 
-// beginTwo sends another one, which waits for the engine.
+// oneSentOneWaiting sends a request that reaches the engine and another one that waits for it.
 func oneSentOneWaiting(t *testing.T, f *fixture) {
 	oneSent(t, f)
 	f.startLong(t)
 	f.waitRunning(2)
 }
 
-// TestStopEnds checks what becomes of requests that are under way when a stop begins: all
-// are answered in time, by what is known of them, and nothing is sent that could not be
-// whole by then.
+// TestShutdownEndsRequests checks how requests end that are running when a shutdown begins. Each is
+// answered in time according to its state, and nothing is sent whose answer could not be complete
+// by the end.
 func TestShutdownEndsRequests(t *testing.T) {
 	const left = 10 * time.Second // left is how long the box still serves.
 	waits := func(t *testing.T, f *fixture) <-chan reply {
@@ -198,17 +198,17 @@
 	}
 	cases := map[string]struct {
 		begin func(t *testing.T, f *fixture) <-chan reply
-		// timers is how many timers run: one for each request, and one for each that waits
-		// for a place. The stop starts as many, and one for bodies that do not come.
+		// timers is how many timers run: one for each request, and one for each that waits for a
+		// slot. The shutdown starts as many again, and one for incomplete bodies.
 		timers int
 		// early is how long before the end the answer comes.
 		early  time.Duration
 		status int
 		broken bool
 	}{
-		"waits for a place":   {waits, 3, 50 * time.Millisecond, http.StatusServiceUnavailable, false},
+		"waits for a slot":    {waits, 3, 50 * time.Millisecond, http.StatusServiceUnavailable, false},
 		"sent, no answer yet": {func(t *testing.T, f *fixture) <-chan reply { return f.startSent(t) }, 1, 0, http.StatusBadGateway, false},
-		"a stream has begun":  {streams, 1, 0, http.StatusOK, true},
+		"stream begun":        {streams, 1, 0, http.StatusOK, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -222,7 +222,7 @@
 				return false
 			}
 			f, manual, _ := newSingleEngineFixture(t, engine, engine)
-			t.Cleanup(func() { close(over) }) // Before the front is closed, which waits for requests.
+			t.Cleanup(func() { close(over) }) // Must run before the server closes, which waits for requests.
 			answer := tc.begin(t, f)
 			waitTimers(manual, tc.timers)
 			f.front.BeginShutdown(manual.Now().Add(left))
@@ -236,9 +236,9 @@
 	}
 }
 
-// TestStopTakesOn checks which requests a box still takes on once its stop has begun: those
-// whose answer can be whole by its end. The engine reads for 0.9 s; twelve idle ones would
-// for a sixteenth of that.
+// TestShutdownAdmission checks which requests a box still accepts after its shutdown has begun:
+// those whose answer can be complete by the end. The engine prefills for 0.9 s; twelve idle engines
+// would take a sixteenth of that.
 func TestShutdownAdmission(t *testing.T) {
 	cases := map[string]struct {
 		left   time.Duration
@@ -262,8 +262,8 @@
 	}
 }
 
-// TestStopSilence checks that a silent target is left near the end of the box only if another
-// one could still give the whole answer: the silent one may go on.
+// TestShutdownStalledStream checks that near the shutdown of the box a silent target is left only
+// if another one could still complete the answer, since the silent one may continue.
 func TestShutdownStalledStream(t *testing.T) {
 	const writing = 3 * time.Second // writing is how long the usual answer takes.
 	cases := map[string]struct {
@@ -293,14 +293,15 @@
 			f.view.Service("engines").Cost = &cost
 			head, answer := f.startLongTraced(t)
 			<-head
-			// Those of the request's time, the box's end, for it and for bodies, and the silence.
+			// The timers for the request's deadline, the shutdown of the request, incomplete
+			// bodies, and the stall watch.
 			const timers = 4
 			f.front.BeginShutdown(manual.Now().Add(tc.left))
 			waitTimers(manual, timers)
 			for range 30 { // Three seconds in all; a target is left after half of that.
 				manual.Advance(100 * time.Millisecond)
 				for manual.PendingTimers() != timers && f.target.requestCount() < 2 {
-					runtime.Gosched() // The silence is being looked at.
+					runtime.Gosched() // The stall watch is running its check.
 				}
 			}
 			close(goOn)
@@ -310,8 +311,8 @@
 	}
 }
 
-// TestStopBody checks that a caller who has not sent its whole body by the end of the box is
-// told so: it knows that the request has not run.
+// TestShutdownIncompleteBody checks that a caller whose body is incomplete when the box shuts down
+// is told so, and thus knows that the request has not run.
 func TestShutdownIncompleteBody(t *testing.T) {
 	const left = 10 * time.Second
 	c := quicktest.New(t)
--- a/internal/front/source_test.go
+++ b/internal/front/source_test.go
@@ -17,28 +17,28 @@
 	"github.com/barleystep/barleystep/internal/clock"
 )
 
-// answered is what one target sent in answer to one try.
+// sentAnswer is what a target sent in answer to one try.
 type sentAnswer struct {
 	number int
 	status int
 	sealed bool
-	// ran is set if the target ran the request, or may have.
+	// ran is set if the target ran the request or may have run it.
 	ran bool
-	// body is what the target sent of it, and whole is set if that is all.
+	// body is the part of the body that was sent; isWhole is set if that is all of it.
 	body    string
 	isWhole bool
 }
 
-// script is how the targets of one test answer, try by try.
+// script determines how the targets of one test answer, try by try.
 type script struct {
 	mu   sync.Mutex
 	sent []*sentAnswer
-	// stalled is sent to when a target sends no more and keeps the connection.
+	// stalled receives a value when a target stops sending and keeps the connection open.
 	stalled chan struct{}
 	ended   chan struct{}
 }
 
-// finish is what a target does with the connection after what it sends.
+// connAction is what a target does with the connection after its answer.
 type connAction uint8
 
 const (
@@ -47,11 +47,10 @@
 	stallConn
 )
 
-// ending is one way in which a target's answer can end. It says what is sent, and notes
-// in the answer what that means.
+// answerFunc produces the text of an answer and records its meaning in a.
 type answerFunc func(a *sentAnswer, r *http.Request) (text string, then connAction)
 
-// step returns the ending as a step. It notes what is sent before it is.
+// step returns the answer as a step. It records the answer before sending it.
 func (s *script) step(e answerFunc) step {
 	return func(c net.Conn, r *http.Request) bool {
 		text, then := s.record(e, r)
@@ -64,7 +63,7 @@
 			<-s.ended
 		default:
 			if f, ok := c.(*net.TCPConn); ok {
-				_ = f.CloseWrite() // What was sent arrives.
+				_ = f.CloseWrite() // Delivers what was sent before closing.
 			}
 		}
 		return false
@@ -79,10 +78,10 @@
 	return e(a, r)
 }
 
-// lastEvent is the id of the last event of a whole stream.
+// lastEvent is the id of the last event of a complete stream.
 const lastEvent = 6
 
-// wholeBody returns the body that a target has for a request.
+// wholeBody returns the complete body of the answer to a request.
 func (a *sentAnswer) wholeBody(r *http.Request) string {
 	if !isStreamPath(r.RequestURI) {
 		return fmt.Sprintf("mark-%d;mark-%d;", a.number, a.number)
@@ -100,7 +99,7 @@
 
 func isStreamPath(path string) bool { return strings.Contains(path, "stream") }
 
-// framing is how an answer tells where its body ends.
+// framing is how an answer delimits its body.
 type framing string
 
 const (
@@ -126,7 +125,7 @@
 	return text + "\r\n"
 }
 
-// part returns a part of the body as it is sent.
+// part records a part of the body and returns it in its encoded form.
 func (a *sentAnswer) part(f framing, text string) string {
 	a.body += text
 	if f == framedByChunks && text != "" {
@@ -135,7 +134,7 @@
 	return text
 }
 
-// wholly answers well, or with a failure, to the end.
+// complete sends a complete answer with the given status.
 func complete(status int, sealed, ran bool, f framing, extra string) answerFunc {
 	return func(a *sentAnswer, r *http.Request) (string, connAction) {
 		a.status, a.sealed, a.ran, a.isWhole = status, sealed, ran, true
@@ -152,7 +151,7 @@
 	}
 }
 
-// cutAfter sends the head and so much of the body.
+// truncated sends the head and the given fraction of the body.
 func truncated(status int, part float64, f framing, then connAction) answerFunc {
 	return func(a *sentAnswer, r *http.Request) (string, connAction) {
 		a.status, a.sealed = status, true
@@ -161,13 +160,14 @@
 	}
 }
 
-// empty sends a head and no body, which ends with the connection. A stream has events.
+// emptyBody sends a head without a body, delimited by the close of the connection. For a stream
+// that is incomplete, since it has events.
 func emptyBody(a *sentAnswer, r *http.Request) (string, connAction) {
 	a.status, a.sealed, a.isWhole = 200, true, !isStreamPath(r.RequestURI)
 	return a.head(r, framedByClose, 0, ""), closeConn
 }
 
-// text sends a text that is no answer to the request, and closes; ID stands for the
+// rawText sends a text that does not answer the request, and closes; ID is replaced by the
 // request's id.
 func rawText(t string) answerFunc {
 	return func(_ *sentAnswer, r *http.Request) (string, connAction) {
@@ -175,12 +175,12 @@
 	}
 }
 
-// nothing sends nothing.
+// sendNothing sends nothing.
 func sendNothing(then connAction) answerFunc {
 	return func(*sentAnswer, *http.Request) (string, connAction) { return "", then }
 }
 
-// behind sends the text of another answer before the ending.
+// precededBy sends the text of another answer before the answer.
 func precededBy(foreign string, e answerFunc) answerFunc {
 	return func(a *sentAnswer, r *http.Request) (string, connAction) {
 		own, then := e(a, r)
@@ -193,68 +193,68 @@
 	unnamedAnswer = "HTTP/1.1 200 X\r\nMark: 77\r\nSeal: s77\r\nContent-Length: 8\r\n\r\nmark-77;"
 )
 
-// endings are the ways in which an answer can end.
+// answerCases are the answers tested for the first try.
 var answerCases = map[string]answerFunc{
-	"whole, by length":                complete(200, true, true, framedByLength, ""),
-	"whole, by chunks":                complete(200, true, true, framedByChunks, ""),
-	"whole, by close":                 complete(200, true, true, framedByClose, ""),
-	"whole behind a foreign one":      precededBy(foreignAnswer, complete(200, true, true, framedByLength, "")),
-	"whole behind a nameless one":     precededBy(unnamedAnswer, complete(200, true, true, framedByLength, "")),
-	"whole behind an interim one":     precededBy("HTTP/1.1 102 X\r\nMark: 77\r\nSeal: s77\r\n\r\n", complete(200, true, true, framedByLength, "")),
-	"foreign one only":                rawText(foreignAnswer),
-	"nameless one only":               rawText(unnamedAnswer),
-	"without seal":                    complete(200, false, true, framedByLength, ""),
-	"encoded":                         complete(200, true, true, framedByLength, "Content-Encoding: gzip\r\n"),
-	"failure":                         complete(500, true, true, framedByLength, ""),
-	"failure of another kind":         complete(507, true, true, framedByChunks, "Retry-After: 9\r\n"),
-	"failure without seal":            complete(500, false, true, framedByLength, ""),
-	"its time limit":                  complete(504, true, true, framedByLength, ""),
-	"rejection by the caller's fault": complete(422, true, true, framedByLength, ""),
-	"busy, may have run":              complete(503, true, true, framedByLength, "Retry-After: 9\r\n"),
-	"too many, may have run":          complete(429, true, true, framedByLength, "Retry-After: 9\r\n"),
-	"too slow, may have run":          complete(408, true, true, framedByLength, ""),
-	"shed":                            complete(503, true, false, framedByLength, "Not-Run: 1\r\nRetry-After: 9\r\n"),
-	"shed without seal":               complete(429, false, false, framedByLength, "Not-Run: 1\r\n"),
-	"failure cut":                     truncated(500, 0.5, framedByLength, closeConn),
-	"head cut off, by length":         truncated(200, 0, framedByLength, closeConn),
-	"head cut off, by chunks":         truncated(200, 0, framedByChunks, closeConn),
-	"head, then silence":              truncated(200, 0, framedByChunks, stallConn),
-	"head cut off, by close":          emptyBody,
-	"cut in the first piece":          truncated(200, 0.05, framedByChunks, closeConn),
-	"cut midway, by length":           truncated(200, 0.5, framedByLength, closeConn),
-	"cut midway, by chunks":           truncated(200, 0.5, framedByChunks, closeConn),
-	"silent midway":                   truncated(200, 0.5, framedByChunks, stallConn),
-	"closed":                          sendNothing(closeConn),
-	"silent":                          sendNothing(stallConn),
-	"not an answer":                   rawText("zzz\r\n\r\n"),
-	"head cut":                        rawText("HTTP/1.1 200 X\r\nId: ID\r\nSeal: s1\r\nMark: 1\r\n"),
+	"complete, by length":              complete(200, true, true, framedByLength, ""),
+	"complete, by chunks":              complete(200, true, true, framedByChunks, ""),
+	"complete, by close":               complete(200, true, true, framedByClose, ""),
+	"complete after a foreign answer":  precededBy(foreignAnswer, complete(200, true, true, framedByLength, "")),
+	"complete after an unnamed answer": precededBy(unnamedAnswer, complete(200, true, true, framedByLength, "")),
+	"complete after an interim answer": precededBy("HTTP/1.1 102 X\r\nMark: 77\r\nSeal: s77\r\n\r\n", complete(200, true, true, framedByLength, "")),
+	"foreign answer only":              rawText(foreignAnswer),
+	"unnamed answer only":              rawText(unnamedAnswer),
+	"without digest":                   complete(200, false, true, framedByLength, ""),
+	"encoded":                          complete(200, true, true, framedByLength, "Content-Encoding: gzip\r\n"),
+	"failure":                          complete(500, true, true, framedByLength, ""),
+	"failure of another kind":          complete(507, true, true, framedByChunks, "Retry-After: 9\r\n"),
+	"failure without digest":           complete(500, false, true, framedByLength, ""),
+	"its time limit":                   complete(504, true, true, framedByLength, ""),
+	"client error":                     complete(422, true, true, framedByLength, ""),
+	"busy, may have run":               complete(503, true, true, framedByLength, "Retry-After: 9\r\n"),
+	"too many, may have run":           complete(429, true, true, framedByLength, "Retry-After: 9\r\n"),
+	"too slow, may have run":           complete(408, true, true, framedByLength, ""),
+	"shed":                             complete(503, true, false, framedByLength, "Not-Run: 1\r\nRetry-After: 9\r\n"),
+	"shed without digest":              complete(429, false, false, framedByLength, "Not-Run: 1\r\n"),
+	"truncated failure":                truncated(500, 0.5, framedByLength, closeConn),
+	"head only, by length":             truncated(200, 0, framedByLength, closeConn),
+	"head only, by chunks":             truncated(200, 0, framedByChunks, closeConn),
+	"head, then silence":               truncated(200, 0, framedByChunks, stallConn),
+	"head only, by close":              emptyBody,
+	"truncated in the first event":     truncated(200, 0.05, framedByChunks, closeConn),
+	"truncated midway, by length":      truncated(200, 0.5, framedByLength, closeConn),
+	"truncated midway, by chunks":      truncated(200, 0.5, framedByChunks, closeConn),
+	"silent midway":                    truncated(200, 0.5, framedByChunks, stallConn),
+	"closed":                           sendNothing(closeConn),
+	"silent":                           sendNothing(stallConn),
+	"not an answer":                    rawText("zzz\r\n\r\n"),
+	"truncated head":                   rawText("HTTP/1.1 200 X\r\nId: ID\r\nSeal: s1\r\nMark: 1\r\n"),
 }
 
-// next is what the box can do after the first try.
+// followUp is what happens after the first try.
 type followUp struct {
-	// second is the second target's answer, nil if there is none to be had.
+	// second is the second target's answer, nil if no second target answers.
 	second answerFunc
-	// prepare takes the next try away from the box.
+	// prepare prevents the second try.
 	prepare func(f *fixture)
 }
 
 var followUps = map[string]followUp{
-	"another serves":              {second: answerCases["whole, by chunks"]},
-	"another sheds":               {second: answerCases["shed"]},
-	"another fails":               {second: answerCases["failure of another kind"]},
-	"another closes":              {second: answerCases["closed"]},
-	"another breaks at its head":  {second: answerCases["head cut off, by chunks"]},
-	"another is silent":           {second: answerCases["head, then silence"]},
-	"another answers for a third": {second: answerCases["foreign one only"]},
-	"no other":                    {prepare: func(f *fixture) { f.targets = f.targets[:1] }},
-	"no retry is left":            {prepare: func(f *fixture) { f.front.Budget.SetLimits(0, 0) }},
-	"another is unreachable":      {prepare: func(f *fixture) { f.targets[1].Addr = "127.0.0.1:1" }},
+	"another serves":                 {second: answerCases["complete, by chunks"]},
+	"another sheds":                  {second: answerCases["shed"]},
+	"another fails":                  {second: answerCases["failure of another kind"]},
+	"another closes":                 {second: answerCases["closed"]},
+	"another breaks after its head":  {second: answerCases["head only, by chunks"]},
+	"another is silent":              {second: answerCases["head, then silence"]},
+	"another sends a foreign answer": {second: answerCases["foreign answer only"]},
+	"no other target":                {prepare: func(f *fixture) { f.targets = f.targets[:1] }},
+	"no retry left":                  {prepare: func(f *fixture) { f.front.Budget.SetLimits(0, 0) }},
+	"another is unreachable":         {prepare: func(f *fixture) { f.targets[1].Addr = "127.0.0.1:1" }},
 }
 
-// TestAnswerOfOneSource checks that an answer is of one source in all its parts,
-// whatever targets send and however many tries there were: all that a caller gets
-// comes from one target, whose digest it carries, or from the box itself. Only the
-// events of a stream may come from several, without a gap.
+// TestAnswerFromSingleSource checks that all parts of an answer come from a single source, whatever
+// targets send and however many tries there are: either one target, whose digest the answer
+// carries, or the box itself. Only the events of a stream may come from several targets, without a
+// gap.
 func TestAnswerFromSingleSource(t *testing.T) {
 	for _, path := range []string{"/once/", "/again/", "/stream/", "/plainstream/"} {
 		for ended, first := range answerCases {
@@ -289,8 +289,7 @@
 	s.check(c, path, awaitReply(manual, s.stalled, got))
 }
 
-// await returns the answer; from the time on at which a target stalls, it lets time
-// pass.
+// awaitReply returns the reply. Once a target stalls, it advances the clock.
 func awaitReply(manual *clock.Manual, stalled <-chan struct{}, got <-chan reply) reply {
 	select {
 	case r := <-got:
@@ -308,7 +307,7 @@
 	}
 }
 
-// check holds the answer against what the targets sent.
+// check compares the reply with what the targets sent.
 func (s *script) check(c *quicktest.C, path string, got reply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -338,7 +337,7 @@
 	c.Check(got.body, quicktest.Equals, from.body)
 }
 
-// checkOwn checks an answer that carries no target's digest: it is the box's own, and
+// checkBoxAnswer checks a reply without a target's digest: it must come from the box itself and be
 // a failure.
 func checkBoxAnswer(c *quicktest.C, got reply) {
 	c.Check(got.status >= http.StatusBadRequest, quicktest.IsTrue)
@@ -350,8 +349,8 @@
 	}
 }
 
-// checkPromises checks that an answer that promises that the request has not run says
-// so truly, and that what must not be repeated has run once.
+// checkNotRunStatus checks that a status that guarantees that the request has not run is true, and
+// that requests that must not be repeated run at most once.
 func (s *script) checkNotRunStatus(c *quicktest.C, path string, got reply) {
 	ran := 0
 	for _, a := range s.sent {
@@ -368,8 +367,8 @@
 	}
 }
 
-// checkStream checks that the events of a stream come without a gap and without
-// repetition, and that a stream that looks whole is.
+// checkStream checks that the events of a stream arrive without gaps or repetitions, and that a
+// stream that looks complete is complete.
 func (s *script) checkStream(c *quicktest.C, got reply) {
 	events := strings.Split(strings.TrimSuffix(got.body, "\n\n"), "\n\n")
 	if got.body == "" {
--- a/internal/front/stall_test.go
+++ b/internal/front/stall_test.go
@@ -14,10 +14,10 @@
 	"github.com/barleystep/barleystep/internal/clock"
 )
 
-// TestSilence checks that a stream is taken from a silent target only if another
-// can take it, and goes on there.
+// TestStalledStreamResumed checks that a stream is moved away from a silent target only if another
+// target can take it, and is resumed there.
 func TestStalledStreamResumed(t *testing.T) {
-	for name, budgeted := range map[string]bool{"another can": true, "no retry is left": false} {
+	for name, budgeted := range map[string]bool{"retry allowed": true, "no retry left": false} {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			stopped := make(chan struct{})
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestSilentAndDown checks that a stream is taken early from a silent target that
-// other boxes cannot reach.
+// TestStalledStreamOnDownTarget checks that a stream is moved early from a silent target that other
+// boxes cannot reach.
 func TestStalledStreamOnDownTarget(t *testing.T) {
 	const never = 24 * time.Hour
 	c := quicktest.New(t)
@@ -84,7 +84,7 @@
 		peers.Work[balance.KeyOf(id)] = balance.Work{DownReports: 1}
 	}
 	f.front.Balancer.SetOthers(peers)
-	for f.target.requestCount() < 2 { // A target that is up would be given a day.
+	for f.target.requestCount() < 2 { // The limit for a target that is not down is a day.
 		manual.Advance(100 * time.Millisecond)
 		runtime.Gosched()
 	}
@@ -93,15 +93,15 @@
 	c.Check(strings.HasSuffix(got.body, eventText(2, 3)), quicktest.IsTrue)
 }
 
-// TestStreamWaitsForAPlace checks that a stream which has begun, and whose target breaks off,
-// waits for a place elsewhere for longer than a request would that can be refused.
+// TestBrokenStreamWaitsForSlot checks that a stream that has begun, and whose target breaks off,
+// waits for a slot elsewhere for longer than a request that can still be refused.
 func TestBrokenStreamWaitsForSlot(t *testing.T) {
 	c := quicktest.New(t)
 	over := make(chan struct{})
 	busy := func(k net.Conn, r *http.Request) bool {
 		<-over
 		eventStream(1, 1, false)(k, r)
-		return true // The connection is kept, and may serve the other stream.
+		return true // The connection is kept and may serve the other stream.
 	}
 	broken := func(k net.Conn, r *http.Request) bool { writeOneEvent(k, r); return false }
 	f, manual, out := newSingleEngineFixture(t, busy, broken, eventStream(2, 3, false))
@@ -110,8 +110,8 @@
 	f.targets[1].ID = "other"
 	route := f.view.Route("h", "/giant/")
 	route.Objective, route.Resumable = objective, true
-	route.Timeout = 24 * time.Hour                         // It asks again by a clock that runs ahead of it.
-	f.view.Route("h", "/plainstream/").Split = route.Split // Such a stream stays where it is.
+	route.Timeout = 24 * time.Hour                         // The manual clock runs ahead of the request.
+	f.view.Route("h", "/plainstream/").Split = route.Split // A stream that cannot be resumed stays on its target.
 	do := func(path string) <-chan reply {
 		answer := make(chan reply, 1)
 		go func() { answer <- f.do(t, http.MethodPost, path, "", "Prompt", "10") }()
@@ -125,8 +125,8 @@
 	for f.target.requestCount() < 2 {
 		runtime.Gosched()
 	}
-	// Time stands still while a request has a place: connections are real, and a clock that
-	// runs ahead of them cuts the try.
+	// Time does not advance while a request has a slot: connections are real, and a clock that runs
+	// ahead of them would end the try.
 	placed := func() int { return len(f.front.Balancer.Snapshot().Work) }
 	for placed() > 1 {
 		runtime.Gosched()
@@ -137,12 +137,12 @@
 			runtime.Gosched()
 		}
 	}
-	for range 30 { // Three seconds: twice as long as a short prompt waits.
+	for range 30 { // Three seconds, twice as long as a short prompt waits.
 		pass()
 	}
 	close(over)
 	c.Check((<-first).broken, quicktest.IsFalse)
-	out.waitFor(t, "route", "/plainstream/") // Its place is free, or taken again.
+	out.waitFor(t, "route", "/plainstream/") // The slot is free, or taken again.
 	for placed() == 0 && len(second) == 0 {
 		pass()
 	}
--- a/internal/front/stall_watch.go
+++ b/internal/front/stall_watch.go
@@ -9,48 +9,48 @@
 	"github.com/barleystep/barleystep/internal/fleet"
 )
 
-// watch ends a try whose target stays silent for too long, so that the request
-// may be taken to another target.
+// stallWatch cancels a try whose target is silent for too long, so that the request can move to
+// another target.
 type stallWatch struct {
 	clock  barleystep.Clock
 	cancel context.CancelCauseFunc
-	// move reports whether another target can take the request, and holds what
-	// that takes.
+	// claim reports whether another target can take the request, and charges the retry budget if
+	// so.
 	claim func() bool
-	// down reports whether the target seems to be down.
+	// isTargetDown reports whether the target seems to be down.
 	isTargetDown func() bool
 	maxPause     time.Duration
 
 	mu        sync.Mutex
-	lastHeard time.Time // heard is when the target last sent something.
-	deadline  time.Time // until is when it is given up.
+	lastHeard time.Time // lastHeard is when the target last sent something.
+	deadline  time.Time // deadline is when the target is given up.
 	done      chan struct{}
 	once      sync.Once
 }
 
 const (
-	// leastSilence is the shortest time after which a silent target is given up.
-	// Callers give a stream up after two seconds without an event; an engine with
-	// room needs a fifth of a second to take one up.
+	// minSilence is the minimum silence after which a target is given up. Callers give up a stream
+	// after two seconds without an event, and an engine with free capacity needs a fifth of a
+	// second to resume one.
 	minSilence = 1500 * time.Millisecond
-	// downSilence is the same where the target seems to be down.
+	// minSilenceDown is the minimum silence if the target seems to be down.
 	minSilenceDown = 500 * time.Millisecond
-	// moveRetry is when it is tried again to move a request that no other target
-	// can take: a silent target is better than none.
+	// claimRetryInterval is the interval for trying again to move a request that no other target
+	// can take. A silent target is better than none.
 	claimRetryInterval = 200 * time.Millisecond
-	// firstFactor and pauseFactor are how many times the objective and the
-	// longest pause a target may stay silent. Callers wait for four times the
-	// objective, or eight times the pause, if that is longer.
+	// firstEventFactor and pauseFactor multiply the objective and the maximum pause to give the
+	// silence allowed to a target. Callers wait for four times the objective or eight times the
+	// pause, whichever is longer.
 	firstEventFactor = 3
 	pauseFactor      = 5
-	// waitFactor is how many times the expected wait at the target is allowed
-	// besides: taking a request away that merely waits has its prompt read twice
-	// and makes the wait of all others longer.
+	// expectedWaitFactor multiplies the expected wait at the target, which is allowed in addition.
+	// Moving a request that is merely waiting would prefill its prompt twice and lengthen the wait
+	// of all others.
 	expectedWaitFactor = 2
 )
 
-// newWatch starts the watch over a try. Requests that may not go to another
-// target are left alone: there is nothing to be won by ending them.
+// newStallWatch starts watching a try. Requests that may not move to another target are not
+// watched, since they gain nothing from being cancelled.
 func (t *try) newStallWatch(cancel context.CancelCauseFunc) *stallWatch {
 	x := t.exchange
 	w := &stallWatch{clock: t.stage.clock, cancel: cancel, claim: t.claimRetry, isTargetDown: t.targetDown, done: make(chan struct{})}
@@ -86,8 +86,8 @@
 	}
 }
 
-// left returns after how long the target is to be looked at again, nothing or less
-// if it is to be left now.
+// untilNextCheck returns the time until the target is to be checked again, zero or less if it is to
+// be given up now.
 func (w *stallWatch) untilNextCheck() time.Duration {
 	w.mu.Lock()
 	lastHeard, deadline := w.lastHeard, w.deadline
@@ -105,7 +105,7 @@
 // targetDown reports whether the try's target seems to be down.
 func (t *try) targetDown() bool { return t.stage.balancer.IsDown(t.placement.Target.ID) }
 
-// progress notes that the target sent something.
+// recordActivity records that the target sent something.
 func (w *stallWatch) recordActivity() {
 	if w.maxPause == 0 {
 		return
@@ -118,9 +118,9 @@
 
 func (w *stallWatch) stop() { w.once.Do(func() { close(w.done) }) }
 
-// mayMove reports whether another target can take the request from a silent one.
-// It pays for that from the retry budget. Near the end of the box no other could give the
-// whole answer, and the silent one still may.
+// claimRetry reports whether another target can take the request from a silent one, and charges the
+// retry budget if so. Near the shutdown of the box no other target could complete the answer, but
+// the silent one still may.
 func (t *try) claimRetry() bool {
 	if t.retryPaid.Load() {
 		return true
--- a/internal/front/suspect.go
+++ b/internal/front/suspect.go
@@ -12,7 +12,7 @@
 	"github.com/barleystep/barleystep/internal/suspect"
 )
 
-// identity returns the digest by which the request is known, whichever attempt carries it.
+// suspectDigest returns the digest that identifies the request across the caller's attempts.
 func (x *Exchange) suspectDigest() suspect.Digest {
 	x.digestOnce.Do(func() {
 		x.digestValue = suspect.Request{
@@ -26,8 +26,8 @@
 	return x.digestValue
 }
 
-// cutRefused ends the attempts at a request that is refused from now on, wherever they stand:
-// a target that has not read it yet need not end too.
+// cancelRefused cancels all running tries of a request that has just become refused. A target that
+// has not prefilled it yet may then survive.
 func (s *Server) cancelRefused(d suspect.Digest, size int) {
 	for _, x := range s.active.oldest(math.MaxInt) {
 		if phase, _, _ := x.progress.snapshot(); phase != PhaseReading && len(x.body) == size && x.suspectDigest() == d {
@@ -36,8 +36,8 @@
 	}
 }
 
-// judge has the request run alone if targets have ended under it, and returns
-// balance.ErrRefused if it is to run no more.
+// checkSuspect marks the job to run in isolation if targets have terminated while they ran the
+// request, and returns balance.ErrSuspectRefused if it must not run any more.
 func (d *deliver) checkSuspect(x *Exchange, job *balance.Job) error {
 	registry := d.balancer.Suspects
 	if !registry.HasBodySize(len(x.body)) {
@@ -53,15 +53,15 @@
 	return nil
 }
 
-// endsTargets returns the refusal of a request under which targets have ended. Who comes back
-// soon finds it refused still.
+// suspectRefusal returns the refusal of a request that targets terminated under. Its Retry-After is
+// the time for which the request stays refused.
 func (d *deliver) suspectRefusal(x *Exchange, outcome barleystep.Outcome) *barleystep.Refusal {
 	_, left := d.balancer.Suspects.Status(x.suspectDigest())
 	const message = "Targets have ended each time that they ran this request. It is not sent to others for now."
 	return barleystep.NewRefusal(barleystep.ReasonEndsTargets, outcome, message).WithRetryAfter(left)
 }
 
-// clear notes that a target has run the request and lives.
+// clear records that a target has run the request and survived.
 func (t *try) clear() {
 	x := t.exchange
 	if registry := t.stage.balancer.Suspects; registry.HasBodySize(len(x.body)) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// showBegun notes that a target has begun its answer to the request and lives.
+// recordBegun records that a target has begun its answer to the request and is alive.
 func (t *try) recordBegun() {
 	x := t.exchange
 	if registry := t.stage.balancer.Suspects; registry.HasBodySize(len(x.body)) {
@@ -77,7 +77,8 @@
 	}
 }
 
-// accuse holds against the request each target of a failed try that has ended.
+// recordEnds records each target of a failed try that has terminated as evidence against the
+// request.
 func (t *try) recordEnds(ctx context.Context, res result) {
 	registry := t.stage.balancer.Suspects
 	if registry == nil || ctx.Err() != nil {
@@ -88,13 +89,13 @@
 	for _, target := range t.endedTargets(ctx, res) {
 		t.stage.log.Warn().Str("request", x.call.RequestID).Str("digest", x.suspectDigest().String()).Str("account", x.account).
 			Str("target", string(target.ID)).Bool("unread", endFlags&suspect.BeforeFirstEvent != 0).
-			Bool("alone", endFlags&suspect.RanAlone != 0).Msg(logPrefix + "A target has ended while it had the request.")
+			Bool("alone", endFlags&suspect.RanAlone != 0).Msg(logPrefix + "A target terminated while it had the request.")
 		end := suspect.NewEnd(uint32(balance.KeyOfTarget(target)), t.stage.clock.Now(), endFlags)
 		registry.RecordEnd(x.suspectDigest(), len(x.body), end)
 	}
 }
 
-// marks tells how the request ran at the target.
+// endFlags returns the circumstances of the try for the evidence against its request.
 func (t *try) endFlags() (endFlags suspect.EndFlags) {
 	if t.timeToFirst == 0 {
 		endFlags |= suspect.BeforeFirstEvent
@@ -105,9 +106,10 @@
 	return endFlags
 }
 
-// ended returns the targets of a failed try that have ended: they started anew, or nothing
-// listens at their address. One that closes or resets a connection, falls silent or is cut off
-// has not, nor has one that was about to leave. Other boxes hear that nobody listens there.
+// endedTargets returns the targets of a failed try that have terminated: they restarted, or their
+// address refuses connections. A closed or reset connection, silence and a lost connection are not
+// evidence, and neither is the end of a target that was leaving. A refused connection is reported
+// to other boxes.
 func (t *try) endedTargets(ctx context.Context, res result) []fleet.Target {
 	candidates := t.possiblyEnded(res)
 	dialCtx, cancel := clock.WithDeadline(ctx, t.stage.clock, t.stage.clock.Now().Add(helperDialTimeout))
@@ -133,8 +135,9 @@
 	return list
 }
 
-// doubtful returns the targets that may have ended, by how the try failed: its own, if no whole
-// answer came, and the helpers then, or the one that is to blame.
+// possiblyEnded returns the targets that may have terminated in the try: the target and all helpers
+// if no complete answer arrived, or the blamed helper if the request did not run. Targets that are
+// leaving are excluded.
 func (t *try) possiblyEnded(res result) []fleet.Target {
 	var ids []barleystep.TargetID
 	if res == resultBroken {
--- a/internal/front/try.go
+++ b/internal/front/try.go
@@ -24,33 +24,34 @@
 	exchange  *Exchange
 	placement *balance.Placement
 
-	// number counts the request's tries, also those that reached no target.
+	// number is the sequence number of the try within the request, including tries that reached no
+	// target.
 	number         int
-	alone          bool // alone is set for the try of a suspect, whose target gets nothing else.
+	alone          bool // alone is set for a suspect, whose target gets no other requests.
 	started        time.Time
-	sent           time.Time     // sent is when the target was sent the request.
-	head           reply.Head    // head is that of the target's answer.
-	skippedAnswers int           // skipped counts the answers to other requests that came before it.
-	timeToFirst    time.Duration // first is the time to the first event or the answer.
-	failure        []byte        // failure is the body of the target's own failure, kept to be passed on.
-	// reserved are the reservations at helpers.
+	sent           time.Time     // sent is when the request was sent to the target.
+	head           reply.Head    // head is the head of the target's answer.
+	skippedAnswers int           // skippedAnswers counts the answers to other requests that came before it.
+	timeToFirst    time.Duration // timeToFirst is the time to the first event or the complete answer.
+	failure        []byte        // failure is the body of the target's own failure, kept to be relayed later.
+	// reserved holds the reservations at helpers.
 	reserved []reservation
-	// renewals is closed when no renewal is on its way any more.
+	// renewalsDone is closed when no renewal is in flight any more.
 	renewalsDone chan struct{}
-	retryPaid    atomic.Bool // paid is set, by the watch, when the next try has been paid for.
-	noMemory     bool        // noMemory is set when helpers had no memory to set aside.
-	// silent are the helpers that could not be reached; unplaced is set if the prompt has to
-	// be placed anew without them.
+	retryPaid    atomic.Bool // retryPaid is set once the next try has been charged to the retry budget.
+	noMemory     bool        // noMemory is set if helpers had no memory to reserve.
+	// unreachable holds the helpers that could not be reached. needsPlacement is set if the request
+	// needs a new placement though the target did not fail.
 	unreachable    []barleystep.TargetID
 	needsPlacement bool
 	// blamed is the helper that kept the target from running the request, if any.
 	blamed barleystep.TargetID
-	// moved is set if another target has answered than the one that was meant.
+	// wrongTarget is set if another target than the intended one answered.
 	wrongTarget bool
 }
 
-// answerBytes bounds an answer that is held until it is whole; longer ones do
-// not occur on routes that are no streams.
+// maxAnswerBytes bounds a buffered answer, in bytes. Longer ones do not occur on routes without
+// streams.
 const maxAnswerBytes = 8 << 20
 
 var (
@@ -60,13 +61,13 @@
 	errStalled        = eris.New("front: the target sent nothing for too long")
 	errCallerWrite    = eris.New("front: the caller does not read")
 
-	// errWithdrawn means that the target has said that it takes nothing more, after it was
-	// chosen and before it was sent the request.
-	errWithdrawn = eris.New("front: the target takes nothing more")
+	// errWithdrawn means that after the placement and before the send the target stated that it
+	// accepts no more requests.
+	errWithdrawn = eris.New("front: the target accepts no more requests")
 
 	errAnswerTooLong = eris.New("front: the answer is too long")
-	// errPromise means that a status promises that the request has not run, which the
-	// target does not say besides. It may have run, so the status is not passed on.
+	// errUnconfirmedStatus means that a status guarantees that the request has not run, but the
+	// target does not state that. The request may have run, so the status is not relayed.
 	errUnconfirmedStatus = eris.New("front: the target does not say that the request has not run")
 )
 
@@ -77,7 +78,7 @@
 	x.progress.enter(PhaseReaching, t.started)
 	defer t.release(context.WithoutCancel(ctx))
 	ctx, cancel := context.WithCancelCause(ctx)
-	defer cancel(nil) // It ends the renewals, before the release.
+	defer cancel(nil) // Ends the renewals before the release.
 	if err := t.checkHelpers(ctx); err != nil {
 		return resultNotSent, err
 	}
@@ -127,8 +128,8 @@
 	return res, stallError(ctx, err)
 }
 
-// noteHelpers writes a line about a prompt that several targets read: it tells why
-// other streams of theirs paused.
+// logHelpers logs that several targets prefill the prompt, which explains pauses in their other
+// streams.
 func (t *try) logHelpers() {
 	if len(t.placement.Helpers) == 0 {
 		return
@@ -158,13 +159,13 @@
 	return resultBroken, stallError(ctx, err)
 }
 
-// mine reports whether an answer is to this request. One that names no request is not:
-// targets name the request in each answer.
+// isOwnAnswer reports whether an answer belongs to this request. Targets name the request in each
+// answer, so an answer that names none does not.
 func (t *try) isOwnAnswer(h http.Header) bool {
 	return t.stage.protocol.ReadResponseHead(0, h).RequestID == t.exchange.call.RequestID
 }
 
-// request returns the request as the target gets it.
+// outgoingRequest returns the request as it is sent to the target.
 func (t *try) outgoingRequest(left time.Duration) *http.Request {
 	x := t.exchange
 	target := x.r.RequestURI
@@ -174,7 +175,7 @@
 	h := x.r.Header.Clone()
 	reply.RemoveHopByHop(h)
 	if _, ok := h["User-Agent"]; !ok {
-		h.Set("User-Agent", "") // An empty one is not sent.
+		h.Set("User-Agent", "") // An empty value is not sent.
 	}
 	t.stage.protocol.SetTargetHeaders(h, barleystep.TargetHeaders{
 		Target:      t.placement.Target.ID,
@@ -196,7 +197,7 @@
 	return r
 }
 
-// helperNamed returns the helper with the id or the address, empty if there is none.
+// findHelper returns the helper with the given id or address, empty if there is none.
 func (t *try) findHelper(name string) barleystep.TargetID {
 	for _, h := range t.placement.Helpers {
 		if name != "" && (string(h.ID) == name || h.Addr == name) {
@@ -206,8 +207,7 @@
 	return ""
 }
 
-// blamedFar reports whether the helper that is to blame is in another hall than the
-// target.
+// blamedInOtherHall reports whether the blamed helper is in another hall than the target.
 func (t *try) blamedInOtherHall() bool {
 	for _, h := range t.placement.Helpers {
 		if h.ID == t.blamed {
@@ -217,7 +217,7 @@
 	return false
 }
 
-// take judges the head of an answer and relays what may be relayed.
+// handleAnswer interprets the head of an answer and relays or buffers the body.
 func (t *try) handleAnswer(resp *http.Response, w *stallWatch) (result, error) {
 	verdict := t.stage.protocol.ReadResponseHead(resp.StatusCode, resp.Header)
 	t.wrongTarget = misdirected(resp) && t.findHelper(verdict.RefusedBy) == ""
@@ -242,16 +242,16 @@
 	return t.bufferAnswer(resp)
 }
 
-// misdirected reports whether the answer says that another target was meant: than the one that
-// answers, or than a helper that it blames.
+// misdirected reports whether the answer says that the request was meant for another target than
+// the one that answers, or than a helper that it blames.
 func misdirected(resp *http.Response) bool {
 	return resp.StatusCode == http.StatusMisdirectedRequest
 }
 
 func success(status int) bool { return status < http.StatusMultipleChoices }
 
-// hold takes in an answer that is no stream and passes it on once it is whole. A
-// failure of the target's own is kept until it is known whether another does better.
+// bufferAnswer reads an answer that is not a stream and relays it once it is complete. A failure of
+// the target's own is kept until it is known whether another target does better.
 func (t *try) bufferAnswer(resp *http.Response) (result, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err == nil && len(body) > maxAnswerBytes {
@@ -272,7 +272,7 @@
 	return resultDone, nil
 }
 
-// promises reports whether a status tells callers that the request has not run.
+// impliesNotRun reports whether a status tells callers that the request has not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -281,14 +281,14 @@
 	return false
 }
 
-// pass gives the target's whole answer to the caller.
+// sendAnswer sends the target's complete answer to the caller.
 func (t *try) sendAnswer(body []byte) {
 	x := t.exchange
 	x.timeToFirst = t.stage.clock.Now().Sub(x.started)
 	x.answer.WriteFull(t.head, body)
 }
 
-// report tells the balancer what was learnt of the target.
+// report returns what the balancer learns about the target from the try.
 func (t *try) report(ctx context.Context, res result) balance.Report {
 	return balance.Report{
 		Unreachable:       ctx.Err() == nil && res == resultNotSent && !t.noMemory && !t.needsPlacement,
