--- a/internal/lead/bench_test.go
+++ b/internal/lead/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/barleystep/barleystep/internal/balance"
 )
 
-// BenchmarkCapacityAsk measures a question for the engine of a short prompt, both ends
-// on one machine, with the choice among 12 engines.
+// BenchmarkCapacityAsk measures a request to the lead for a short prompt, with client and server on
+// one machine and 12 engines to choose from.
 func BenchmarkCapacityAsk(b *testing.B) {
 	p := newPair(b, view, engines)
 	for b.Loop() {
@@ -18,7 +18,7 @@
 			b.Fatal(err)
 		}
 		placed.Done(balance.Report{})
-		p.clock.Advance(time.Second) // The lead forgets the prompt.
+		p.clock.Advance(time.Second) // The lead drops the placed prompt.
 		p.lead.SetOthers(balance.NewSnapshot())
 	}
 }
--- a/internal/lead/client.go
+++ b/internal/lead/client.go
@@ -19,23 +19,22 @@
 
 const logPrefix = "lead: "
 
-// Client asks the lead. Its exported fields are set before use; it is safe for
+// Client asks the lead to place prompts. Its exported fields must be set before use; it is safe for
 // concurrent use.
 type Client struct {
 	Clock barleystep.Clock
 	HTTP  *http.Client
-	// Addr returns the lead's address; ok is false if this box is the lead
-	// itself or knows none.
+	// Addr returns the lead's address; ok is false if this box is the lead itself or knows no lead.
 	Addr func() (addr string, ok bool)
 	Log  *log.Logger
 
 	mu sync.Mutex
-	// silentUntil is until when short prompts are placed here.
+	// bypassUntil is when short prompts may be sent to the lead again.
 	bypassUntil time.Time
 }
 
-// errSilent is returned for short prompts after the lead has not answered.
-var errBypassed = eris.New("lead: it did not answer a moment ago")
+// errBypassed is returned for short prompts while the lead is bypassed after a failed call.
+var errBypassed = eris.New("lead: bypassed after a failed call")
 
 func (c *Client) isBypassed() bool {
 	c.mu.Lock()
@@ -49,18 +48,16 @@
 	c.bypassUntil = c.Clock.Now().Add(bypassPeriod)
 }
 
-// answerTime bounds one question beyond the time for which the lead may hold it. The lead
-// answers within a few milliseconds; if it does not, the prompt is placed here. Short
-// prompts are asked for by the hundred and have a tight objective: after a question in
-// vain, the box places them itself for silentFor, about the time until another box
-// leads.
+// answerTimeout bounds one call beyond the time for which the lead may hold it. The lead answers
+// within a few milliseconds; if it does not, this box places the prompt itself. Short prompts come
+// by the hundred and have a tight objective, so after a failed call the box places them itself for
+// bypassPeriod, which is about the time until another box becomes lead.
 const (
 	answerTimeout = 60 * time.Millisecond
 	bypassPeriod  = 700 * time.Millisecond
 )
 
-// Place asks the lead for the engines of a prompt, again and again while the prompt has
-// to wait for them.
+// Place asks the lead for a plan for the prompt, repeatedly while the prompt waits for its engines.
 func (c *Client) Place(ctx context.Context, j balance.Job) (plan balance.Plan, err error) {
 	if !balance.IsLongPrompt(j) && c.isBypassed() {
 		return balance.Plan{}, errBypassed
@@ -82,7 +79,7 @@
 	callCtx, cancel := clock.WithDeadline(ctx, c.Clock, now.Add(holdTime(j)+answerTimeout))
 	defer cancel()
 	m := encodeJob(j)
-	m.WaitedMs = max(now.Sub(j.Arrival), 0).Milliseconds() // Zero on the first question.
+	m.WaitedMs = max(now.Sub(j.Arrival), 0).Milliseconds() // Zero on the first call.
 	if !j.FirstArrival.IsZero() {
 		m.EarlierMs = max(j.Arrival.Sub(j.FirstArrival), 0).Milliseconds()
 	}
@@ -101,26 +98,26 @@
 		return balance.Plan{}, balance.ErrSuspectRefused
 	case connect.CodeOf(err) == connect.CodeAborted:
 		return balance.Plan{}, balance.ErrStillWaiting
-	case ctx.Err() != nil: // The caller left, which says nothing of the lead.
+	case ctx.Err() != nil: // The caller disconnected, which says nothing about the lead.
 		return balance.Plan{}, eris.Wrap(context.Cause(ctx), "lead: place")
 	default:
 		c.startBypass()
-		c.Log.Warn().Str("lead", addr).Err(err).Msg(logPrefix + "The lead does not answer. The prompt is placed here.")
+		c.Log.Warn().Str("lead", addr).Err(err).Msg(logPrefix + "The call to the lead failed. This box places the prompt itself.")
 		return balance.Plan{}, eris.Wrap(err, "lead: place")
 	}
 }
 
-// Read tells the lead that the prompt of a plan was read. Where that is lost, the lead
-// goes by its own expectation. It is called under the balancer's lock, and finding the
-// lead takes that of the gossip, which the gossip holds while it asks the balancer: all
-// of it is done apart.
-func (c *Client) PrefillDone(plan uint64) { go c.sendRead(plan) }
+// PrefillDone tells the lead in the background that the prompt of a plan has been prefilled. If the
+// call is lost, the lead relies on its own estimate. PrefillDone is called under the balancer's
+// lock, and finding the lead takes the gossip's lock, which the gossip holds while it calls the
+// balancer; a synchronous call would deadlock.
+func (c *Client) PrefillDone(plan uint64) { go c.sendPrefillDone(plan) }
 
 func (c *Client) service(addr string) placementv1connect.PlacementServiceClient {
 	return placementv1connect.NewPlacementServiceClient(c.HTTP, "http://"+addr)
 }
 
-func (c *Client) sendRead(plan uint64) {
+func (c *Client) sendPrefillDone(plan uint64) {
 	addr, ok := c.Addr()
 	if !ok {
 		return
@@ -128,6 +125,6 @@
 	ctx, cancel := clock.WithDeadline(context.Background(), c.Clock, c.Clock.Now().Add(answerTimeout))
 	defer cancel()
 	if _, err := c.service(addr).Read(ctx, connect.NewRequest(&placementv1.ReadRequest{Number: plan})); err != nil {
-		c.Log.Debug().Str("lead", addr).Err(err).Msg(logPrefix + "The lead was not told of a prompt that was read.")
+		c.Log.Debug().Str("lead", addr).Err(err).Msg(logPrefix + "The lead could not be told that a prompt was prefilled.")
 	}
 }
--- a/internal/lead/client_test.go
+++ b/internal/lead/client_test.go
@@ -16,9 +16,9 @@
 	"github.com/barleystep/barleystep/internal/lead"
 )
 
-// TestSilentLead checks that after a question in vain a box places its short prompts
-// itself for a while, as they have no time for a second one, and asks again then; long
-// prompts are asked for each time.
+// TestShortPromptsBypassFailedLead checks that after a failed call a box places its short prompts
+// itself for a while, since they have no time for another call, and then asks again. For long
+// prompts it asks every time.
 func TestShortPromptsBypassFailedLead(t *testing.T) {
 	c := quicktest.New(t)
 	var asks atomic.Int64
@@ -53,9 +53,9 @@
 	}
 }
 
-// TestLeadCutOff checks for how long a box waits for a lead that says nothing: a short
-// prompt, which takes 120 ms from its engine, can still be in time by an objective of
-// 300 ms; a long one waits for its engines at the lead.
+// TestSilentLeadTimeout checks how long a box waits for a lead that does not answer. A short
+// prompt, whose engine takes 120 ms, can still meet an objective of 300 ms; a long one may wait for
+// its engines at the lead.
 func TestSilentLeadTimeout(t *testing.T) {
 	cases := map[string]struct {
 		prompt int
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestCallerLeft checks that a caller who leaves while the lead is asked says nothing of
-// the lead: the next short prompt is asked for again.
+// TestCallerGoneKeepsLead checks that a caller that disconnects during a call to the lead does not
+// count as a failure of the lead: the box asks it for the next short prompt.
 func TestCallerGoneKeepsLead(t *testing.T) {
 	c := quicktest.New(t)
 	box, clk, asks := newBoxWithSilentLead(t)
@@ -116,7 +116,7 @@
 	c.Check(asks.Load(), quicktest.Equals, int64(2))
 }
 
-// boxBeforeSilentLead returns a box whose lead takes questions and answers none.
+// newBoxWithSilentLead returns a box whose lead accepts calls and never answers.
 func newBoxWithSilentLead(t *testing.T) (box *balance.Balancer, clk *clock.Manual, asks *atomic.Int64) {
 	asks = &atomic.Int64{}
 	over := make(chan struct{})
--- a/internal/lead/lead_test.go
+++ b/internal/lead/lead_test.go
@@ -54,17 +54,17 @@
 
 var engines = []barleystep.TargetID{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"}
 
-// pair is a box and the lead that it asks.
+// pair is a box and its lead.
 type pair struct {
 	clock *clock.Manual
 	box   *balance.Balancer
 	lead  *balance.Balancer
-	// asks counts the questions for engines.
+	// asks counts the calls for a placement.
 	asks atomic.Int64
 }
 
 func newPair(t testing.TB, view func() *fleet.View, leadEngines []barleystep.TargetID) *pair {
-	clk := clock.NewManual(time.Unix(1000, 0)) // The lead is given all the time it needs.
+	clk := clock.NewManual(time.Unix(1000, 0)) // A manual clock, so that calls to the lead never time out.
 	p := &pair{clock: clk, box: newBalancer(clk, engines...), lead: newBalancer(clk, leadEngines...)}
 	_, handler := (&lead.Server{Clock: clk, Balancer: p.lead, View: view}).Handler()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -78,7 +78,7 @@
 		Clock: clk,
 		HTTP:  &http.Client{Transport: &http.Transport{}},
 		Addr: func() (string, bool) {
-			p.box.Snapshot() // The gossip asks the balancer while it holds the lock that this takes.
+			p.box.Snapshot() // Checks for deadlocks: the gossip calls the balancer under the lock that Addr takes.
 			return server.Listener.Addr().String(), true
 		},
 		Log: quiet,
@@ -86,9 +86,8 @@
 	return p
 }
 
-// TestPlace checks which prompts are placed by the lead, and that a box places
-// them itself where the lead cannot, or names engines that the box does not take
-// for usable.
+// TestPlace checks which prompts are placed by the lead, and that a box places them itself if the
+// lead cannot or names engines that the box cannot use.
 func TestPlace(t *testing.T) {
 	cases := map[string]struct {
 		prompt int
@@ -97,12 +96,12 @@
 		asks   int64
 		led    bool
 	}{
-		"long":                         {210_000, view, engines, 1, true},
-		"short":                        {1_000, view, engines, 1, false},
-		"short, lead unconfigured":     {1_000, func() *fleet.View { return nil }, engines, 1, false},
-		"lead without configuration":   {210_000, func() *fleet.View { return nil }, engines, 1, false},
-		"lead without targets":         {210_000, view, nil, 1, false},
-		"lead with targets of its own": {210_000, view, []barleystep.TargetID{"x", "y", "z", "u", "v", "w", "q"}, 1, false},
+		"long":                       {210_000, view, engines, 1, true},
+		"short":                      {1_000, view, engines, 1, false},
+		"short, lead unconfigured":   {1_000, func() *fleet.View { return nil }, engines, 1, false},
+		"lead without configuration": {210_000, func() *fleet.View { return nil }, engines, 1, false},
+		"lead without targets":       {210_000, view, nil, 1, false},
+		"lead with other targets":    {210_000, view, []barleystep.TargetID{"x", "y", "z", "u", "v", "w", "q"}, 1, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -122,7 +121,7 @@
 	}
 }
 
-// led returns the work as a box tells it that carries out the lead's plans.
+// led returns the work as reported by a box that carries out the lead's plans.
 func led(work map[balance.Key]balance.Work) map[balance.Key]balance.Work {
 	for key, w := range work {
 		w.LeadBacklog, w.Backlog = w.Backlog, 0
@@ -131,8 +130,8 @@
 	return work
 }
 
-// TestApart checks that two boxes that ask one after the other get engines of their
-// own to write at.
+// TestSeparateTargets checks that two boxes that ask one after the other get different engines to
+// decode on.
 func TestSeparateTargets(t *testing.T) {
 	p := newPair(t, view, engines)
 	other := newBalancer(p.clock, engines...)
@@ -145,8 +144,8 @@
 	quicktest.Check(t, first.Target.ID, quicktest.Not(quicktest.Equals), second.Target.ID)
 }
 
-// TestDemand checks that the lead counts each long prompt as demand once, however
-// often its box asks for its engines.
+// TestDemandCountedOnce checks that the lead counts each long prompt as demand once, however often
+// its box asks for a placement.
 func TestDemandCountedOnce(t *testing.T) {
 	p := newPair(t, view, engines)
 	demand := func() float64 { return p.lead.Snapshot().Demands[balance.KeyOf("s")].Long }
@@ -154,7 +153,7 @@
 	quicktest.Assert(t, err, quicktest.IsNil)
 	placed.NoteFirstEvent()
 	for p.lead.Snapshot().Work[balance.KeyOf(string(placed.Target.ID))].Backlog > 0 {
-		runtime.Gosched() // The lead is being told, so that the next one need not wait.
+		runtime.Gosched() // Wait until the lead knows that the prompt was prefilled, so that the next one need not wait.
 	}
 	once := demand()
 	quicktest.Check(t, once > 0, quicktest.IsTrue)
@@ -163,12 +162,12 @@
 	p.clock.Advance(time.Second)
 	again := job(210_000)
 	again.Arrival = p.clock.Now().Add(-time.Second)
-	_, _ = p.box.Lead.Place(context.Background(), again) // Only its demand counts.
+	_, _ = p.box.Lead.Place(context.Background(), again) // Only the effect on the demand matters.
 	quicktest.Check(t, demand() < once, quicktest.IsTrue, quicktest.Commentf("%v became %v", asked.Demands, demand()))
 }
 
-// TestRead checks that the lead gives engines the next prompt once a box has told
-// that the one before was read, and counts what was placed until then.
+// TestReadFreesEngines checks that the lead counts the engines of a placed prompt as in use, and
+// gives them to the next prompt once the box has reported that the first one was prefilled.
 func TestReadFreesEngines(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPair(t, view, engines)
@@ -182,8 +181,8 @@
 	c.Check(next, quicktest.IsNotNil)
 }
 
-// TestNotAdopted checks that the lead gives engines to others when a box does not take
-// its plan.
+// TestUnusedPlanReleased checks that the lead gives the engines to others if a box does not use its
+// plan.
 func TestUnusedPlanReleased(t *testing.T) {
 	p := newPair(t, view, []barleystep.TargetID{"x"})
 	_, err := p.box.Place(context.Background(), job(210_000))
@@ -195,8 +194,8 @@
 	}
 }
 
-// TestNumbers checks that a lead does not take what a box tells of another lead's plan
-// for its own.
+// TestPlanNumbersUnique checks that plans of different leads have different numbers, so that a lead
+// does not take a report about another lead's plan for one about its own.
 func TestPlanNumbersUnique(t *testing.T) {
 	manual := clock.NewManual(time.Unix(1000, 0))
 	seen := make(map[uint64]bool)
@@ -208,8 +207,8 @@
 	}
 }
 
-// TestGrantGone checks that nothing is placed for a box that no longer asks: no engine is kept
-// for a prompt that nobody sends there.
+// TestGrantCancelled checks that nothing is placed for a box whose call was cancelled, so that no
+// engine is kept for a prompt that is never sent.
 func TestGrantCancelled(t *testing.T) {
 	manual := clock.NewManual(time.Unix(1000, 0))
 	b := newBalancer(manual, engines...)
@@ -220,8 +219,8 @@
 	quicktest.Check(t, b.Snapshot().Work, quicktest.HasLen, 0)
 }
 
-// TestGrantEnds checks that what was placed for others is forgotten once they
-// tell of it themselves, and its reading when it is late.
+// TestGrantExpires checks that work placed for other boxes is dropped once they report it
+// themselves, and its prefill when it is overdue.
 func TestGrantExpires(t *testing.T) {
 	manual := clock.NewManual(time.Unix(1000, 0))
 	b := newBalancer(manual, engines...)
@@ -237,8 +236,8 @@
 	quicktest.Check(t, b.Snapshot().Work, quicktest.HasLen, 0)
 }
 
-// TestHallOfTheAsker checks that the lead places a short prompt in the hall of the box that
-// asks, not in its own.
+// TestHallOfRequestingBox checks that the lead places a short prompt in the hall of the requesting
+// box, not in its own.
 func TestHallOfRequestingBox(t *testing.T) {
 	p := newPair(t, view, engines)
 	targets := func() []fleet.Target {
--- a/internal/lead/server.go
+++ b/internal/lead/server.go
@@ -1,4 +1,4 @@
-// Package lead lets boxes have their prompts placed by one of them.
+// Package lead lets the boxes have their prompts placed by a single box, the lead.
 package lead
 
 import (
@@ -25,17 +25,16 @@
 	View func() *fleet.View
 
 	mu sync.Mutex
-	// second is that in which asked questions came.
+	// windowStart begins the one-second window in which windowCount calls were counted.
 	windowStart time.Time
 	windowCount int
 }
 
-// mostAsked is how many questions for short prompts the lead answers in a second, for which it
-// spends a fifth of a core at most. Boxes that are turned away place their prompts themselves
-// for a while.
+// maxShortPerSecond is how many calls for short prompts the lead serves per second; they take at
+// most a fifth of a core. Rejected boxes place their short prompts themselves for a while.
 const maxShortPerSecond = 700
 
-// busy counts a question for a short prompt and reports whether there are too many.
+// isOverLimit counts a call for a short prompt and reports whether there are too many.
 func (s *Server) isOverLimit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,10 +50,9 @@
 	return placementv1connect.NewPlacementServiceHandler(s)
 }
 
-// longHold and shortHold are for how long a question is held while a prompt waits for its
-// engines. A box that asks again has lost its lead the sooner, the shorter it is; the
-// longer, the fewer questions there are. A short prompt that has asked a dead lead in vain is
-// still to be in time.
+// longPromptHold and shortPromptHold are how long a call is held while its prompt waits for
+// engines. With a shorter hold, a box notices a lost lead sooner; with a longer one, there are
+// fewer calls. A short prompt must still meet its objective after a call to a dead lead.
 const (
 	longPromptHold  = 250 * time.Millisecond
 	shortPromptHold = 60 * time.Millisecond
@@ -71,15 +69,15 @@
 func (s *Server) Place(ctx context.Context, r *connect.Request[placementv1.PlaceRequest]) (*connect.Response[placementv1.PlaceResponse], error) {
 	view := s.View()
 	if view == nil {
-		return nil, connect.NewError(connect.CodeUnavailable, eris.New("no configuration is known"))
+		return nil, connect.NewError(connect.CodeUnavailable, eris.New("no configuration loaded"))
 	}
 	if view.Service(r.Msg.GetService()) == nil {
-		return nil, connect.NewError(connect.CodeUnavailable, eris.New("the service is not known"))
+		return nil, connect.NewError(connect.CodeUnavailable, eris.New("unknown service"))
 	}
 	now := s.Clock.Now()
 	j := decodeJob(view, r.Msg, now)
 	if !balance.IsLongPrompt(j) && s.isOverLimit() {
-		return nil, connect.NewError(connect.CodeUnavailable, eris.New("too many boxes ask"))
+		return nil, connect.NewError(connect.CodeUnavailable, eris.New("too many calls for short prompts"))
 	}
 	plan, err := s.Balancer.PlaceForPeer(ctx, j, now.Add(holdTime(j)))
 	switch {
@@ -101,7 +99,7 @@
 	return connect.NewResponse(out), nil
 }
 
-// Read notes that the prompt of a plan was read.
+// Read records that the prompt of a plan has been prefilled.
 func (s *Server) Read(_ context.Context, r *connect.Request[placementv1.ReadRequest]) (*connect.Response[placementv1.ReadResponse], error) {
 	s.Balancer.PrefillDone(r.Msg.GetNumber())
 	return connect.NewResponse(&placementv1.ReadResponse{}), nil
--- a/internal/lead/wire.go
+++ b/internal/lead/wire.go
@@ -10,7 +10,8 @@
 	"github.com/barleystep/barleystep/internal/suspect"
 )
 
-// jobOf reads a question that has come now.
+// decodeJob decodes a request that was received at now. Durations in the request are relative to
+// that time.
 func decodeJob(view *fleet.View, m *placementv1.PlaceRequest, now time.Time) balance.Job {
 	j := balance.Job{
 		RequestID:    m.GetRequest(),
--- a/internal/lead/wire_internal_test.go
+++ b/internal/lead/wire_internal_test.go
@@ -10,10 +10,10 @@
 	"github.com/barleystep/barleystep/internal/fleet"
 )
 
-// TestReturnedTold checks that the lead learns whether a caller has come back after a refusal: it
-// took each prompt for one that had.
+// TestReturnedEncoded checks that the lead learns whether a caller retries after a refusal. Without
+// the field it would treat every prompt as a retry.
 func TestReturnedEncoded(t *testing.T) {
-	for name, returned := range map[string]bool{"first try": false, "came back": true} {
+	for name, returned := range map[string]bool{"first try": false, "retry after a refusal": true} {
 		t.Run(name, func(t *testing.T) {
 			j := balance.Job{Service: "s", PromptTokens: 1, CallerRetry: returned}
 			got := decodeJob(fleet.NewView(fleet.Configuration{}), encodeJob(j), time.Unix(1000, 0))
