--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -1,6 +1,6 @@
-// Package conn keeps connections to targets and sends requests over them. A
-// request is written at most once: nothing here repeats it, unlike the pools
-// of general clients, so that the caller of this package counts every send.
+// Package conn pools connections to targets and sends requests over them. Unlike general HTTP
+// clients, it writes a request at most once and never repeats it, so the caller of this package
+// controls every send.
 package conn
 
 import (
@@ -23,32 +23,32 @@
 type Conn struct {
 	pool        *Pool
 	addr        string
-	generation  uint64 // era is that of the address when the connection was made.
+	generation  uint64 // generation is that of the address when the connection was made.
 	raw         net.Conn
 	reader      *bufio.Reader
-	idle        time.Time     // idle is since when the connection rests.
-	idleTimeout time.Duration // life is how long the target keeps it resting; zero if it does not say.
-	// writing is closed when the request was written; writeErr is set before.
+	idle        time.Time     // idle is when the connection became idle.
+	idleTimeout time.Duration // idleTimeout is how long the target keeps it open while idle; zero if unknown.
+	// writeDone is closed when the request has been written; writeErr is set before.
 	writeDone chan struct{}
 	writeErr  error
 	broken    bool
-	// skipped counts the surplus answers that were read before the last one.
+	// skipped counts the interim answers and answers to other requests read before the last answer.
 	skipped int
 }
 
 const (
 	readerSize = 4 << 10
-	// inlineBody is the largest body that is written before the answer is read:
-	// it fits the smallest socket buffers, so that a target that does not read
-	// it cannot hold the writer up.
+	// maxInlineBody is the largest body, in bytes, that is written before the answer is read. It
+	// fits the smallest socket buffers, so that a target that does not read it cannot block the
+	// writer.
 	maxInlineBody = 4 << 10
 )
 
-// Send writes the request and reads the head of the answer whose request id is
-// wanted, as told by accept; surplus answers to earlier requests are skipped. It
-// returns barleystep.ErrNotStarted if nothing of the request was written.
+// Send writes the request and reads the head of the first answer that accept reports true for,
+// skipping interim answers and answers to earlier requests. It returns barleystep.ErrNotStarted if
+// nothing of the request was written.
 //
-// The context ends the exchange, including the reading of the body.
+// The context bounds the exchange, including the reading of the body.
 func (c *Conn) Send(ctx context.Context, req *http.Request, body []byte, accept func(http.Header) bool) (resp *http.Response, err error) {
 	stop := context.AfterFunc(ctx, func() { _ = c.raw.SetDeadline(time.Unix(1, 0)) })
 	defer func() {
@@ -81,14 +81,14 @@
 }
 
 const (
-	// maxSurplus is how many interim and surplus answers are skipped.
+	// maxSkipped bounds the interim answers and answers to other requests that are skipped.
 	maxSkipped = 4
-	// surplusBytes bounds what is skipped of one surplus answer.
+	// maxSkippedBytes bounds the bytes read of one skipped answer.
 	maxSkippedBytes = 1 << 20
 )
 
-// write sends the head and, unless it is long, the body. A long body is written
-// while the answer is awaited, since targets may answer before they have read it.
+// write sends the head and, unless it is long, the body. A long body is written concurrently with
+// reading the answer, since targets may answer before they have read it.
 func (c *Conn) write(req *http.Request, body []byte) error {
 	c.writeDone = make(chan struct{})
 	counter := &countingWriter{w: c.raw}
@@ -111,7 +111,7 @@
 	if counter.n == 0 {
 		return eris.Wrap(barleystep.ErrNotStarted, c.writeErr.Error())
 	}
-	// An answer may have come before the connection was reset.
+	// The answer may have arrived before the connection was reset.
 	if _, err := c.reader.Peek(1); err == nil {
 		return nil
 	}
@@ -123,14 +123,14 @@
 	n int
 }
 
-// Write passes p on and counts what was taken.
+// Write forwards p and counts the bytes written.
 func (w *countingWriter) Write(p []byte) (int, error) {
 	n, err := w.w.Write(p)
 	w.n += n
 	return n, err
 }
 
-// answerBody is the body of an answer; closing it gives the connection back.
+// answerBody is the body of an answer. Closing it decides whether the connection can be reused.
 type answerBody struct {
 	conn   *Conn
 	body   io.ReadCloser
@@ -139,7 +139,7 @@
 	sawEOF bool
 }
 
-// Read reads the body. io.EOF is only returned when the body is whole.
+// Read reads the body. It returns io.EOF only when the body is complete.
 func (b *answerBody) Read(p []byte) (int, error) {
 	n, err := b.body.Read(p)
 	if err == io.EOF {
@@ -148,8 +148,8 @@
 	return n, err
 }
 
-// Close ends the use of the connection: it is kept if the answer was read to
-// its end and nothing speaks against the connection.
+// Close ends the use of the connection. The connection stays usable if the request was fully
+// written, the answer was read to its end and the context did not end before.
 func (b *answerBody) Close() error {
 	if b.closed {
 		return nil
@@ -169,8 +169,8 @@
 	return nil
 }
 
-// Release gives the connection back to its pool. The answer, if there was one,
-// must have been closed. Head is that of the answer, nil if there was none.
+// Release returns the connection to its pool. The answer's body must be closed before; resp is nil
+// if there was no answer.
 func (c *Conn) Release(resp *http.Response) {
 	if c.broken || resp == nil || resp.Close || c.reader.Buffered() > 0 {
 		c.pool.discard(c)
@@ -180,7 +180,7 @@
 	c.pool.put(c, c.pool.Clock.Now())
 }
 
-// keepAlive reads the time after which a target closes a resting connection.
+// keepAlive parses the time after which a target closes an idle connection, zero if there is none.
 func keepAlive(header string) time.Duration {
 	_, after, found := strings.Cut(header, "timeout=")
 	if !found {
@@ -194,8 +194,7 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// quiet reports whether the connection is open and nothing has come on it since
-// its last answer.
+// isClean reports whether the connection is open and has received nothing since its last answer.
 func (c *Conn) isClean() bool {
 	s, ok := c.raw.(syscall.Conn)
 	if !ok {
@@ -214,15 +213,15 @@
 	return err == nil && isClean
 }
 
-// Discard closes the connection instead of giving it back.
+// Discard closes the connection instead of returning it to its pool.
 func (c *Conn) Discard() {
 	c.broken = true
 	c.Release(nil)
 }
 
-// Skipped returns how many interim answers and answers to other requests came before
-// the last one.
+// Skipped returns the number of interim answers and answers to other requests before the last
+// answer.
 func (c *Conn) Skipped() int { return c.skipped }
 
-// Reused reports whether the connection has rested in its pool.
+// Reused reports whether the connection has been idle in its pool.
 func (c *Conn) Reused() bool { return !c.idle.IsZero() }
--- a/internal/conn/conn_test.go
+++ b/internal/conn/conn_test.go
@@ -19,11 +19,11 @@
 	"github.com/barleystep/barleystep/internal/conn"
 )
 
-// target is a server that answers each request of a connection with the next
-// text; the text "close" ends the connection and "reset" resets it.
+// target is a server that answers each request of a connection with the next text. The text "close"
+// closes the connection and "reset" resets it.
 type target struct {
 	listener net.Listener
-	// requests gets the first line of each request.
+	// requests receives the method and URI of each request.
 	requests chan string
 }
 
@@ -109,8 +109,8 @@
 	c.Check(p.OpenConns(s.addr()), quicktest.Equals, 1)
 }
 
-// TestNeverRepeated checks that a request is written once, whatever becomes of
-// it on a kept connection: general clients repeat those without a body.
+// TestNeverRepeated checks that a request on a pooled connection is written once, even if the
+// connection breaks. General HTTP clients repeat requests without a body.
 func TestNeverRepeated(t *testing.T) {
 	for name, end := range map[string]string{"closed": "close", "reset": "reset"} {
 		t.Run(name, func(t *testing.T) {
@@ -128,8 +128,8 @@
 	}
 }
 
-// TestSurplus checks that answers to other requests are skipped, and that bytes
-// behind an answer spoil the connection.
+// TestSkippedAnswers checks that answers to other requests are skipped, and that a connection with
+// bytes after the answer is not reused.
 func TestSkippedAnswers(t *testing.T) {
 	cases := map[string]struct {
 		text string
@@ -155,7 +155,7 @@
 	}
 }
 
-// TestBroken checks that an answer that is not whole is an error.
+// TestIncompleteAnswer checks that an incomplete answer is an error.
 func TestIncompleteAnswer(t *testing.T) {
 	cases := map[string]string{
 		"short body":   "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nabc",
@@ -175,7 +175,7 @@
 			c.Assert(err, quicktest.IsNil)
 			req := &http.Request{Method: http.MethodGet, URL: &url.URL{Opaque: "/x"}, Host: "h", Header: http.Header{"Connection": {"close"}}, Close: true}
 			resp, err := k.Send(ctx, req, nil, func(h http.Header) bool {
-				go cancel() // What is missing never comes.
+				go cancel() // The rest of the answer never arrives.
 				return h.Get("Id") == "1"
 			})
 			if err == nil {
@@ -189,8 +189,8 @@
 	}
 }
 
-// TestUnreachable checks that a request which cannot have reached the target is
-// said not to have started.
+// TestUnreachable checks that a request that cannot have reached the target fails with
+// ErrNotStarted.
 func TestUnreachable(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	quicktest.Assert(t, err, quicktest.IsNil)
@@ -200,18 +200,17 @@
 	quicktest.Assert(t, eris.Is(err, barleystep.ErrNotStarted), quicktest.IsTrue)
 }
 
-// TestRest checks that a connection is not used when its target may have closed
-// it by now.
+// TestIdleTimeout checks that a connection is not used when its target may already have closed it.
 func TestIdleTimeout(t *testing.T) {
 	cases := map[string]struct {
 		header string
 		rest   time.Duration
 		reused bool
 	}{
-		"fresh":               {"", time.Second, true},
-		"too long":            {"", 5 * time.Second, false},
-		"target says 2 s":     {"Keep-Alive: timeout=2, max=9\r\n", 1500 * time.Millisecond, false},
-		"within what it says": {"Keep-Alive: timeout=2\r\n", time.Second, true},
+		"fresh":             {"", time.Second, true},
+		"idle for too long": {"", 5 * time.Second, false},
+		"too close to the target's timeout of 2 s": {"Keep-Alive: timeout=2, max=9\r\n", 1500 * time.Millisecond, false},
+		"within the target's timeout":              {"Keep-Alive: timeout=2\r\n", time.Second, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/conn/owner.go
+++ b/internal/conn/owner.go
@@ -5,24 +5,24 @@
 	"github.com/barleystep/barleystep/internal/fleet"
 )
 
-// owner is the target that an address belongs to, and when it said that it was born; zero if
-// it never did.
+// owner is the target that an address belongs to, and the start time that it stated; zero if it
+// never stated one.
 type owner struct {
 	id      barleystep.TargetID
 	startMS int64
 }
 
-// Renew tells which targets have which addresses now. Connections to an address that were made
-// to another target, or to an earlier lifetime of one, are not used again: a request that is
-// written to them may be taken to have run.
+// SetTargets sets the targets that the addresses belong to. Connections that were made to another
+// target at the address, or to an earlier incarnation of the same one, are not used again: a
+// request written to one could count as run although it was not.
 func (p *Pool) SetTargets(targets []fleet.Target) {
 	for _, c := range p.replaceOwners(targets) {
 		p.discard(c)
 	}
 }
 
-// outlived notes the owners of all addresses and returns the resting connections to earlier
-// ones.
+// replaceOwners records the owners of all addresses and returns the idle connections to earlier
+// owners.
 func (p *Pool) replaceOwners(targets []fleet.Target) []*Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -42,7 +42,7 @@
 	return old
 }
 
-// forgetOwners drops the addresses that nobody claims and to which nothing is open.
+// pruneOwners drops the addresses that no target claims and that have no open connections.
 func (p *Pool) pruneOwners(claims map[string][]fleet.Target) {
 	if p.owners == nil {
 		p.owners = make(map[string]owner)
@@ -56,8 +56,8 @@
 	}
 }
 
-// own notes the owner of an address and reports whether a new era begins there. While the
-// owner and its successor both claim the address, it stays the owner's.
+// setOwner records the owner of an address and reports whether a new generation begins there. While
+// the old owner and a new one both claim the address, it stays with the old owner.
 func (p *Pool) setOwner(addr string, claimants []fleet.Target) (changed bool) {
 	old, known := p.owners[addr]
 	t := claimants[0]
--- a/internal/conn/owner_test.go
+++ b/internal/conn/owner_test.go
@@ -14,8 +14,8 @@
 	"github.com/barleystep/barleystep/internal/fleet"
 )
 
-// TestOwner checks that a kept connection is used only as long as its address belongs to the
-// lifetime of the target to which it was made.
+// TestAddressOwner checks that a pooled connection is used only while its address belongs to the
+// same incarnation of the target that it was made to.
 func TestAddressOwner(t *testing.T) {
 	at := func(id string, born int64) fleet.Target {
 		return fleet.Target{ID: barleystep.TargetID(id), StartMS: born}
@@ -25,19 +25,19 @@
 		lists  [][]fleet.Target
 		reused bool
 	}{
-		"nothing is told":                  {nil, true},
-		"the same lifetime":                {[][]fleet.Target{list(at("i", 100)), list(at("i", 100))}, true},
-		"another lifetime":                 {[][]fleet.Target{list(at("i", 100)), list(at("i", 200))}, false},
-		"another one, by an older clock":   {[][]fleet.Target{list(at("i", 200)), list(at("i", 100))}, false},
-		"gone between them":                {[][]fleet.Target{list(at("i", 100)), list(), list(at("i", 200))}, false},
-		"gone and back":                    {[][]fleet.Target{list(at("i", 100)), list(), list(at("i", 100))}, true},
-		"no word between them":             {[][]fleet.Target{list(at("i", 100)), list(at("i", 0)), list(at("i", 200))}, false},
-		"it never says":                    {[][]fleet.Target{list(at("i", 0)), list(at("i", 0))}, true},
-		"it begins to say":                 {[][]fleet.Target{list(at("i", 0)), list(at("i", 100))}, true},
-		"another target":                   {[][]fleet.Target{list(at("i", 0)), list(at("k", 0))}, false},
-		"another target also claims it":    {[][]fleet.Target{list(at("i", 0)), list(at("i", 0), at("k", 0)), list(at("k", 0), at("i", 0))}, true},
-		"which then has it alone":          {[][]fleet.Target{list(at("i", 0)), list(at("i", 0), at("k", 0)), list(at("k", 0))}, false},
-		"the claimed one has started anew": {[][]fleet.Target{list(at("i", 100)), list(at("k", 0), at("i", 200))}, false},
+		"no targets set":                         {nil, true},
+		"same incarnation":                       {[][]fleet.Target{list(at("i", 100)), list(at("i", 100))}, true},
+		"new incarnation":                        {[][]fleet.Target{list(at("i", 100)), list(at("i", 200))}, false},
+		"new incarnation, earlier start time":    {[][]fleet.Target{list(at("i", 200)), list(at("i", 100))}, false},
+		"absent before a new incarnation":        {[][]fleet.Target{list(at("i", 100)), list(), list(at("i", 200))}, false},
+		"absent, then back":                      {[][]fleet.Target{list(at("i", 100)), list(), list(at("i", 100))}, true},
+		"no start time before a new incarnation": {[][]fleet.Target{list(at("i", 100)), list(at("i", 0)), list(at("i", 200))}, false},
+		"start time never stated":                {[][]fleet.Target{list(at("i", 0)), list(at("i", 0))}, true},
+		"start time stated later":                {[][]fleet.Target{list(at("i", 0)), list(at("i", 100))}, true},
+		"another target":                         {[][]fleet.Target{list(at("i", 0)), list(at("k", 0))}, false},
+		"another target also has the address":    {[][]fleet.Target{list(at("i", 0)), list(at("i", 0), at("k", 0)), list(at("k", 0), at("i", 0))}, true},
+		"another target then has it alone":       {[][]fleet.Target{list(at("i", 0)), list(at("i", 0), at("k", 0)), list(at("k", 0))}, false},
+		"owner of a shared address restarted":    {[][]fleet.Target{list(at("i", 100)), list(at("k", 0), at("i", 200))}, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestOwnerWhileInUse checks that a connection in use over a restart serves its request and is
-// not kept.
+// TestAddressOwnerWhileInUse checks that a connection in use during a restart serves its request
+// and is not pooled again.
 func TestAddressOwnerWhileInUse(t *testing.T) {
 	c := quicktest.New(t)
 	s := newTarget(t, answer("1", "a"))
@@ -85,7 +85,7 @@
 	c.Check(p.OpenConns(s.addr()), quicktest.Equals, 0)
 }
 
-// tell tells the pool of targets that all have the address.
+// setTargets sets the address of all targets and passes them to the pool.
 func setTargets(p *conn.Pool, addr string, targets []fleet.Target) {
 	list := make([]fleet.Target, len(targets))
 	for i, t := range targets {
--- a/internal/conn/pool.go
+++ b/internal/conn/pool.go
@@ -13,40 +13,40 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Pool keeps connections to targets by address. Its exported fields are set
-// before use; it is safe for concurrent use.
+// Pool keeps connections to targets by address. Its exported fields must be set before use; it is
+// safe for concurrent use.
 type Pool struct {
 	Clock barleystep.Clock
-	// DialTimeout bounds the making of a connection.
+	// DialTimeout bounds connecting.
 	DialTimeout time.Duration
 
 	mu   sync.Mutex
 	idle map[string][]*Conn
 	open map[string]int
-	// owners are the targets that the addresses belong to, as last told; eras count, over
-	// all addresses, when one got a new owner or its owner started anew.
+	// owners maps addresses to the targets that they belong to, as last set by SetTargets.
+	// generations maps an address to the value of lastGeneration when it last got a new owner or
+	// its owner restarted.
 	owners         map[string]owner
 	generations    map[string]uint64
 	lastGeneration uint64
 }
 
 const (
-	// restLimit is how long a connection rests before it is closed; targets
-	// close theirs after some seconds without saying so.
+	// maxIdle is the maximum idle time of a connection. Targets close idle connections after some
+	// seconds without announcing it.
 	maxIdle = 4 * time.Second
-	// restMargin is how much earlier than its target a connection is given up,
-	// so that a request does not cross the target's close.
+	// idleMargin is how long before its target a connection is closed, so that a request does not
+	// cross the target's close.
 	idleMargin = 700 * time.Millisecond
-	// unackedLimit bounds how long sent bytes may stay unacknowledged, so that
-	// a target that lost power is noticed.
+	// unackedTimeout bounds how long sent bytes may stay unacknowledged, so that a target that lost
+	// power is detected.
 	unackedTimeout = 2 * time.Second
-	// tcpUserTimeout is the option's number in Linux, which syscall lacks.
+	// tcpUserTimeout is the Linux option TCP_USER_TIMEOUT, which package syscall lacks.
 	tcpUserTimeout = 0x12
 )
 
-// Get returns a connection to the address, a resting one if there is one.
-// Without a connection the request cannot have reached the target:
-// the error is barleystep.ErrNotStarted.
+// Get returns a connection to the address, preferably an idle one. If connecting fails, the request
+// cannot have reached the target, and the error is barleystep.ErrNotStarted.
 func (p *Pool) Get(ctx context.Context, addr string) (c *Conn, err error) {
 	for {
 		c := p.takeIdle(addr)
@@ -61,8 +61,8 @@
 	return p.Dial(ctx, addr)
 }
 
-// Reach makes sure that the address can be reached: by a connection that rests, or by a
-// new one, which is kept. Its errors are those of Get.
+// EnsureConn checks that the address is reachable, by an idle connection or by a new one, which is
+// pooled. Its errors are those of Get.
 func (p *Pool) EnsureConn(ctx context.Context, addr string) (err error) {
 	c, err := p.Get(ctx, addr)
 	if err != nil {
@@ -99,7 +99,7 @@
 
 // Dial returns a new connection to the address. Its errors are those of Get.
 func (p *Pool) Dial(ctx context.Context, addr string) (c *Conn, err error) {
-	generation := p.generationOf(addr) // It may end while the connection is made.
+	generation := p.generationOf(addr) // Read before connecting, since it may change meanwhile.
 	raw, err := p.connect(ctx, addr)
 	if err != nil {
 		return nil, eris.Wrap(barleystep.ErrNotStarted, err.Error())
@@ -114,7 +114,7 @@
 	return &Conn{pool: p, addr: addr, generation: generation, raw: raw, reader: bufio.NewReaderSize(raw, readerSize)}, nil
 }
 
-// connect makes a connection to the address.
+// connect opens a TCP connection to the address.
 func (p *Pool) connect(ctx context.Context, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.DialTimeout)
 	defer cancel()
@@ -125,12 +125,12 @@
 	return d.DialContext(ctx, "tcp4", addr)
 }
 
-// Refuses reports whether the machine with the address says that nobody listens there. A
-// machine that says nothing does not.
+// ConnRefused reports whether the machine at the address refuses connections to the port. No answer
+// does not count as a refusal.
 func (p *Pool) ConnRefused(ctx context.Context, addr string) bool {
 	raw, err := p.connect(ctx, addr)
 	if err == nil {
-		_ = raw.Close() // It has said what was asked.
+		_ = raw.Close() // Only the result of connecting matters.
 	}
 	return eris.Is(err, syscall.ECONNREFUSED)
 }
@@ -152,7 +152,7 @@
 	return set
 }
 
-// put keeps a connection that rests since then, unless its era is over.
+// put pools a connection that is idle since the given time, unless its generation is over.
 func (p *Pool) put(c *Conn, since time.Time) {
 	if !p.addIdle(c, since) {
 		p.discard(c)
@@ -171,7 +171,7 @@
 }
 
 func (p *Pool) discard(c *Conn) {
-	_ = c.raw.Close() // It is given up either way.
+	_ = c.raw.Close() // The connection is dropped either way.
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open[c.addr]--
@@ -181,15 +181,15 @@
 	}
 }
 
-// Open returns how many connections to the address are open.
+// OpenConns returns the number of open connections to the address.
 func (p *Pool) OpenConns(addr string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open[addr]
 }
 
-// Sweep closes the connections that have rested too long. It is called now and
-// then.
+// CloseExpired closes the connections that have been idle for too long. It must be called
+// periodically.
 func (p *Pool) CloseExpired() {
 	for _, c := range p.expired() {
 		p.discard(c)
