--- a/internal/reply/doc.go
+++ b/internal/reply/doc.go
@@ -1,4 +1,4 @@
-// Package reply sends answers to callers. An answer has one head, which is made whole
-// from one source and cannot be changed: a target's answer, or the box's own. Nothing
-// else holds the caller's writer, so that no answer carries anything of another.
+// Package reply sends answers to callers. An answer has one immutable head that comes from a single
+// source: a target's answer, or the box itself. Only the Writer holds the caller's
+// http.ResponseWriter, so that no answer contains parts of another one.
 package reply
--- a/internal/reply/head.go
+++ b/internal/reply/head.go
@@ -8,8 +8,8 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Head is the status and the header fields of one answer. The zero value is the head
-// of no answer.
+// Head is the status and the header fields of one answer. The zero value means that there is no
+// answer.
 type Head struct {
 	status int
 	header http.Header
@@ -17,42 +17,42 @@
 	sealed bool
 }
 
-// Own returns the head of an answer that the box itself gives.
+// FromBox returns the head of an answer that the box itself gives.
 func FromBox(status int, header http.Header) Head {
 	return Head{status: status, header: header}
 }
 
-// FromTarget returns the head of a target's answer, less what belongs to the
-// connection to the target. It copies what it takes of the answer.
+// FromTarget returns the head of a target's answer without the fields that belong to the connection
+// to the target. It copies the header.
 func FromTarget(source barleystep.TargetID, answer *http.Response, sealed bool) Head {
 	header := maps.Clone(answer.Header)
 	if header == nil {
 		header = make(http.Header)
 	}
 	RemoveHopByHop(header)
-	header.Del("Content-Length") // It is set anew where the body is known.
+	header.Del("Content-Length") // Set again where the length of the body is known.
 	if _, ok := header["Date"]; !ok {
-		header["Date"] = nil // The server of the box would add its own.
+		header["Date"] = nil // A nil value keeps the HTTP server of the box from adding its own.
 	}
 	return Head{status: answer.StatusCode, header: header, source: source, sealed: sealed}
 }
 
-// Status returns the HTTP status, 0 for the head of no answer.
+// Status returns the HTTP status, 0 if there is no answer.
 func (h Head) Status() int { return h.status }
 
-// Source returns the target whose answer it is, empty for the box.
+// Source returns the target that gave the answer, empty for the box itself.
 func (h Head) Source() barleystep.TargetID { return h.source }
 
 // Sealed reports whether the head carries its target's digest.
 func (h Head) Sealed() bool { return h.sealed }
 
-// hopHeaders belong to one connection only.
+// hopByHopHeaders are the header fields that belong to one connection only.
 var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// RemoveHop removes the header fields that belong to one connection only.
+// RemoveHopByHop removes the header fields that belong to one connection only.
 func RemoveHopByHop(h http.Header) {
 	for _, list := range h["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
--- a/internal/reply/writer.go
+++ b/internal/reply/writer.go
@@ -10,8 +10,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Writer sends one answer to one caller. It is made by NewWriter and used by one
-// goroutine.
+// Writer sends one answer to one caller. Use NewWriter to create one. It must be used by one
+// goroutine, except for AbortRequestBody.
 type Writer struct {
 	w         http.ResponseWriter
 	head      Head
@@ -19,26 +19,25 @@
 	closeConn bool
 }
 
-// NewWriter returns a writer whose answer has not begun.
+// NewWriter returns a writer for an answer that has not begun.
 func NewWriter(w http.ResponseWriter) *Writer { return &Writer{w: w} }
 
-// CloseAfter has the answer end the caller's connection. It has no effect once the
-// answer has begun.
+// SetConnectionClose makes the answer close the caller's connection. It has no effect once the head
+// has been sent.
 func (w *Writer) SetConnectionClose() { w.closeConn = true }
 
-// Begun reports whether the head went out, after which no other can.
+// HeadSent reports whether the head has been sent. Only one head can be sent.
 func (w *Writer) HeadSent() bool { return w.headSent }
 
-// Head returns the head that went out.
+// Head returns the head that was sent.
 func (w *Writer) Head() Head { return w.head }
 
-// LimitBody returns the caller's body, cut off with *http.MaxBytesError after limit
-// bytes.
+// LimitBody returns the caller's body, which fails with *http.MaxBytesError after limit bytes.
 func (w *Writer) LimitBody(body io.ReadCloser, limit int64) io.ReadCloser {
 	return http.MaxBytesReader(w.w, body, limit)
 }
 
-// Whole sends a whole answer. It does nothing if one has begun.
+// WriteFull sends a complete answer. It does nothing if an answer has begun.
 func (w *Writer) WriteFull(h Head, body []byte) {
 	if w.headSent {
 		return
@@ -46,17 +45,17 @@
 	h.header = maps.Clone(h.header)
 	h.header.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHead(h)
-	_, _ = w.w.Write(body) // The caller may have gone away.
+	_, _ = w.w.Write(body) // The caller may have disconnected.
 }
 
-// EndBody has the reading of the caller's body fail from now on; the answer can still be
-// sent. Other goroutines may call it.
+// AbortRequestBody makes reading the caller's body fail from now on; the answer can still be sent.
+// It may be called from other goroutines.
 func (w *Writer) AbortRequestBody() {
-	_ = http.NewResponseController(w.w).SetReadDeadline(time.Unix(1, 0)) // Recorders in tests have none.
+	_ = http.NewResponseController(w.w).SetReadDeadline(time.Unix(1, 0)) // Test recorders do not support deadlines.
 }
 
-// Begin sends the head of an answer whose body follows in parts. Only the first head
-// is sent: a stream that another target goes on with keeps its own.
+// WriteHead sends the head of an answer whose body follows in parts. Only the first head is sent: a
+// stream that is resumed on another target keeps the head of the first one.
 func (w *Writer) WriteHead(h Head) {
 	if w.headSent {
 		return
@@ -72,7 +71,7 @@
 	w.w.WriteHeader(h.status)
 }
 
-// Write sends a part of the body at once. The head must have gone out.
+// Write sends a part of the body immediately. The head must have been sent before.
 func (w *Writer) Write(part []byte) (err error) {
 	defer func() { err = eris.Wrap(err, "reply: write to the caller") }()
 	if _, err := w.w.Write(part); err != nil {
--- a/internal/reply/writer_test.go
+++ b/internal/reply/writer_test.go
@@ -10,7 +10,7 @@
 	"github.com/barleystep/barleystep/internal/reply"
 )
 
-// target returns the head of a target's answer with fields of its own.
+// targetHead returns the head of a target's answer, with a header field that no other target has.
 func targetHead(id string, status int) reply.Head {
 	answer := &http.Response{StatusCode: status, Header: http.Header{
 		"Mark":           {id},
@@ -26,7 +26,7 @@
 	return reply.FromBox(status, http.Header{"Content-Type": {"text/plain"}})
 }
 
-// TestWriter checks that an answer has the fields of its first head and no other.
+// TestWriter checks that an answer has exactly the fields of its first head.
 func TestWriter(t *testing.T) {
 	cases := map[string]struct {
 		send   func(w *reply.Writer)
@@ -38,11 +38,11 @@
 			func(w *reply.Writer) { w.WriteFull(boxHead(503), []byte("no")) },
 			503, http.Header{"Content-Type": {"text/plain"}, "Content-Length": {"2"}}, "no",
 		},
-		"a target's, whole": {
+		"complete answer of a target": {
 			func(w *reply.Writer) { w.WriteFull(targetHead("A", 500), []byte("bad")) },
 			500, http.Header{"Mark": {"A"}, "Only-A": {"1"}, "Date": nil, "Content-Length": {"3"}}, "bad",
 		},
-		"a target's head, then another's": {
+		"head of a target, then of another": {
 			func(w *reply.Writer) {
 				w.WriteHead(targetHead("A", 200))
 				w.WriteHead(targetHead("B", 206))
@@ -52,7 +52,7 @@
 		"a refusal after the head is not sent": {
 			func(w *reply.Writer) {
 				w.WriteHead(targetHead("A", 200))
-				_ = w.Write([]byte("part")) // A recorder takes all.
+				_ = w.Write([]byte("part")) // A recorder accepts every write.
 				w.WriteFull(boxHead(502), []byte("no"))
 			},
 			200, http.Header{"Mark": {"A"}, "Only-A": {"1"}, "Date": nil}, "part",
@@ -69,7 +69,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			recorder := httptest.NewRecorder()
-			recorder.Header().Set("Left-Over", "1") // Whatever lies there does not go out.
+			recorder.Header().Set("Left-Over", "1") // Fields that are already set must not be sent.
 			tc.send(reply.NewWriter(recorder))
 			c.Check(recorder.Code, quicktest.Equals, tc.status)
 			c.Check(recorder.Header(), quicktest.DeepEquals, tc.header)
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestHeadCopied checks that a head does not change with the answer that it was made
-// from, nor by being sent.
+// TestHeadCopied checks that a head changes neither with the answer that it was made from nor when
+// it is sent.
 func TestHeadCopied(t *testing.T) {
 	c := quicktest.New(t)
 	answer := &http.Response{StatusCode: 200, Header: http.Header{"Mark": {"A"}}}
