--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,5 +1,5 @@
-// Package budget bounds how often requests are sent to a second target, so that
-// a fault at the targets is not made worse by retries.
+// Package budget bounds how often requests are sent to a second target, so that retries do not make
+// a fault at the targets worse.
 package budget
 
 import (
@@ -9,14 +9,13 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Budget is one box's part of the retries that all boxes together may make at
-// each service. Its exported fields are set before use; it is safe for
-// concurrent use.
+// Budget is one box's share of the retries that all boxes together may make for each service. Its
+// exported fields must be set before use; it is safe for concurrent use.
 type Budget struct {
 	Clock barleystep.Clock
-	// Window is the time in which requests and retries are counted.
+	// Window is the period over which requests and retries are counted.
 	Window time.Duration
-	// Boxes returns how many boxes share the budget.
+	// BoxCount returns how many boxes share the budget.
 	BoxCount func() int
 
 	mu       sync.Mutex
@@ -26,19 +25,19 @@
 	services map[string]*serviceCounts
 }
 
-// account counts a service's requests and retries in buckets of a window.
+// serviceCounts counts a service's requests and retries.
 type serviceCounts struct {
 	requests window
 	retries  window
 }
 
 const (
-	// buckets divide a window; the oldest one counts whole, so that a sliding
-	// window anywhere never holds more than what is counted here.
+	// bucketCount is the number of buckets in a window. One more bucket is counted in full, so that
+	// no sliding window holds more than what is counted here.
 	bucketCount = 10
-	// ratioPart and extraPart are what a box uses of its even part. The rest is
-	// for requests that are spread unevenly over boxes, and for boxes that were
-	// started anew and have forgotten what they used.
+	// ratioShare and extraShare are the fractions of its equal share that a box uses. The rest
+	// covers requests that are spread unevenly over boxes, and restarted boxes that have lost their
+	// counts.
 	ratioShare = 0.8
 	extraShare = 0.4
 )
@@ -74,8 +73,8 @@
 	return total
 }
 
-// slot numbers spans of time since the first call. It is a difference of times,
-// so that a step of the time of day does not empty the window.
+// bucket returns the number of the current bucket since the first call. It uses elapsed time, so
+// that a step of the wall clock does not empty the window.
 func (b *Budget) bucket() int64 {
 	now := b.Clock.Now()
 	if b.start.IsZero() {
@@ -96,22 +95,22 @@
 	return a
 }
 
-// Set sets the retries allowed for each request of a service in Window, over all
-// boxes, and those allowed besides.
+// SetLimits sets the number of retries per request of a service within Window, over all boxes, and
+// the number of retries allowed in addition.
 func (b *Budget) SetLimits(ratio, extra float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ratio, b.extra = ratio, extra
 }
 
-// Request counts a request for the service.
+// CountRequest counts a request for the service.
 func (b *Budget) CountRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.serviceCounts(service).requests.add(b.bucket())
 }
 
-// Retry reports whether a request may be sent once more, and counts it if so.
+// AllowRetry reports whether a request may be sent once more, and counts the retry if so.
 func (b *Budget) AllowRetry(service string) bool {
 	boxes := max(b.BoxCount(), 1)
 	b.mu.Lock()
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -27,10 +27,10 @@
 		wait     time.Duration
 		want     int
 	}{
-		"the box's part of the extra":       {10, 0, 0, 4},
-		"alone":                             {1, 0, 0, 40},
-		"with requests":                     {10, 100, 0, 20},
-		"requests of long ago do not count": {10, 100, 2 * window, 4},
+		"share of the additional retries": {10, 0, 0, 4},
+		"alone":                           {1, 0, 0, 40},
+		"with requests":                   {10, 100, 0, 20},
+		"old requests do not count":       {10, 100, 2 * window, 4},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -49,13 +49,13 @@
 	}
 }
 
-// event is a request or a retry of TestBound.
+// event is a request or a retry in TestFleetBound.
 type event struct {
 	at    time.Duration
 	retry bool
 }
 
-// count returns the events of a kind in a span of time.
+// countEvents returns the number of requests or retries between from and to.
 func countEvents(events []event, retry bool, from, to time.Duration) (n int) {
 	for _, e := range events {
 		if e.retry == retry && e.at >= from && e.at < to {
@@ -65,8 +65,7 @@
 	return n
 }
 
-// draw makes requests and retries at random times and returns those that were
-// made.
+// drawEvents makes requests and retries at random times and returns those that were allowed.
 func drawEvents(t *rapid.T) (events []event) {
 	b, manual := newBudget(1)
 	now := time.Duration(0)
@@ -85,8 +84,8 @@
 	return events
 }
 
-// TestBound checks, for any order of requests and retries over time, that no
-// window of any place holds more retries than all boxes together may make.
+// TestFleetBound checks, for random sequences of requests and retries, that no window holds more
+// retries than all boxes together may make.
 func TestFleetBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		events := drawEvents(t)
