--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -1,4 +1,4 @@
-// Package pipeline holds the stages through which requests pass.
+// Package pipeline defines the stages that requests pass through.
 package pipeline
 
 import "context"
@@ -6,16 +6,15 @@
 // Next runs the stages that follow.
 type Next[X any] func(ctx context.Context, x X) error
 
-// Stage is one filter of a pipeline. It returns a *barleystep.Refusal to end the
-// request.
+// Stage is one filter of a pipeline. It returns a *barleystep.Refusal to end the request.
 type Stage[X any] interface {
 	Run(ctx context.Context, x X, next Next[X]) error
 }
 
-// Pipeline runs its stages in order, each around those that follow.
+// Pipeline runs its stages in order, each one wrapping those that follow.
 type Pipeline[X any] []Stage[X]
 
-// Run passes what is being served through all stages.
+// Run passes x through all stages.
 func (p Pipeline[X]) Run(ctx context.Context, x X) error {
 	if len(p) == 0 {
 		return nil
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -26,16 +26,16 @@
 	return err
 }
 
-// TestRun checks the order of stages, and that one may end the request.
+// TestRun checks the order of stages, and that a stage can end the request.
 func TestRun(t *testing.T) {
 	cases := map[string]struct {
 		stages pipeline.Pipeline[*strings.Builder]
 		want   string
 		err    error
 	}{
-		"none":              {nil, "", nil},
-		"around each other": {pipeline.Pipeline[*strings.Builder]{stage{"a", false}, stage{"b", false}}, "abba", nil},
-		"one that ends it":  {pipeline.Pipeline[*strings.Builder]{stage{"a", false}, stage{"b", true}, stage{"c", false}}, "aba", context.Canceled},
+		"none":                        {nil, "", nil},
+		"nested stages":               {pipeline.Pipeline[*strings.Builder]{stage{"a", false}, stage{"b", false}}, "abba", nil},
+		"stage that ends the request": {pipeline.Pipeline[*strings.Builder]{stage{"a", false}, stage{"b", true}, stage{"c", false}}, "aba", context.Canceled},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
