--- a/internal/front/crash_test.go
+++ b/internal/front/crash_test.go
@@ -233,11 +233,11 @@
 	f := newFixture(t, state{view: newView()})
 	m := f.useCrashingTargets(t, 1)[0]
 	arrived := make(chan struct{}, 2)
-	over := make(chan struct{})
-	defer close(over)
+	release := make(chan struct{})
+	defer close(release)
 	m.instead = func(net.Conn) {
 		arrived <- struct{}{}
-		<-over
+		<-release
 	}
 	do := func(body string) <-chan reply {
 		answer := make(chan reply, 1)
--- a/internal/front/deliver.go
+++ b/internal/front/deliver.go
@@ -88,7 +88,7 @@
 			return d.finish(ctx, x, failed, err)
 		}
 		tries++
-		t := &try{stage: d, exchange: x, placement: placement, number: tries, alone: job.EndedTargets > 0}
+		t := &try{stage: d, exchange: x, placement: placement, number: tries, isolated: job.EndedTargets > 0}
 		res, err := t.run(ctx)
 		placement.Done(t.report(ctx, res))
 		if res == resultDone {
@@ -144,13 +144,13 @@
 // as not run, and a begun stream would be cut off. While all targets are full, it therefore asks
 // again for such a request until ctx ends.
 func (d *deliver) requestPlacement(ctx context.Context, x *Exchange, job balance.Job) (p *balance.Placement, err error) {
-	since := d.clock.Now()
+	arrival := d.clock.Now()
 	for {
 		p, err = d.balancer.Place(ctx, job)
 		if !x.mayHaveRun || !eris.Is(err, balance.ErrFull) || !clock.Sleep(ctx, d.clock, claimRetryInterval) {
 			return p, err
 		}
-		job.Arrival = since // The arrival stays the same, so that the wait and the demand are counted once.
+		job.Arrival = arrival // The arrival stays the same, so that the wait and the demand are counted once.
 	}
 }
 
--- a/internal/front/limit_history.go
+++ b/internal/front/limit_history.go
@@ -17,9 +17,9 @@
 
 // longestLimit is the longest time limit of a route in the current and the previous period.
 type longestLimit struct {
-	since    time.Time
-	current  time.Duration
-	previous time.Duration
+	periodStart time.Time
+	current     time.Duration
+	previous    time.Duration
 }
 
 const (
@@ -44,11 +44,11 @@
 	}
 	l, ok := h.routes[route]
 	if !ok {
-		l = &longestLimit{since: now}
+		l = &longestLimit{periodStart: now}
 		h.routes[route] = l
 	}
-	if now.Sub(l.since) > limitPeriod {
-		l.since, l.previous, l.current = now, l.current, 0
+	if now.Sub(l.periodStart) > limitPeriod {
+		l.periodStart, l.previous, l.current = now, l.current, 0
 	}
 	l.current = max(l.current, limit)
 	if sinceFirstTry := max(l.current, l.previous) - limit; sinceFirstTry >= minSinceFirstTry {
--- a/internal/front/reserve_test.go
+++ b/internal/front/reserve_test.go
@@ -60,17 +60,17 @@
 func TestPendingReleases(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(t, state{view: newView()}, eventStream(1, 2, false))
-	over := make(chan struct{})
+	release := make(chan struct{})
 	f.target.orders = []step{func(k net.Conn, r *http.Request) bool {
 		if strings.HasPrefix(r.RequestURI, "/release/") {
-			<-over
+			<-release
 		}
 		return completeAnswer(http.StatusOK, "", "")(k, r)
 	}}
 	c.Check(f.front.PendingReleases(), quicktest.Equals, 0)
 	c.Check(f.do(t, http.MethodPost, "/giant/", "", "Prompt", "1200").status, quicktest.Equals, http.StatusOK)
 	c.Check(f.front.PendingReleases(), quicktest.Equals, 1)
-	close(over)
+	close(release)
 	for f.front.PendingReleases() > 0 {
 		runtime.Gosched()
 	}
@@ -105,15 +105,15 @@
 	}
 }
 
-// TestForeignOrderAnswer checks that an order does not count as accepted because of a late answer
+// TestLateAnswerOnOrder checks that an order does not count as accepted because of a late answer
 // to something else on a reused connection.
-func TestForeignOrderAnswer(t *testing.T) {
+func TestLateAnswerOnOrder(t *testing.T) {
 	cases := map[string]string{
 		"to a request":       "HTTP/1.1 200 X\r\nId: r0\r\nSeal: s\r\nContent-Length: 0\r\n\r\n",
 		"to another order":   "HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n",
 		"without any length": "HTTP/1.1 200 X\r\n\r\n",
 	}
-	for name, foreign := range cases {
+	for name, late := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			view := newView()
@@ -129,7 +129,7 @@
 			}
 			refuse := func(k net.Conn, r *http.Request) bool {
 				if _, ok := used.Load(k); ok {
-					_, _ = io.WriteString(k, foreign)
+					_, _ = io.WriteString(k, late)
 				}
 				return completeAnswer(http.StatusConflict, "", "")(k, r)
 			}
--- a/internal/front/restart_test.go
+++ b/internal/front/restart_test.go
@@ -82,11 +82,11 @@
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			sent := make(chan string, 1)
-			over := make(chan struct{})
+			release := make(chan struct{})
 			stall := func(k net.Conn, r *http.Request) bool {
 				sent <- r.Header.Get("Instance")
 				tc.first(k, r)
-				<-over
+				<-release
 				return false
 			}
 			view := newView()
@@ -105,11 +105,11 @@
 			}
 			c.Check(f.target.requestCount() == 2, quicktest.Equals, tc.moves)
 			if !tc.moves {
-				close(over)
+				close(release)
 			}
 			got := <-answer
 			if tc.moves {
-				close(over)
+				close(release)
 				c.Check(got.broken, quicktest.IsFalse)
 				c.Check(strings.HasSuffix(got.body, tc.end), quicktest.IsTrue, quicktest.Commentf("body %q", got.body))
 			}
@@ -123,11 +123,11 @@
 func TestRestartOfHelper(t *testing.T) {
 	c := quicktest.New(t)
 	view := newView()
-	over := make(chan struct{})
+	release := make(chan struct{})
 	sent := make(chan struct{})
 	stall := func(net.Conn, *http.Request) bool {
 		close(sent)
-		<-over
+		<-release
 		return false
 	}
 	f, targets, manual := newRestartFixture(t, state{view: view}, stall)
@@ -148,7 +148,7 @@
 	}
 	c.Check(before >= 2, quicktest.IsTrue)
 	c.Check(strings.Count(f.target.kinds(), "R"), quicktest.Equals, before)
-	close(over)
+	close(release)
 	<-answer
 }
 
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -108,18 +108,18 @@
 func (s *Server) PendingReleases() int { return int(s.deliver.pendingReleases.Load()) }
 
 // maxUnfinishedLines bounds the lines that LogUnfinished writes. A box serves some dozens of
-// requests at a time, and a thousand log lines may already be queued.
+// requests at a time, and up to a thousand log lines can wait to be written.
 const maxUnfinishedLines = 100
 
-// LogUnfinished logs the phase of each request being served, and since when it lasts. Requests that
-// outlive the process write no other log line.
+// LogUnfinished logs the phase of each request being served and how long it has lasted. Requests
+// that are still running when the process exits write no other log line.
 func (s *Server) LogUnfinished() {
 	now := s.Clock.Now()
 	for _, x := range s.active.oldest(maxUnfinishedLines) {
 		phase, since, target := x.progress.snapshot()
 		s.Log.Warn().Str("request", x.call.RequestID).Str("phase", phase.String()).Str("target", string(target)).
 			Int("prompt", x.call.PromptTokens).Dur("in_phase", now.Sub(since)).Dur("took", now.Sub(x.started)).
-			Msg(logPrefix + "A request has not finished.")
+			Msg(logPrefix + "A request is not finished.")
 	}
 }
 
--- a/internal/front/shutdown_body_test.go
+++ b/internal/front/shutdown_body_test.go
@@ -18,14 +18,14 @@
 	const left = 20 * time.Millisecond
 	for range 40 {
 		c := quicktest.New(t)
-		over := make(chan struct{})
-		f := newFixtureAt(t, clock.System{}, state{view: newView()}, func(net.Conn, *http.Request) bool { <-over; return false })
+		release := make(chan struct{})
+		f := newFixtureAt(t, clock.System{}, state{view: newView()}, func(net.Conn, *http.Request) bool { <-release; return false })
 		answer := make(chan reply, 1)
 		go func() { answer <- f.do(t, http.MethodPost, "/giant/", "whole", "Prompt", "900") }()
 		f.waitRunning(1)
 		f.front.BeginShutdown(clock.System{}.Now().Add(left))
 		got := <-answer
-		close(over)
+		close(release)
 		c.Assert(got.status >= http.StatusInternalServerError, quicktest.IsTrue, quicktest.Commentf("%+v", got))
 	}
 }
--- a/internal/front/shutdown_test.go
+++ b/internal/front/shutdown_test.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// TestLogUnfinished checks that the phase of a request that outlives the process is logged, since
-// such a request writes no other line.
+// TestLogUnfinished checks that the phase of a request that is still running when the process exits
+// is logged, since such a request writes no other line.
 func TestLogUnfinished(t *testing.T) {
 	cases := map[string]struct {
 		begin  func(t *testing.T, f *fixture)
@@ -129,13 +129,13 @@
 	}
 	for phase, tc := range cases {
 		t.Run(phase, func(t *testing.T) {
-			over := make(chan struct{})
-			hang := func(net.Conn, *http.Request) bool { <-over; return false }
+			release := make(chan struct{})
+			hang := func(net.Conn, *http.Request) bool { <-release; return false }
 			if phase == "answering" {
-				hang = func(c net.Conn, r *http.Request) bool { writeOneEvent(c, r); <-over; return false }
+				hang = func(c net.Conn, r *http.Request) bool { writeOneEvent(c, r); <-release; return false }
 			}
 			f, _, out := newSingleEngineFixture(t, hang, hang)
-			t.Cleanup(func() { close(over) }) // Must run before the server closes, which waits for requests.
+			t.Cleanup(func() { close(release) }) // Must run before the server closes, which waits for requests.
 			tc.begin(t, f)
 			for found := false; !found; {
 				f.front.LogUnfinished()
@@ -213,16 +213,16 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			over := make(chan struct{})
+			release := make(chan struct{})
 			engine := func(k net.Conn, r *http.Request) bool {
 				if tc.status == http.StatusOK {
 					writeOneEvent(k, r)
 				}
-				<-over
+				<-release
 				return false
 			}
 			f, manual, _ := newSingleEngineFixture(t, engine, engine)
-			t.Cleanup(func() { close(over) }) // Must run before the server closes, which waits for requests.
+			t.Cleanup(func() { close(release) }) // Must run before the server closes, which waits for requests.
 			answer := tc.begin(t, f)
 			waitTimers(manual, tc.timers)
 			f.front.BeginShutdown(manual.Now().Add(left))
@@ -276,10 +276,10 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			goOn := make(chan struct{})
+			release := make(chan struct{})
 			stall := func(k net.Conn, r *http.Request) bool {
 				writeOneEvent(k, r)
-				<-goOn
+				<-release
 				rawAnswer("12\r\nid: 2\ndata: late\n\n\r\n0\r\n\r\n")(k, r)
 				return false
 			}
@@ -304,7 +304,7 @@
 					runtime.Gosched() // The stall watch is running its check.
 				}
 			}
-			close(goOn)
+			close(release)
 			c.Check((<-answer).broken, quicktest.IsFalse)
 			c.Check(f.target.requestCount(), quicktest.Equals, tc.sends)
 		})
--- a/internal/front/source_test.go
+++ b/internal/front/source_test.go
@@ -181,53 +181,53 @@
 }
 
 // precededBy sends the text of another answer before the answer.
-func precededBy(foreign string, e answerFunc) answerFunc {
+func precededBy(first string, e answerFunc) answerFunc {
 	return func(a *sentAnswer, r *http.Request) (string, connAction) {
 		own, then := e(a, r)
-		return foreign + own, then
+		return first + own, then
 	}
 }
 
 const (
-	foreignAnswer = "HTTP/1.1 200 X\r\nId: other\r\nMark: 77\r\nSeal: s77\r\nContent-Length: 8\r\n\r\nmark-77;"
-	unnamedAnswer = "HTTP/1.1 200 X\r\nMark: 77\r\nSeal: s77\r\nContent-Length: 8\r\n\r\nmark-77;"
+	otherRequestAnswer = "HTTP/1.1 200 X\r\nId: other\r\nMark: 77\r\nSeal: s77\r\nContent-Length: 8\r\n\r\nmark-77;"
+	unnamedAnswer      = "HTTP/1.1 200 X\r\nMark: 77\r\nSeal: s77\r\nContent-Length: 8\r\n\r\nmark-77;"
 )
 
 // answerCases are the answers tested for the first try.
 var answerCases = map[string]answerFunc{
-	"complete, by length":              complete(200, true, true, framedByLength, ""),
-	"complete, by chunks":              complete(200, true, true, framedByChunks, ""),
-	"complete, by close":               complete(200, true, true, framedByClose, ""),
-	"complete after a foreign answer":  precededBy(foreignAnswer, complete(200, true, true, framedByLength, "")),
-	"complete after an unnamed answer": precededBy(unnamedAnswer, complete(200, true, true, framedByLength, "")),
-	"complete after an interim answer": precededBy("HTTP/1.1 102 X\r\nMark: 77\r\nSeal: s77\r\n\r\n", complete(200, true, true, framedByLength, "")),
-	"foreign answer only":              rawText(foreignAnswer),
-	"unnamed answer only":              rawText(unnamedAnswer),
-	"without digest":                   complete(200, false, true, framedByLength, ""),
-	"encoded":                          complete(200, true, true, framedByLength, "Content-Encoding: gzip\r\n"),
-	"failure":                          complete(500, true, true, framedByLength, ""),
-	"failure of another kind":          complete(507, true, true, framedByChunks, "Retry-After: 9\r\n"),
-	"failure without digest":           complete(500, false, true, framedByLength, ""),
-	"its time limit":                   complete(504, true, true, framedByLength, ""),
-	"client error":                     complete(422, true, true, framedByLength, ""),
-	"busy, may have run":               complete(503, true, true, framedByLength, "Retry-After: 9\r\n"),
-	"too many, may have run":           complete(429, true, true, framedByLength, "Retry-After: 9\r\n"),
-	"too slow, may have run":           complete(408, true, true, framedByLength, ""),
-	"shed":                             complete(503, true, false, framedByLength, "Not-Run: 1\r\nRetry-After: 9\r\n"),
-	"shed without digest":              complete(429, false, false, framedByLength, "Not-Run: 1\r\n"),
-	"truncated failure":                truncated(500, 0.5, framedByLength, closeConn),
-	"head only, by length":             truncated(200, 0, framedByLength, closeConn),
-	"head only, by chunks":             truncated(200, 0, framedByChunks, closeConn),
-	"head, then silence":               truncated(200, 0, framedByChunks, stallConn),
-	"head only, by close":              emptyBody,
-	"truncated in the first event":     truncated(200, 0.05, framedByChunks, closeConn),
-	"truncated midway, by length":      truncated(200, 0.5, framedByLength, closeConn),
-	"truncated midway, by chunks":      truncated(200, 0.5, framedByChunks, closeConn),
-	"silent midway":                    truncated(200, 0.5, framedByChunks, stallConn),
-	"closed":                           sendNothing(closeConn),
-	"silent":                           sendNothing(stallConn),
-	"not an answer":                    rawText("zzz\r\n\r\n"),
-	"truncated head":                   rawText("HTTP/1.1 200 X\r\nId: ID\r\nSeal: s1\r\nMark: 1\r\n"),
+	"complete, by length":                     complete(200, true, true, framedByLength, ""),
+	"complete, by chunks":                     complete(200, true, true, framedByChunks, ""),
+	"complete, by close":                      complete(200, true, true, framedByClose, ""),
+	"complete after another request's answer": precededBy(otherRequestAnswer, complete(200, true, true, framedByLength, "")),
+	"complete after an unnamed answer":        precededBy(unnamedAnswer, complete(200, true, true, framedByLength, "")),
+	"complete after an interim answer":        precededBy("HTTP/1.1 102 X\r\nMark: 77\r\nSeal: s77\r\n\r\n", complete(200, true, true, framedByLength, "")),
+	"another request's answer only":           rawText(otherRequestAnswer),
+	"unnamed answer only":                     rawText(unnamedAnswer),
+	"without digest":                          complete(200, false, true, framedByLength, ""),
+	"encoded":                                 complete(200, true, true, framedByLength, "Content-Encoding: gzip\r\n"),
+	"failure":                                 complete(500, true, true, framedByLength, ""),
+	"failure of another kind":                 complete(507, true, true, framedByChunks, "Retry-After: 9\r\n"),
+	"failure without digest":                  complete(500, false, true, framedByLength, ""),
+	"its time limit":                          complete(504, true, true, framedByLength, ""),
+	"client error":                            complete(422, true, true, framedByLength, ""),
+	"busy, may have run":                      complete(503, true, true, framedByLength, "Retry-After: 9\r\n"),
+	"too many, may have run":                  complete(429, true, true, framedByLength, "Retry-After: 9\r\n"),
+	"too slow, may have run":                  complete(408, true, true, framedByLength, ""),
+	"shed":                                    complete(503, true, false, framedByLength, "Not-Run: 1\r\nRetry-After: 9\r\n"),
+	"shed without digest":                     complete(429, false, false, framedByLength, "Not-Run: 1\r\n"),
+	"truncated failure":                       truncated(500, 0.5, framedByLength, closeConn),
+	"head only, by length":                    truncated(200, 0, framedByLength, closeConn),
+	"head only, by chunks":                    truncated(200, 0, framedByChunks, closeConn),
+	"head, then silence":                      truncated(200, 0, framedByChunks, stallConn),
+	"head only, by close":                     emptyBody,
+	"truncated in the first event":            truncated(200, 0.05, framedByChunks, closeConn),
+	"truncated midway, by length":             truncated(200, 0.5, framedByLength, closeConn),
+	"truncated midway, by chunks":             truncated(200, 0.5, framedByChunks, closeConn),
+	"silent midway":                           truncated(200, 0.5, framedByChunks, stallConn),
+	"closed":                                  sendNothing(closeConn),
+	"silent":                                  sendNothing(stallConn),
+	"not an answer":                           rawText("zzz\r\n\r\n"),
+	"truncated head":                          rawText("HTTP/1.1 200 X\r\nId: ID\r\nSeal: s1\r\nMark: 1\r\n"),
 }
 
 // followUp is what happens after the first try.
@@ -239,16 +239,16 @@
 }
 
 var followUps = map[string]followUp{
-	"another serves":                 {second: answerCases["complete, by chunks"]},
-	"another sheds":                  {second: answerCases["shed"]},
-	"another fails":                  {second: answerCases["failure of another kind"]},
-	"another closes":                 {second: answerCases["closed"]},
-	"another breaks after its head":  {second: answerCases["head only, by chunks"]},
-	"another is silent":              {second: answerCases["head, then silence"]},
-	"another sends a foreign answer": {second: answerCases["foreign answer only"]},
-	"no other target":                {prepare: func(f *fixture) { f.targets = f.targets[:1] }},
-	"no retry left":                  {prepare: func(f *fixture) { f.front.Budget.SetLimits(0, 0) }},
-	"another is unreachable":         {prepare: func(f *fixture) { f.targets[1].Addr = "127.0.0.1:1" }},
+	"another serves":                  {second: answerCases["complete, by chunks"]},
+	"another sheds":                   {second: answerCases["shed"]},
+	"another fails":                   {second: answerCases["failure of another kind"]},
+	"another closes":                  {second: answerCases["closed"]},
+	"another breaks after its head":   {second: answerCases["head only, by chunks"]},
+	"another is silent":               {second: answerCases["head, then silence"]},
+	"another answers another request": {second: answerCases["another request's answer only"]},
+	"no other target":                 {prepare: func(f *fixture) { f.targets = f.targets[:1] }},
+	"no retry left":                   {prepare: func(f *fixture) { f.front.Budget.SetLimits(0, 0) }},
+	"another is unreachable":          {prepare: func(f *fixture) { f.targets[1].Addr = "127.0.0.1:1" }},
 }
 
 // TestAnswerFromSingleSource checks that all parts of an answer come from a single source, whatever
--- a/internal/front/stall_test.go
+++ b/internal/front/stall_test.go
@@ -20,10 +20,10 @@
 	for name, budgeted := range map[string]bool{"retry allowed": true, "no retry left": false} {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			stopped := make(chan struct{})
+			release := make(chan struct{})
 			stall := func(k net.Conn, r *http.Request) bool {
 				rawAnswer("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n11\r\nid: 1\ndata: xyz\n\n\r\n")(k, r)
-				<-stopped
+				<-release
 				rawAnswer("12\r\nid: 2\ndata: late\n\n\r\n0\r\n\r\n")(k, r)
 				return false
 			}
@@ -43,7 +43,7 @@
 				manual.Advance(100 * time.Millisecond)
 				runtime.Gosched()
 			}
-			close(stopped)
+			close(release)
 			got := <-answer
 			c.Check(got.broken, quicktest.IsFalse)
 			if budgeted {
@@ -62,13 +62,13 @@
 func TestStalledStreamOnDownTarget(t *testing.T) {
 	const never = 24 * time.Hour
 	c := quicktest.New(t)
-	stopped := make(chan struct{})
-	defer close(stopped)
+	release := make(chan struct{})
+	defer close(release)
 	begun := make(chan struct{})
 	stall := func(k net.Conn, r *http.Request) bool {
 		rawAnswer("HTTP/1.1 200 OK\r\nId: ID\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n11\r\nid: 1\ndata: xyz\n\n\r\n")(k, r)
 		close(begun)
-		<-stopped
+		<-release
 		return false
 	}
 	manual := clock.NewManual(time.Unix(1000, 0))
@@ -97,9 +97,9 @@
 // waits for a slot elsewhere for longer than a request that can still be refused.
 func TestBrokenStreamWaitsForSlot(t *testing.T) {
 	c := quicktest.New(t)
-	over := make(chan struct{})
+	release := make(chan struct{})
 	busy := func(k net.Conn, r *http.Request) bool {
-		<-over
+		<-release
 		eventStream(1, 1, false)(k, r)
 		return true // The connection is kept and may serve the other stream.
 	}
@@ -140,7 +140,7 @@
 	for range 30 { // Three seconds, twice as long as a short prompt waits.
 		pass()
 	}
-	close(over)
+	close(release)
 	c.Check((<-first).broken, quicktest.IsFalse)
 	out.waitFor(t, "route", "/plainstream/") // The slot is free, or taken again.
 	for placed() == 0 && len(second) == 0 {
--- a/internal/front/suspect.go
+++ b/internal/front/suspect.go
@@ -100,7 +100,7 @@
 	if t.timeToFirst == 0 {
 		endFlags |= suspect.BeforeFirstEvent
 	}
-	if t.alone {
+	if t.isolated {
 		endFlags |= suspect.RanAlone
 	}
 	return endFlags
--- a/internal/front/try.go
+++ b/internal/front/try.go
@@ -27,7 +27,7 @@
 	// number is the sequence number of the try within the request, including tries that reached no
 	// target.
 	number         int
-	alone          bool // alone is set for a suspect, whose target gets no other requests.
+	isolated       bool // isolated is set for a suspect, whose target gets no other requests.
 	started        time.Time
 	sent           time.Time     // sent is when the request was sent to the target.
 	head           reply.Head    // head is the head of the target's answer.
--- a/internal/lead/client_test.go
+++ b/internal/lead/client_test.go
@@ -97,12 +97,12 @@
 		}()
 		return placed
 	}
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	first := ask(ctx)
 	for asks.Load() < 1 {
 		runtime.Gosched()
 	}
-	leave()
+	cancel()
 	<-first
 	second := ask(context.Background())
 	for asks.Load() < 2 && len(second) == 0 {
@@ -119,13 +119,13 @@
 // newBoxWithSilentLead returns a box whose lead accepts calls and never answers.
 func newBoxWithSilentLead(t *testing.T) (box *balance.Balancer, clk *clock.Manual, asks *atomic.Int64) {
 	asks = &atomic.Int64{}
-	over := make(chan struct{})
+	release := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		asks.Add(1)
-		<-over
+		<-release
 	}))
 	t.Cleanup(server.Close)
-	t.Cleanup(func() { close(over) })
+	t.Cleanup(func() { close(release) })
 	clk = clock.NewManual(time.Unix(1000, 0))
 	box = newBalancer(clk, engines...)
 	box.Lead = &lead.Client{
