--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -37,7 +37,7 @@
 		sends  int
 		broken bool
 	}{
-		"whole answer":                     {"/once/", []step{ok}, 200, "good", 1, false},
+		"complete answer":                  {"/once/", []step{ok}, 200, "good", 1, false},
 		"shed once, repeatable":            {"/again/", []step{shed, ok}, 200, "good", 2, false},
 		"shed twice":                       {"/again/", []step{shed, shed, ok}, 503, "", 2, false},
 		"closed, not repeatable":           {"/once/", []step{rawAnswer(""), ok}, 502, "", 1, false},
--- a/internal/front/leaving_test.go
+++ b/internal/front/leaving_test.go
@@ -24,7 +24,7 @@
 		status int
 		left   bool
 	}{
-		"whole answer":             {"/once/", completeAnswer(200, sealed+leaves, "good"), 200, true},
+		"complete answer":          {"/once/", completeAnswer(200, sealed+leaves, "good"), 200, true},
 		"own failure":              {"/once/", completeAnswer(500, sealed+leaves, "bad"), 500, true},
 		"not run":                  {"/once/", completeAnswer(503, "Not-Run: 1\r\n"+leaves, ""), 503, true},
 		"without digest":           {"/once/", completeAnswer(200, leaves, "forged"), 502, true},
--- a/internal/front/limit_test.go
+++ b/internal/front/limit_test.go
@@ -16,7 +16,7 @@
 		first  step
 		status int
 	}{
-		"whole answer":     {"/once/", completeAnswer(200, sealed+takes, "good"), 200},
+		"complete answer":  {"/once/", completeAnswer(200, sealed+takes, "good"), 200},
 		"own failure":      {"/once/", completeAnswer(500, sealed+takes, "bad"), 500},
 		"not run":          {"/once/", completeAnswer(503, "Not-Run: 1\r\n"+takes, ""), 503},
 		"without digest":   {"/once/", completeAnswer(200, takes, "forged"), 502},
