--- a/band.go
+++ b/band.go
@@ -1,24 +1,24 @@
 package barleystep
 
-// Band groups prompts by length in tokens.
+// Band classifies prompts by their length in tokens.
 type Band uint8
 
 // The bands of prompt length.
 const (
-	// Band4k holds prompts of fewer than 4,000 tokens.
+	// Band4k covers prompts of fewer than 4,000 tokens.
 	Band4k Band = iota
-	// Band16k holds prompts from 4,000 to below 16,000 tokens.
+	// Band16k covers prompts from 4,000 to below 16,000 tokens.
 	Band16k
-	// Band100k holds prompts from 16,000 to below 100,000 tokens.
+	// Band100k covers prompts from 16,000 to below 100,000 tokens.
 	Band100k
-	// Band1M holds prompts of 100,000 tokens and more.
+	// Band1M covers prompts of 100,000 tokens and more.
 	Band1M
 )
 
 // Bands lists all bands, shortest first.
 var Bands = [...]Band{Band4k, Band16k, Band100k, Band1M}
 
-// The first prompt lengths of the bands, in tokens.
+// Lower bounds of the bands, in tokens.
 const (
 	band16kFrom  = 4_000
 	band100kFrom = 16_000
@@ -39,7 +39,7 @@
 	}
 }
 
-// Long reports whether prompts of the band are kept apart from short work.
+// Long reports whether prompts of the band are scheduled apart from short work.
 func (b Band) Long() bool { return b >= Band100k }
 
 // String returns the range of the band, such as "4k-16k".
--- a/box.go
+++ b/box.go
@@ -11,27 +11,28 @@
 	"github.com/barleystep/barleystep/internal/strict"
 )
 
-// BoxID names a box in the platform's list, for example "cluj-hala1-e3".
+// BoxID is the name of a box in the platform's list, such as "cluj-hala1-e3".
 type BoxID string
 
-// Spread returns the box's place from 0 to 1 among boxes that would otherwise act at one
-// moment: another one for each name, and the same on all boxes.
+// Jitter returns a fraction in [0, 1) that is derived from a hash of the name. It spreads the
+// actions of boxes that would otherwise act at the same moment, and every box computes the same
+// value for a name.
 func (id BoxID) Jitter() float64 {
-	const bits = 53 // A float64 holds so many exactly.
+	const bits = 53 // A float64 represents integers of this size exactly.
 	return float64(xxhash.Sum64String(string(id))>>(64-bits)) / (1 << bits)
 }
 
-// HallID names a hall, for example "dej-hala".
+// HallID is the name of a hall, such as "dej-hala".
 type HallID string
 
-// Incarnation tells apart the starts of the same box. A later start has a
-// greater one, as far as the box's clock is right; zero is never used.
+// Incarnation distinguishes the starts of the same box. A later start has a greater value as
+// far as the clock of the box is right. Zero is never used.
 type Incarnation uint64
 
 // String returns the incarnation as sixteen hexadecimal digits.
 func (i Incarnation) String() string { return fmt.Sprintf("%016x", uint64(i)) }
 
-// Box is one entry of the platform's list of boxes.
+// Box is an entry of the platform's list of boxes.
 type Box struct {
 	id      BoxID
 	hall    HallID
@@ -39,7 +40,7 @@
 	leaving bool
 }
 
-// NewBox returns a box. The address is the IP and port of its peer listener.
+// NewBox returns a box; addr is the IP and port of its peer listener.
 func NewBox(id BoxID, hall HallID, addr string, leaving bool) Box {
 	return Box{id: id, hall: hall, addr: addr, leaving: leaving}
 }
@@ -47,43 +48,44 @@
 // ID returns the name of the box.
 func (b Box) ID() BoxID { return b.id }
 
-// Hall returns the hall in which the box stands.
+// Hall returns the hall that the box belongs to.
 func (b Box) Hall() HallID { return b.hall }
 
 // Addr returns the IP and port of the peer listener.
 func (b Box) Addr() string { return b.addr }
 
-// Leaving reports whether the platform has announced a stop of the box.
+// Leaving reports whether the platform has announced that the box will stop.
 func (b Box) Leaving() bool { return b.leaving }
 
-// BoxList is the platform's list of live and leaving boxes. It lags behind.
+// BoxList is the platform's list of live and leaving boxes. It may be out of date.
 type BoxList interface {
 	// Boxes returns all boxes that the platform knows, or ErrUnavailable.
 	Boxes(ctx context.Context) ([]Box, error)
 }
 
-// boxRecord is the form in which a box lies in the platform's store.
+// boxRecord is the JSON form of a box in the platform's store.
 type boxRecord struct {
 	Hall    string `json:"hall"`
 	Addr    string `json:"addr"`
 	Leaving bool   `json:"leaving,omitempty"`
 }
 
-// EncodeBox returns the value of the box's record under TopicBoxes; its key is
-// the name of the box.
+// EncodeBox returns the value of the box's record in TopicBoxes. The key of the record is the
+// name of the box.
 func EncodeBox(b Box) (value []byte, err error) {
 	value, err = json.Marshal(boxRecord{Hall: string(b.hall), Addr: b.addr, Leaving: b.leaving})
 	return value, eris.Wrap(err, "barleystep: encode box")
 }
 
-// The fields of a box's record.
+// Field names of a box's record.
 const (
 	fieldHall    = "hall"
 	fieldAddr    = "addr"
 	fieldLeaving = "leaving"
 )
 
-// DecodeBox reads a record of TopicBoxes. An error says that no box wrote it.
+// DecodeBox decodes a record of TopicBoxes. It returns an error for a record that no box can
+// have written.
 func DecodeBox(r Record) (b Box, err error) {
 	defer func() {
 		if err != nil {
--- a/box_test.go
+++ b/box_test.go
@@ -8,12 +8,12 @@
 	"github.com/barleystep/barleystep"
 )
 
-// TestDecodeBox checks that a box reads what boxes write.
+// TestDecodeBox checks that a box decodes what a box has encoded.
 func TestDecodeBox(t *testing.T) {
 	cases := map[string]barleystep.Box{
-		"serves":        barleystep.NewBox("b1", "h", "10.0.0.1:80", false),
-		"leaves":        barleystep.NewBox("b1", "h", "10.0.0.1:80", true),
-		"address of 16": barleystep.NewBox("b1", "h", "[fd00::1]:80", false),
+		"serving":      barleystep.NewBox("b1", "h", "10.0.0.1:80", false),
+		"leaving":      barleystep.NewBox("b1", "h", "10.0.0.1:80", true),
+		"IPv6 address": barleystep.NewBox("b1", "h", "[fd00::1]:80", false),
 	}
 	for name, b := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -26,7 +26,7 @@
 	}
 }
 
-// foreignBoxes are records that no box writes.
+// invalidBoxes are records that no box writes.
 var invalidBoxes = map[string]string{
 	"nothing":               ``,
 	"no JSON":               `{"hall"`,
@@ -40,7 +40,7 @@
 	"address is null":       `{"hall":"h","addr":null}`,
 	"address is a name":     `{"hall":"h","addr":"box.example:80"}`,
 	"address with port 0":   `{"hall":"h","addr":"10.0.0.1:0"}`,
-	"address of nobody":     `{"hall":"h","addr":"0.0.0.0:80"}`,
+	"unspecified address":   `{"hall":"h","addr":"0.0.0.0:80"}`,
 	"leaving is a text":     `{"hall":"h","addr":"10.0.0.1:80","leaving":"no"}`,
 	"leaving is null":       `{"hall":"h","addr":"10.0.0.1:80","leaving":null}`,
 	"a target's own record": `{"service":"lm","address":"10.0.0.1:80","zone":"z","slots":16,"state":"ready"}`,
@@ -58,7 +58,8 @@
 	quicktest.Check(t, err, quicktest.ErrorMatches, `barleystep: decode box "": .*`)
 }
 
-// FuzzDecodeBox checks that whatever another writer leaves is refused or names a box.
+// FuzzDecodeBox checks that any value is either refused or decoded to a box whose fields are
+// all set.
 func FuzzDecodeBox(f *testing.F) {
 	for _, value := range invalidBoxes {
 		f.Add("b1", []byte(value))
--- a/clock.go
+++ b/clock.go
@@ -2,15 +2,12 @@
 
 import "time"
 
-// Clock tells the time and makes timers. Every part takes its clock from
-// outside, so that tests can set the time. Implementations are safe for
-// concurrent use.
+// Clock tells the time and makes timers. Components take it as a dependency so that tests can
+// control time. Implementations are safe for concurrent use.
 type Clock interface {
-	// Now returns the current time. Differences between two results of one
-	// clock are monotonic.
+	// Now returns the current time. Differences between two results of one clock are monotonic.
 	Now() time.Time
-	// NewTimer returns a timer that fires once after d; a d of zero or less
-	// fires at once.
+	// NewTimer returns a timer that fires once after d, or at once if d is zero or less.
 	NewTimer(d time.Duration) Timer
 }
 
@@ -18,6 +15,6 @@
 type Timer interface {
 	// C returns the channel on which the timer sends once when it fires.
 	C() <-chan time.Time
-	// Stop keeps the timer from firing. It reports false if it has fired.
+	// Stop prevents the timer from firing. It returns false if the timer has already fired.
 	Stop() bool
 }
--- a/doc.go
+++ b/doc.go
@@ -1,11 +1,10 @@
-// Package barleystep is the public face of the barleystep serving layer.
+// Package barleystep holds the public types and interfaces of the barleystep serving layer.
 //
-// It holds the types that callers, operators and back ends share (outcomes,
-// attempts, configuration entries) and the interfaces behind which everything
-// outside a box is reached: Engine, Service, Table, ObjectStore, BoxList and
-// Clock. Implementations live below internal/ and are wired together by the
-// programs under cmd/.
+// The types are those that callers, operators and targets share, such as outcomes, attempts and
+// refusals. The interfaces stand for everything outside a box: Engine, Service, Table,
+// ObjectStore, Catalogue, BoxList, Network and Clock. Implementations live under platform/ and
+// internal/, and the programs under cmd/ wire them together.
 //
-// Nothing in this package keeps state or starts goroutines. All types are safe
-// to copy unless their comment says otherwise.
+// The package keeps no state and starts no goroutines. All types are safe to copy unless their
+// documentation says otherwise.
 package barleystep
--- a/errors.go
+++ b/errors.go
@@ -2,38 +2,34 @@
 
 import "github.com/rotisserie/eris"
 
-// Fault classifies an error of a system outside the box by what it says about
-// the effect of the call.
+// Fault classifies an error of an external system by what it says about the effect of the call.
 type Fault uint8
 
-// The faults of the platform's services and of targets.
+// Faults of the platform's services and of targets.
 const (
-	// FaultNone is the classification of a nil error.
+	// FaultNone is the class of a nil error.
 	FaultNone Fault = iota
-	// FaultConflict means that a condition did not hold: nothing was written.
+	// FaultConflict means that a condition did not hold and nothing was written.
 	FaultConflict
-	// FaultUnavailable means that the call had no effect and never will.
+	// FaultUnavailable means that the call had no effect and never will have.
 	FaultUnavailable
-	// FaultUnknownEffect means that the call may have taken effect, or may
-	// still take effect later.
+	// FaultUnknownEffect means that the call may have taken effect, or may still do so.
 	FaultUnknownEffect
 )
 
-// The sentinel errors that carry the faults. Compare with FaultOf, which looks
-// through wrapping.
+// Sentinel errors for the faults. Use FaultOf to classify an error, also a wrapped one.
 var (
 	// ErrConflict is returned by Table.Commit when a condition does not hold.
 	ErrConflict = eris.New("barleystep: conflict")
 	// ErrUnavailable is returned when a call certainly had no effect.
 	ErrUnavailable = eris.New("barleystep: unavailable")
-	// ErrUnknownEffect is returned when the answer of a call was lost.
+	// ErrUnknownEffect is returned when the response to a call was lost.
 	ErrUnknownEffect = eris.New("barleystep: effect unknown")
 	// ErrNotFound is returned by ObjectStore.Get for a missing object.
 	ErrNotFound = eris.New("barleystep: not found")
 )
 
-// FaultOf classifies err. An error of no known kind counts as
-// FaultUnknownEffect, the cautious reading.
+// FaultOf classifies err. Any other error counts as FaultUnknownEffect, the safe assumption.
 func FaultOf(err error) Fault {
 	switch {
 	case err == nil:
@@ -47,7 +43,7 @@
 	}
 }
 
-// String returns a short name for logs and metric attributes.
+// String returns the name of the fault in logs and metric attributes.
 func (f Fault) String() string {
 	switch f {
 	case FaultNone:
--- a/protocol.go
+++ b/protocol.go
@@ -5,87 +5,88 @@
 	"time"
 )
 
-// Call is what the headers of a caller's request say of it.
+// CallerHeaders holds what the headers of a caller's request contain.
 type CallerHeaders struct {
-	// ID names the caller's attempt; no two attempts share one.
+	// RequestID identifies the caller's attempt; no two attempts share one.
 	RequestID string
-	// Key is the secret of the client account.
+	// APIKey is the secret of the client account.
 	APIKey string
-	// TimeLimit is how long the caller waits; zero says nothing.
+	// TimeLimit is how long the caller waits; zero if unset.
 	TimeLimit time.Duration
-	// Prompt is the prompt's length in tokens, Output the most tokens that may
-	// be generated; zero where the caller does not say.
+	// PromptTokens is the length of the prompt and MaxOutputTokens the most tokens that may be
+	// generated; zero where the caller does not say.
 	PromptTokens    int
 	MaxOutputTokens int
-	// LastEvent is the id of the last event that the caller has of a stream.
+	// LastEventID is the id of the last event of a stream that the caller has received.
 	LastEventID string
 }
 
-// Delivery is what a target is told of a request besides the caller's headers.
+// TargetHeaders holds what a box tells a target about a request in addition to the caller's
+// headers.
 type TargetHeaders struct {
-	// Instance is the target that is meant; any other must refuse the request.
+	// Target is the intended target; any other must refuse the request.
 	Target TargetID
 	// Account is the name of the client account, empty on public routes.
 	Account string
 	// TimeLeft is how long the caller still waits.
 	TimeLeft time.Duration
-	// LastEvent, if set, asks a stream to go on after the event with the id.
+	// LastEventID, if set, asks the target to resume a stream after the event with the id.
 	LastEventID string
-	// Helpers are the targets that read parts of the prompt.
+	// Helpers are the targets that process parts of the prompt.
 	Helpers []Helper
 }
 
-// Helper is a target that reads a part of a prompt for another one.
+// Helper is a target that processes a part of a prompt for another target.
 type Helper struct {
 	// Addr is the IP and port.
 	Addr string
-	// Reservation is the id under which memory for a part of the prompt is set
-	// aside at the helper; empty if the memory is found elsewhere.
+	// ReservationID identifies the memory reserved at the helper for a part of the prompt;
+	// empty if no memory is reserved there.
 	ReservationID string
 }
 
-// Reservation is memory that is set aside at a target for one request.
+// Reservation is memory that a target reserves for one request.
 type Reservation struct {
-	// ID names the reservation; making it again renews it.
+	// ID identifies the reservation. Reserving again under the same id renews it.
 	ID string
-	// Tokens is how much memory is set aside.
+	// Tokens is the size of the reserved memory.
 	Tokens int
-	// Hold is how long it is set aside from the target's taking of the order on.
+	// Hold is how long the reservation lasts, counted from when the target accepts it.
 	Hold time.Duration
 }
 
-// Verdict is what the head of a target's answer says, besides its status.
+// ResponseHead holds what the head of a target's response says besides its status.
 type ResponseHead struct {
-	// ID is the request that the answer belongs to; each answer to a request names it.
+	// RequestID is the request that the response belongs to; every response names it.
 	RequestID string
-	// Sealed is set when the answer carries the target's digest, without which
-	// a success does not count.
+	// HasDigest is set if the response carries the digest of the target. A success without it
+	// does not count.
 	HasDigest bool
-	// NotRun is set when the target says that it did not run the request.
+	// NotRun is set if the target states that it did not run the request.
 	NotRun bool
-	// Encoded is set when somebody re-encoded the body on its way.
+	// Reencoded is set if an intermediary has re-encoded the body.
 	Reencoded bool
-	// Blamed is the id or the address of the target that is the reason why the request
-	// was not run, if the target names one: itself, or a helper.
+	// RefusedBy is the id or the address of the target because of which the request was not
+	// run, if the response names one: the target itself or a helper.
 	RefusedBy string
 	// Statement is what the target says of itself.
 	Statement Statement
 }
 
-// Protocol is how requests are written on the wire between callers, boxes and
-// targets. Implementations keep no state.
+// Protocol translates between the project's types and the headers and orders on the wire
+// between callers, boxes and targets. Implementations are stateless.
 type Protocol interface {
-	// Call reads the headers of a caller's request.
+	// ReadCallerHeaders reads the headers of a caller's request.
 	ReadCallerHeaders(h http.Header) CallerHeaders
-	// Prepare changes a copy of the caller's headers into those for a target.
+	// SetTargetHeaders turns a copy of the caller's headers into those for a target.
 	SetTargetHeaders(h http.Header, d TargetHeaders)
-	// Verdict reads the head of a target's answer.
+	// ReadResponseHead reads the head of a target's response.
 	ReadResponseHead(status int, h http.Header) ResponseHead
-	// Reserve returns the order that sets memory aside at a target. It is in force
-	// if the target answers 200.
+	// ReserveRequest returns the request that reserves memory at a target. The reservation
+	// holds if the target answers 200.
 	ReserveRequest(r Reservation) (req *http.Request, body []byte)
-	// Release returns the order that ends a reservation.
+	// ReleaseRequest returns the request that ends a reservation.
 	ReleaseRequest(id string) (req *http.Request, body []byte)
-	// Answer writes the headers of an answer that the box itself gives.
+	// SetResponseHeaders sets the headers of a response that the box itself generates.
 	SetResponseHeaders(h http.Header, id string, retryAfter time.Duration)
 }
--- a/ratelimit.go
+++ b/ratelimit.go
@@ -1,19 +1,19 @@
 package barleystep
 
-// RateLimit is how many requests a second a target takes from all boxes together. Its zero
-// value is no limit.
+// RateLimit is the request rate that a target accepts from all boxes together. The zero value
+// is no limit.
 type RateLimit struct {
 	named     bool
 	perSecond float64
 }
 
-// NewRateLimit returns the limit that a target has named, in requests a second.
+// NewRateLimit returns a limit in requests per second.
 func NewRateLimit(perSecond float64) RateLimit {
 	return RateLimit{named: true, perSecond: perSecond}
 }
 
-// Named reports whether there is a limit.
+// IsSet reports whether there is a limit.
 func (l RateLimit) IsSet() bool { return l.named }
 
-// PerSecond returns the limit in requests a second, zero if none is named.
+// PerSecond returns the limit in requests per second, zero if there is none.
 func (l RateLimit) PerSecond() float64 { return l.perSecond }
--- a/refusal.go
+++ b/refusal.go
@@ -6,11 +6,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// Reason names why a request was refused or did not finish. Each reason has a
-// counter of its own.
+// Reason tells why a request was refused or did not complete. Each reason has its own counter.
 type Reason string
 
-// The reasons of refusals and failures.
+// Reasons of refusals and failures.
 const (
 	ReasonMalformed             Reason = "malformed_body"
 	ReasonBodyTooLarge          Reason = "body_too_large"
@@ -44,7 +43,7 @@
 	ReasonInternal              Reason = "internal"
 )
 
-// Refusal is the typed error by which a request ends without a whole answer.
+// Refusal is the error of a request that ends without a complete answer.
 type Refusal struct {
 	reason  Reason
 	outcome Outcome
@@ -57,7 +56,7 @@
 	return &Refusal{reason: reason, outcome: outcome, message: message}
 }
 
-// WithRetryAfter returns a copy that tells the caller when to come back.
+// WithRetryAfter returns a copy that tells the caller how long to wait before a retry.
 func (r *Refusal) WithRetryAfter(d time.Duration) *Refusal {
 	c := *r
 	c.after = d
@@ -77,14 +76,14 @@
 // Outcome returns what became of the request.
 func (r *Refusal) Outcome() Outcome { return r.outcome }
 
-// RetryAfter returns when the caller may come back; zero says nothing.
+// RetryAfter returns how long the caller should wait before a retry; zero if unset.
 func (r *Refusal) RetryAfter() time.Duration { return r.after }
 
 // Error returns the message for the caller.
 func (r *Refusal) Error() string { return r.message }
 
-// AsRefusal finds the refusal in err's chain, or makes one with ReasonInternal
-// and OutcomeFailed.
+// AsRefusal returns the refusal in the chain of err, or else a new one with ReasonInternal and
+// OutcomeFailed.
 func AsRefusal(err error) *Refusal {
 	var r *Refusal
 	if eris.As(err, &r) {
--- a/statement.go
+++ b/statement.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Statement is what a target says of itself in the head of an answer. Its zero value says
+// Statement is what a target says of itself in the head of a response. The zero value says
 // nothing.
 type Statement struct {
-	// Limit is how much the target takes from all boxes, none if it does not say.
+	// Limit is the request rate that the target accepts from all boxes, unset if it does not
+	// say.
 	Limit RateLimit
-	// Leaving is set when the target is about to end.
+	// Leaving is set if the target is about to stop.
 	Leaving bool
-	// Rest is for how long the target wants nothing from the box that it answers, zero if it
+	// Rest is how long the target wants no requests from the box that it answers, zero if it
 	// does not say.
 	Rest time.Duration
 }
--- a/table.go
+++ b/table.go
@@ -2,16 +2,16 @@
 
 import "context"
 
-// Row is one row of the platform's table service. Its version is set by the
-// service and grows with each write of the same key.
+// Row is a row of the platform's table service. The service sets its version, which grows with
+// each write of the key.
 type Row struct {
 	key     string
 	value   []byte
 	version int64
 }
 
-// NewRow returns a row with the given key, value and version. It is meant for
-// implementations of Table; value is kept, not copied.
+// NewRow returns a row. It is meant for implementations of Table and keeps value without
+// copying it.
 func NewRow(key string, value []byte, version int64) Row {
 	return Row{key: key, value: value, version: version}
 }
@@ -19,16 +19,16 @@
 // Key returns the name of the row.
 func (r Row) Key() string { return r.key }
 
-// Value returns the content of the row. Callers must not change it.
+// Value returns the content of the row. Callers must not modify it.
 func (r Row) Value() []byte { return r.value }
 
-// Version returns the version of the row; zero means that there is no row.
+// Version returns the version of the row; zero means that the row does not exist.
 func (r Row) Version() int64 { return r.version }
 
-// Exists reports whether the row was present when it was read.
+// Exists reports whether the row existed when it was read.
 func (r Row) Exists() bool { return r.version != 0 }
 
-// Condition must hold for a transaction to be applied.
+// Condition is a precondition of a transaction.
 type Condition struct {
 	key     string
 	version int64
@@ -37,16 +37,16 @@
 // IfAbsent returns the condition that no row with the key exists.
 func IfAbsent(key string) Condition { return Condition{key: key} }
 
-// IfVersion returns the condition that the row has exactly the version.
+// IfVersion returns the condition that the row has exactly the given version.
 func IfVersion(key string, version int64) Condition { return Condition{key: key, version: version} }
 
-// Key returns the key that the condition is about.
+// Key returns the key that the condition applies to.
 func (c Condition) Key() string { return c.key }
 
-// Version returns the version that the row must have, zero for "absent".
+// Version returns the required version of the row; zero means that it must not exist.
 func (c Condition) Version() int64 { return c.version }
 
-// Write is one change of a transaction.
+// Write is a change made by a transaction.
 type Write struct {
 	key    string
 	value  []byte
@@ -68,35 +68,34 @@
 // Removes reports whether the write removes the row.
 func (w Write) Removes() bool { return w.remove }
 
-// Txn is a transaction: all writes are applied at once if all conditions hold.
+// Txn is a transaction: all writes are applied atomically if all conditions hold.
 type Txn struct {
 	Conditions []Condition
 	Writes     []Write
 }
 
-// Table is the platform's transactional table service. Reads may be stale,
-// never torn. Implementations are safe for concurrent use.
+// Table is the platform's transactional table service. Reads may be stale but never mix
+// versions of one row. Implementations are safe for concurrent use.
 type Table interface {
-	// Read returns one row for each key, in order; missing rows do not exist.
-	// A failed read returns ErrUnavailable.
+	// Read returns one row for each key, in the order of the keys. For a key without a row,
+	// Exists is false. A failed read returns ErrUnavailable.
 	Read(ctx context.Context, keys ...string) ([]Row, error)
-	// Scan returns up to limit rows whose keys begin with prefix and come after
-	// the key after, in key order.
+	// Scan returns up to limit rows whose keys begin with prefix and sort after the key after,
+	// in key order.
 	Scan(ctx context.Context, prefix, after string, limit int) ([]Row, error)
-	// Commit applies t. It returns ErrConflict if a condition does not hold,
-	// ErrUnavailable if t was not and will not be applied, and
-	// ErrUnknownEffect if t may have been applied or may yet be.
+	// Commit applies t. It returns ErrConflict if a condition does not hold, ErrUnavailable if
+	// t was not and will not be applied, and ErrUnknownEffect if t may have been or may still
+	// be applied.
 	Commit(ctx context.Context, t Txn) error
 }
 
-// ObjectStore is the platform's store for large values. Objects are written
-// once under names that are never used again. Implementations are safe for
-// concurrent use.
+// ObjectStore is the platform's store for large values. Each object is written once, and its
+// name is never reused. Implementations are safe for concurrent use.
 type ObjectStore interface {
-	// Put stores the object. ErrUnknownEffect means that it may be there.
+	// Put stores the object. ErrUnknownEffect means that it may have been stored.
 	Put(ctx context.Context, name string, data []byte) error
 	// Get returns the object, or ErrNotFound.
 	Get(ctx context.Context, name string) ([]byte, error)
-	// Delete removes the object; removing a missing one is no error.
+	// Delete removes the object. Removing a missing object is not an error.
 	Delete(ctx context.Context, name string) error
 }
--- a/target.go
+++ b/target.go
@@ -7,19 +7,19 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrNotStarted is returned by a target that says it did not start an attempt,
-// or when nothing of the attempt can have reached it.
+// ErrNotStarted is returned if a target states that it did not start an attempt, or if no part
+// of the attempt can have reached it.
 var ErrNotStarted = eris.New("barleystep: target did not start the attempt")
 
-// ErrTorn is returned when a stream ends, skips or repeats in a way that the
-// protocol does not allow. It may be resumed.
+// ErrBrokenStream is returned if a stream ends early, or skips or repeats events. The stream
+// may be resumed.
 var ErrBrokenStream = eris.New("barleystep: torn stream")
 
-// ErrForeign is returned when a target answers with another attempt's id.
+// ErrWrongAttempt is returned if a target answers with the id of another attempt.
 var ErrWrongAttempt = eris.New("barleystep: answer of another attempt")
 
-// Event is one numbered piece of an answer. Numbers of one attempt start at 1
-// and have no gaps.
+// Event is a numbered piece of an answer. The numbers of one attempt start at 1 and have no
+// gaps.
 type Event struct {
 	number uint64
 	data   []byte
@@ -34,34 +34,34 @@
 // Number returns the position of the event in the answer, from 1.
 func (e Event) Number() uint64 { return e.number }
 
-// Data returns the content as the target sent it. It is valid until the next
-// call of Stream.Next.
+// Data returns the content as the target sent it. It is valid until the next call to
+// Stream.Next.
 func (e Event) Data() []byte { return e.data }
 
-// Last reports whether the event closes the answer.
+// Last reports whether the event completes the answer.
 func (e Event) Last() bool { return e.last }
 
-// Stream is the answer of a target to one attempt. It is used by one goroutine.
+// Stream is the answer of a target to one attempt. It is not safe for concurrent use.
 type Stream interface {
 	// Status returns the HTTP status of the target's answer.
 	Status() int
 	// ContentType returns the content type of the target's answer.
 	ContentType() string
-	// Next returns the next event. After the last event it returns io.EOF; a
-	// stream that breaks returns ErrTorn.
+	// Next returns the next event. It returns io.EOF after the last event and ErrBrokenStream
+	// if the stream breaks.
 	Next() (Event, error)
-	// Close gives up the stream. It does not cancel the attempt.
+	// Close abandons the stream. It does not cancel the attempt.
 	Close() error
 }
 
-// Load is what a target reports about itself. Reports lag behind.
+// Load is what a target reports about its load. Reports may be out of date.
 type Load struct {
 	At          time.Time `json:"at"`
 	Incarnation string    `json:"incarnation"`
-	// Running and Waiting count requests.
+	// Running and Waiting are numbers of requests.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// FreeTokens is the KV memory that is free, in tokens.
+	// FreeTokens is the free KV cache memory, in tokens.
 	FreeTokens  int  `json:"free_tokens"`
 	TotalTokens int  `json:"total_tokens"`
 	Leaving     bool `json:"leaving"`
@@ -69,7 +69,7 @@
 	Weights string `json:"weights,omitempty"`
 }
 
-// Work is one attempt that an engine holds memory for.
+// HeldAttempt is an attempt for which an engine holds memory.
 type HeldAttempt struct {
 	Attempt string `json:"attempt"`
 	Tokens  int    `json:"tokens"`
@@ -77,33 +77,34 @@
 	Deadline time.Time `json:"deadline,omitzero"`
 }
 
-// Order is an order to a target to load a version of its model.
+// Order tells a target to load a version of its model.
 type Order struct {
 	Weights string
-	// Fence is the issuer's fencing token. A target that checks it refuses an
-	// order with a lower token than one that it has taken.
+	// Fence is the fencing token of the issuer. A target that checks it refuses an order with a
+	// lower token than that of an order it has accepted.
 	Fence int64
 }
 
-// Engine is one model engine. Implementations are safe for concurrent use.
+// Engine is a model engine. Implementations are safe for concurrent use.
 type Engine interface {
-	// Start runs or resumes the attempt. It returns ErrNotStarted only if the
-	// attempt was certainly not started and never will be.
+	// Start runs or resumes the attempt. It returns ErrNotStarted only if the attempt was
+	// certainly not started and never will be.
 	Start(ctx context.Context, a Attempt) (Stream, error)
-	// Cancel ends the attempt and frees its memory. Cancelling an attempt that
-	// the engine does not hold is no error.
+	// Cancel ends the attempt and frees its memory. Cancelling an attempt that the engine does
+	// not hold is not an error.
 	Cancel(ctx context.Context, id string) error
-	// Load returns the latest report.
+	// Load returns the latest load report.
 	Load(ctx context.Context) (Load, error)
 	// List returns the attempts for which the engine holds memory.
 	List(ctx context.Context) ([]HeldAttempt, error)
-	// Order gives an order. It returns ErrConflict if the target refuses the
-	// fencing token, and ErrUnknownEffect if the answer was lost.
+	// Order sends an order. It returns ErrConflict if the target refuses the fencing token, and
+	// ErrUnknownEffect if the response was lost.
 	Order(ctx context.Context, o Order) error
 }
 
-// Service is one plain service beside the engines.
+// Service is a plain service that runs no model.
 type Service interface {
-	// Call runs the attempt. It returns ErrNotStarted as Engine.Start does.
+	// Call runs the attempt. It returns ErrNotStarted under the same conditions as
+	// Engine.Start.
 	Call(ctx context.Context, a Attempt) (Stream, error)
 }
