--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,4 +1,4 @@
-// Package command builds the command line that all programs share.
+// Package command builds the command line that the programs share.
 package command
 
 import (
@@ -22,21 +22,20 @@
 	"github.com/barleystep/barleystep/platform"
 )
 
-// Exit codes of all programs.
+// Exit codes of the programs.
 const (
 	ExitOK      = 0
 	ExitFailure = 1
-	// ExitSettings means that the settings were refused.
+	// ExitSettings means that the settings are invalid.
 	ExitSettings = 2
 )
 
-// Program describes one program.
+// Program describes a program.
 type Program struct {
-	// Name is the program's name, Short one line about it.
+	// Name is the name of the program, Short a one-line description.
 	Name  string
 	Short string
-	// Check refuses settings that the program in particular can't use; may be
-	// nil.
+	// Check rejects settings that this program cannot use; it may be nil.
 	Check func(settings.Settings) error
 	// Run runs the program until ctx ends.
 	Run func(ctx context.Context, s settings.Settings, l *log.Logger) error
@@ -58,6 +57,7 @@
 	}
 }
 
+// settingsError marks an error as one of the settings.
 type settingsError struct{ cause error }
 
 // Error returns what is wrong with the settings.
@@ -89,6 +89,7 @@
 	return root
 }
 
+// readSettings reads and checks the settings file.
 func (p Program) readSettings(file string) (settings.Settings, error) {
 	s, err := settings.Read(file)
 	if err == nil && p.Check != nil {
@@ -115,7 +116,7 @@
 	}
 }
 
-// VersionCommand returns the command that prints the program's version.
+// VersionCommand returns the command that prints the version of the program.
 func VersionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
@@ -131,9 +132,9 @@
 	}
 }
 
-// Logger returns the logger that the settings ask for. It writes one JSON
-// object a line to standard output and never waits for it: when the reader falls
-// behind by logBuffer lines, further lines are dropped.
+// NewLogger returns a logger with the level from the settings. It writes one JSON object per
+// line to standard output and never blocks: when the reader falls behind by logQueueLines
+// lines, further lines are dropped.
 func NewLogger(s settings.Log) *log.Logger {
 	level := s.Level
 	if level == "" {
@@ -150,13 +151,13 @@
 	}
 }
 
-// lineWriter writes lines and counts those that were dropped.
+// lineWriter writes lines and counts the dropped ones.
 type lineWriter struct {
 	*log.AsyncWriter
 	dropped atomic.Int64
 }
 
-// WriteEntry queues a line. A dropped one has no error that anybody could log.
+// WriteEntry queues a line. Callers cannot log the error of a dropped one, so it is counted.
 func (w *lineWriter) WriteEntry(e *log.Entry) (int, error) {
 	n, err := w.AsyncWriter.WriteEntry(e)
 	if err != nil {
@@ -165,7 +166,7 @@
 	return n, err
 }
 
-// Dropped returns how many lines the logger has dropped.
+// DroppedLines returns how many lines the logger has dropped.
 func DroppedLines(l *log.Logger) int64 {
 	if w, ok := l.Writer.(*lineWriter); ok {
 		return w.dropped.Load()
@@ -173,22 +174,22 @@
 	return 0
 }
 
-// logBuffer is how many lines may wait for the reader of standard output: some
-// seconds' worth on a busy box.
+// logQueueLines is how many lines may wait for the reader of standard output, some seconds'
+// worth on a busy box.
 const logQueueLines = 1024
 
-// closeLog writes the lines that still wait.
+// closeLog writes the queued lines.
 func closeLog(l *log.Logger) {
 	if w, ok := l.Writer.(*lineWriter); ok {
-		_ = w.Close() // The process ends; there is nobody left to tell.
+		_ = w.Close() // The process exits; the error cannot be logged any more.
 	}
 }
 
-// storeTimeout bounds a call to the platform's store if the settings do not. A
-// slow store takes some hundred milliseconds for an answer.
+// defaultStoreTimeout bounds a call to the platform's store if the settings do not. A slow
+// store takes some hundred milliseconds to answer.
 const defaultStoreTimeout = time.Second
 
-// Platform returns the client of the platform's store. The settings were checked.
+// NewStore returns the client of the platform's store. The settings must be valid.
 func NewStore(s settings.Settings, clk barleystep.Clock) *platform.Store {
 	return &platform.Store{
 		Addr:    strings.TrimPrefix(s.Platform.URL, "http://"),
@@ -199,6 +200,6 @@
 	}
 }
 
-// storeConnections is how many connections to the store are kept: one for each
-// topic that is followed, and some for single calls.
+// maxIdleStoreConns is how many idle connections to the store are kept: one for each topic that
+// is watched, and some for single calls.
 const maxIdleStoreConns = 4
--- a/internal/command/log_test.go
+++ b/internal/command/log_test.go
@@ -10,8 +10,8 @@
 	"github.com/barleystep/barleystep/internal/settings"
 )
 
-// TestDropped checks that the logger neither waits for a reader that does not read
-// nor forgets what it dropped.
+// TestDroppedLines checks that the logger does not block when nothing reads its output, and
+// that it counts the lines that it drops.
 func TestDroppedLines(t *testing.T) {
 	c := quicktest.New(t)
 	reader, writer, err := os.Pipe()
@@ -21,11 +21,11 @@
 	l := command.NewLogger(settings.Log{})
 	os.Stdout = stdout
 	t.Cleanup(func() {
-		reader.Close() // The writer's last write fails, so that it ends.
+		reader.Close() // The writer's last write fails, so that its goroutine ends.
 		writer.Close()
 	})
 	c.Check(command.DroppedLines(l), quicktest.Equals, int64(0))
-	for command.DroppedLines(l) == 0 { // The pipe and the queue are full at some time.
+	for command.DroppedLines(l) == 0 { // Ends once the pipe and the queue are full.
 		l.Info().Msg("Nobody reads this.")
 	}
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain reads the log lines of routers and tells the story of one
-// request: what each box decided about it, and what became of its targets.
+// Package explain analyzes the log lines of routers. It selects the lines about one request,
+// and finds out why streams were late or not served.
 package explain
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Line is one line of a log.
+// Line is a log line.
 type Line struct {
 	at      time.Time
 	source  string
@@ -23,18 +23,18 @@
 	fields  map[string]any
 }
 
-// At returns when the line was written, by its box's time of day.
+// At returns the time of the line by the clock of its box.
 func (l Line) At() time.Time { return l.at }
 
-// Source returns what stood before the line, such as the name of the box where
-// logs were gathered.
+// Source returns the text before the JSON of the line, such as the name of the box in collected
+// logs.
 func (l Line) Source() string { return l.source }
 
-// Message returns the line's message.
+// Message returns the message of the line.
 func (l Line) Message() string { return l.message }
 
-// String returns the line for a person: time, source, message and the fields that
-// hold something, by name.
+// String formats the line for people: time, source, message and the fields that are not empty
+// or zero, sorted by name.
 func (l Line) String() string {
 	var names []string
 	for name, v := range l.fields {
@@ -52,7 +52,7 @@
 }
 
 const (
-	// longestLine bounds a log line in bytes.
+	// maxLineBytes bounds a log line.
 	maxLineBytes = 1 << 20
 
 	fieldTime    = "time"
@@ -64,16 +64,16 @@
 	fieldPassed = "passed_over"
 )
 
-// beliefPrefixes open the lines that tell what a box believes of targets.
+// targetEventPrefixes are the prefixes of messages about the state of targets.
 var targetEventPrefixes = []string{"follow: ", "balance: A target "}
 
-// tellsBelief reports whether the line tells what a box believes of targets.
+// isTargetEvent reports whether the line is about the state of a target.
 func (l Line) isTargetEvent() bool {
 	return slices.ContainsFunc(targetEventPrefixes, func(p string) bool { return strings.HasPrefix(l.message, p) })
 }
 
-// passedOver returns the targets that the line says a request was not offered to: the first
-// word of each entry.
+// passedOver returns the targets that the line lists as not considered for the request: the
+// first word of each entry.
 func (l Line) passedOver() (targets []any) {
 	list, _ := l.fields[fieldPassed].([]any)
 	for _, entry := range list {
@@ -84,9 +84,9 @@
 	return targets
 }
 
-// Story reads log lines and returns those about the request, and those that tell
-// what its boxes believed of its targets, in order of time. Lines that are no JSON
-// are passed over. The error is that of the reader.
+// RequestLines reads log lines and returns those about the request, together with those about
+// the state of its targets from the boxes that handled it, in order of time. Lines that are not
+// valid are skipped. An error is that of the reader.
 func RequestLines(r io.Reader, request string) (selected []Line, err error) {
 	lines, err := read(r)
 	if err != nil {
@@ -115,8 +115,8 @@
 	return selected, nil
 }
 
-// box returns the last word of what stood before a line: its box, where gathered
-// logs name it.
+// boxOf returns the last word of the text before a line, which is the name of the box in
+// collected logs.
 func boxOf(source string) string {
 	words := strings.Fields(source)
 	if len(words) == 0 {
@@ -125,6 +125,7 @@
 	return words[len(words)-1]
 }
 
+// read returns the valid lines.
 func read(r io.Reader) (lines []Line, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
@@ -136,7 +137,7 @@
 	return lines, eris.Wrap(scanner.Err(), "explain: read")
 }
 
-// parse reads one line, which may have something before its JSON.
+// parse parses a line, which may have text before its JSON.
 func parse(text string) (l Line, ok bool) {
 	start := strings.IndexByte(text, '{')
 	if start < 0 {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -29,12 +29,12 @@
 		request string
 		want    []string
 	}{
-		"over boxes, with its targets": {"r1", []string{
+		"several boxes, with target events": {"r1", []string{
 			"00:00:01.000 box-a follow: A target is announced. target=i-1",
 			"00:00:02.000 box-a front: A try failed. request=r1 target=i-1",
 			"00:00:03.000 box-b front: A try failed. request=r1 target=i-2",
 		}},
-		"by whose word targets were passed over": {"r4", []string{
+		"events of targets that were passed over": {"r4", []string{
 			"00:00:03.000 box-a balance: A target says that it leaves. target=i-3 told_here=true",
 			"00:00:04.000 box-a front: A request ended. passed_over=[i-3 leaves, heard] request=r4",
 		}},
--- a/internal/explain/losses.go
+++ b/internal/explain/losses.go
@@ -11,62 +11,62 @@
 	"github.com/rotisserie/eris"
 )
 
-// Cause says why a stream was late, or was not served.
+// Cause tells why a stream was late or not served.
 type Cause string
 
-// The causes of late streams. Streams that were not served have the reason of their
-// refusal as cause.
+// Causes of late streams. For a stream that was not served, the cause is the reason of its
+// refusal.
 const (
-	// CauseWait is a first event that came late after a wait for engines.
+	// CauseQueueing is a late first event after a long wait for engines.
 	CauseQueueing Cause = "waited for engines"
-	// CauseSlow is one that came late although the stream was sent at once: its engine
-	// took longer than was expected of it, or that was too long already.
+	// CauseSlowFirstEvent is a late first event without such a wait: the engine took longer
+	// than expected, or the expected time was already too long.
 	CauseSlowFirstEvent Cause = "slow first event"
-	// CauseMove is a pause while another target took the stream up.
+	// CauseResumed is a pause during which another target resumed the stream.
 	CauseResumed Cause = "moved to another target"
-	// CausePart is a pause at a target that was given a part of a long prompt while it
-	// wrote the stream, and CauseLong at one that was given a whole one.
+	// CausePromptPart is a pause at a target that processed a part of a long prompt in that
+	// time, and CauseLongPrompt at one that processed a whole long prompt.
 	CausePromptPart Cause = "paused by a part of a long prompt"
 	CauseLongPrompt Cause = "paused by a long prompt"
-	// CauseOther is a pause with neither: short prompts, or the target itself.
+	// CauseOther is any other pause, caused by short prompts or by the target itself.
 	CauseOther Cause = "paused by something else"
 )
 
-// Losses is how the streams of a route ended.
+// RouteLosses counts the streams of a route, and those that were late or not served, by cause.
 type RouteLosses struct {
 	route   string
 	streams int
 	causes  map[Cause]int
 }
 
-// Route returns the route's name.
+// Route returns the name of the route.
 func (l RouteLosses) Route() string { return l.route }
 
-// Streams returns how many streams there were.
+// Streams returns the number of streams.
 func (l RouteLosses) Streams() int { return l.streams }
 
-// Causes returns how many of them were late or not served, by cause.
+// Causes returns the number of streams that were late or not served, by cause.
 func (l RouteLosses) Causes() map[Cause]int { return l.causes }
 
 const (
 	endedMessage = "front: A request ended."
 	splitMessage = "front: Several targets read the prompt."
-	// longWait is the part of the time to the first event from which on the wait
-	// counts as its cause.
+	// queueingShare is the share of the time to the first event above which queueing counts as
+	// its cause.
 	queueingShare = 0.5
-	// memory is how long before a stream began a part may have been given that still
-	// holds it up.
+	// readLookback is how long before the start of a stream a target may have received a prompt
+	// that still delays the stream.
 	readLookback = 2 * time.Second
 )
 
-// reading is a time at which a target was given something long to read.
+// promptRead is when a target received a long prompt, or a part of one.
 type promptRead struct {
 	at   time.Time
 	part bool
 }
 
-// FindLosses reads log lines and returns, by route, why streams were late. It goes by
-// the lines alone. The error is that of the reader.
+// LossesByRoute reads log lines and returns why streams were late, by route. It uses nothing
+// but the lines. An error is that of the reader.
 func LossesByRoute(r io.Reader) (list []RouteLosses, err error) {
 	lines, err := read(r)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return list, nil
 }
 
-// readingsOf returns when targets were given something long to read.
+// promptReads returns the long prompts that each target received.
 func promptReads(lines []Line) map[string][]promptRead {
 	reads := make(map[string][]promptRead)
 	for _, l := range lines {
@@ -114,7 +114,7 @@
 	return reads
 }
 
-// cause returns why a stream was late, empty if it was in time.
+// cause returns why a stream was late, empty if it was not.
 func (l Line) cause(reads map[string][]promptRead) Cause {
 	if reason, ok := l.fields["reason"].(string); ok {
 		return Cause(reason)
@@ -146,19 +146,21 @@
 	}
 }
 
-// begin returns when the request came.
+// started returns when the request arrived.
 func (l Line) started() time.Time { return l.at.Add(-l.millis("took")) }
 
+// number returns a numeric field, 0 if it is absent.
 func (l Line) number(field string) float64 {
 	n, _ := l.fields[field].(float64)
 	return n
 }
 
+// millis returns a field in milliseconds as a duration.
 func (l Line) millis(field string) time.Duration {
 	return time.Duration(l.number(field) * float64(time.Millisecond))
 }
 
-// String returns the losses for a person, the largest first.
+// String formats the losses for people, most frequent cause first.
 func (l RouteLosses) String() string {
 	causes := make([]Cause, 0, len(l.causes))
 	late := 0
--- a/internal/explain/losses_test.go
+++ b/internal/explain/losses_test.go
@@ -16,7 +16,7 @@
 		fields + `,"message":"front: A request ended."}`
 }
 
-// helped returns the line of a prompt that i-8 and two others read at a time.
+// split returns the line of a prompt that i-8 and two other targets processed together.
 func split(millis int, helpers string) string {
 	return fmt.Sprintf(`b {"time":%d,"request":"q","target":"i-8","helpers":[%s],"message":"front: Several targets read the prompt."}`, millis, helpers)
 }
@@ -27,16 +27,16 @@
 		lines []string
 		want  explain.Cause
 	}{
-		"in time":                 {[]string{ended(`"first":100,"pause":60`)}, ""},
-		"refused":                 {[]string{ended(`"reason":"queue_full"`)}, "queue_full"},
-		"waited":                  {[]string{ended(`"first":400,"queued":300`)}, explain.CauseQueueing},
-		"slow":                    {[]string{ended(`"first":400,"queued":3`)}, explain.CauseSlowFirstEvent},
-		"moved":                   {[]string{ended(`"first":100,"pause":900,"sends":2`)}, explain.CauseResumed},
-		"a part":                  {[]string{ended(`"first":100,"pause":900`), split(3000, `"i-2","i-1"`)}, explain.CausePromptPart},
-		"a part elsewhere":        {[]string{ended(`"first":100,"pause":900`), split(3000, `"i-2","i-3"`)}, explain.CauseOther},
-		"a part long before":      {[]string{ended(`"first":100,"pause":900`), split(-1000, `"i-2","i-1"`)}, explain.CauseOther},
-		"a part afterwards":       {[]string{ended(`"first":100,"pause":900`), split(4001, `"i-2","i-1"`)}, explain.CauseOther},
-		"a long prompt by itself": {[]string{ended(`"first":100,"pause":900`), alone}, explain.CauseLongPrompt},
+		"in time":               {[]string{ended(`"first":100,"pause":60`)}, ""},
+		"refused":               {[]string{ended(`"reason":"queue_full"`)}, "queue_full"},
+		"waited":                {[]string{ended(`"first":400,"queued":300`)}, explain.CauseQueueing},
+		"slow":                  {[]string{ended(`"first":400,"queued":3`)}, explain.CauseSlowFirstEvent},
+		"moved":                 {[]string{ended(`"first":100,"pause":900,"sends":2`)}, explain.CauseResumed},
+		"part":                  {[]string{ended(`"first":100,"pause":900`), split(3000, `"i-2","i-1"`)}, explain.CausePromptPart},
+		"part at other targets": {[]string{ended(`"first":100,"pause":900`), split(3000, `"i-2","i-3"`)}, explain.CauseOther},
+		"part long before":      {[]string{ended(`"first":100,"pause":900`), split(-1000, `"i-2","i-1"`)}, explain.CauseOther},
+		"part afterwards":       {[]string{ended(`"first":100,"pause":900`), split(4001, `"i-2","i-1"`)}, explain.CauseOther},
+		"whole long prompt":     {[]string{ended(`"first":100,"pause":900`), alone}, explain.CauseLongPrompt},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -1,5 +1,5 @@
-// Package metric names the counters of a box and exports them. All counters
-// are safe for concurrent use.
+// Package metric defines and exports the metrics of a box. All metrics are safe for concurrent
+// use.
 package metric
 
 import (
@@ -17,6 +17,7 @@
 	sdk "go.opentelemetry.io/otel/sdk/metric"
 )
 
+// scope is the name of the instrumentation scope.
 const scope = "barleystep"
 
 // Exporter collects metrics and serves them in the Prometheus text format.
@@ -25,7 +26,7 @@
 	handler  http.Handler
 }
 
-// NewExporter returns an exporter with a registry of its own.
+// NewExporter returns an exporter with its own registry.
 func NewExporter() (e *Exporter, err error) {
 	defer func() {
 		if err != nil {
@@ -46,13 +47,13 @@
 // ServeHTTP writes all metrics.
 func (e *Exporter) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.handler.ServeHTTP(w, r) }
 
-// Meter returns the counters that feed the exporter.
+// Meter returns a Meter whose metrics the exporter serves.
 func (e *Exporter) Meter() *Meter { return newMeter(e.provider.Meter(scope)) }
 
-// Discard returns counters that go nowhere, for tests and tools.
+// Discard returns a Meter that discards all values, for tests and tools.
 func Discard() *Meter { return newMeter(noop.NewMeterProvider().Meter(scope)) }
 
-// Meter holds the counters of a box.
+// Meter holds the counters and histograms of a box.
 type Meter struct {
 	ended         metric.Int64Counter
 	refused       metric.Int64Counter
@@ -96,31 +97,31 @@
 	return h
 }
 
-// firstTokenBounds are the bounds of the histogram's buckets, in seconds.
+// firstTokenBuckets holds the upper bounds of the histogram's buckets, in seconds.
 var firstTokenBuckets = []float64{0.05, 0.1, 0.2, 0.3, 0.4, 0.54, 0.8, 1.2, 2, 4, 8, 15, 30, 60, 120, 300, 900}
 
 func add(c metric.Int64Counter, kv ...attribute.KeyValue) {
 	c.Add(context.Background(), 1, metric.WithAttributes(kv...))
 }
 
-// Ended counts a request that ended with the outcome.
+// RequestEnded counts a request that ended with the outcome.
 func (m *Meter) RequestEnded(outcome string) { add(m.ended, attribute.String("outcome", outcome)) }
 
-// Refused counts a request that ended without a whole answer.
+// RequestRefused counts a request that ended without a complete answer.
 func (m *Meter) RequestRefused(reason, outcome string) {
 	add(m.refused, attribute.String("reason", reason), attribute.String("outcome", outcome))
 }
 
-// Retried counts an attempt that is tried again.
+// AttemptRetried counts an attempt that is retried.
 func (m *Meter) AttemptRetried(reason string) { add(m.retried, attribute.String("reason", reason)) }
 
-// Membership counts a change in the set of live boxes.
+// MembershipChanged counts a change in the set of live boxes.
 func (m *Meter) MembershipChanged(kind string) { add(m.membership, attribute.String("kind", kind)) }
 
-// TookOver counts a duty that moved to this box.
+// TookOver counts a duty that this box has taken over from another one.
 func (m *Meter) TookOver(duty string) { add(m.takeovers, attribute.String("duty", duty)) }
 
-// Cleaned counts an attempt that was cancelled at a target.
+// AttemptCancelled counts an attempt that was cancelled at a target.
 func (m *Meter) AttemptCancelled(reason string) { add(m.cancelled, attribute.String("reason", reason)) }
 
 // StoreFault counts a failed call to the platform's stores.
@@ -128,12 +129,12 @@
 	add(m.storeFaults, attribute.String("operation", op), attribute.String("fault", fault))
 }
 
-// Configuration counts a change of the configuration in force.
+// ConfigurationChanged counts a change of the configuration in force.
 func (m *Meter) ConfigurationChanged(kind string) {
 	add(m.configuration, attribute.String("kind", kind))
 }
 
-// FirstToken records the time to first token of a prompt in a length band.
+// FirstToken records the time to first token of a prompt in a band of prompt lengths.
 func (m *Meter) FirstToken(band string, d time.Duration) {
 	m.firstToken.Record(context.Background(), d.Seconds(), metric.WithAttributes(attribute.String("band", band)))
 }
--- a/internal/metric/observe.go
+++ b/internal/metric/observe.go
@@ -7,15 +7,16 @@
 	"go.opentelemetry.io/otel/metric"
 )
 
-// Sample is one value of a metric that is read when it is asked for.
+// Sample is one value of a metric that is read on collection.
 type Sample struct {
-	// Label tells the metric's samples apart; it is one of a few.
+	// Label is the attribute value that distinguishes the samples of a metric. It comes from a
+	// small set.
 	Label string
 	Value float64
 }
 
-// Observe exports a metric whose samples are read whenever metrics are asked for.
-// The samples differ in the attribute.
+// Observe registers a gauge whose samples are read on each collection. Label is the value of
+// the attribute attr.
 func (e *Exporter) Observe(name, help, attr string, read func() []Sample) {
 	_, err := e.provider.Meter(scope).Float64ObservableGauge(name, metric.WithDescription(help),
 		metric.WithFloat64Callback(func(_ context.Context, o metric.Float64Observer) error {
--- a/internal/metric/observe_test.go
+++ b/internal/metric/observe_test.go
@@ -10,7 +10,7 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// TestObserve checks that a sample is read anew each time it is asked for.
+// TestObserve checks that samples are read again on each collection.
 func TestObserve(t *testing.T) {
 	c := quicktest.New(t)
 	e, err := metric.NewExporter()
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -9,13 +9,15 @@
 	"time"
 )
 
-// checker collects what is wrong with settings.
+// checker collects problems in settings.
 type checker struct{ problems []string }
 
+// reject adds a problem.
 func (c *checker) reject(key string, value any, allowed string) {
 	c.problems = append(c.problems, fmt.Sprintf("%s = %v: must be %s", key, value, allowed))
 }
 
+// check returns the problems in the settings.
 func (s Settings) check() []string {
 	c := &checker{}
 	c.name("box.id", s.Box.ID)
@@ -83,12 +85,14 @@
 	}
 }
 
+// positive rejects a negative duration; zero means unset.
 func (c *checker) positive(key string, d Duration) {
 	if d < 0 {
 		c.reject(key, time.Duration(d), "a duration above 0, such as 2s")
 	}
 }
 
+// fraction rejects a number outside of 0 to 1.
 func (c *checker) fraction(key string, v float64) {
 	if v < 0 || v > 1 {
 		c.reject(key, v, "from 0 to 1")
@@ -110,8 +114,8 @@
 	}
 }
 
-// peers refuses a listener that anybody could reach and nobody would have to
-// prove themselves to.
+// peers rejects a peer listener that is reachable from outside the box and does not
+// authenticate its peers.
 func (c *checker) peers(s Settings) {
 	p := s.Peers
 	if (p.Certificate == "") != (p.Key == "") || (p.Certificate == "") != (p.Authority == "") {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,4 @@
-// Package settings reads the TOML file with which a program is started and
-// checks it.
+// Package settings reads and validates the TOML file that a program is started with.
 package settings
 
 import (
@@ -14,8 +13,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Settings is the content of the file. All programs share one format; a program
-// ignores the sections that it has no use for.
+// Settings is the content of the settings file. All programs share one format; a program
+// ignores sections that it does not use.
 type Settings struct {
 	Box      Box      `toml:"box"`
 	Listen   Listen   `toml:"listen"`
@@ -28,75 +27,75 @@
 	Retries  Retries  `toml:"retries"`
 	Log      Log      `toml:"log"`
 
-	file string // file is where the settings were read.
+	file string // file is the name of the file.
 }
 
-// Box says which box this is.
+// Box identifies this box.
 type Box struct {
 	ID   string `toml:"id"`
 	Hall string `toml:"hall"`
-	// Cores is the processor time that the box may use, in cores, and LinkMbit the
-	// width of its link in Mbit/s; zero is not known. The boxes with most of both
-	// do for their hall what one of them has to do.
+	// Cores is the processor time that the box may use, in cores, and LinkMbit the bandwidth of
+	// its link in Mbit/s; zero means unknown. The boxes with most of both take on the duties
+	// that one box performs for its hall.
 	Cores    float64 `toml:"cores"`
 	LinkMbit float64 `toml:"link_mbit"`
 }
 
-// Strength compares boxes by what they can carry for others: one more is twice the
-// processor or twice the link.
+// Strength compares boxes by their capacity to serve others: it is one higher for twice the
+// processor time or twice the bandwidth.
 func (b Box) Strength() uint32 {
 	const milli = 1000
 	return uint32(1 + bits.Len(uint(b.Cores*milli)) + bits.Len(uint(b.LinkMbit)))
 }
 
-// Listen holds the addresses of the listeners, IP and port each.
+// Listen holds the addresses of the listeners, each an IP and port.
 type Listen struct {
 	Callers string `toml:"callers"`
 	Admin   string `toml:"admin"`
 	Peers   string `toml:"peers"`
-	// Ready is asked by the platform's balancer whether the box takes callers.
+	// Ready is where the platform's load balancer probes whether the box accepts callers.
 	Ready string `toml:"ready"`
 }
 
-// Platform says where the platform's services are.
+// Platform holds the location of the platform's services.
 type Platform struct {
 	// URL is the root of the platform's store.
 	URL string `toml:"url"`
-	// Timeout bounds one call, besides the time that the store is asked to wait;
-	// the default is 1 second.
+	// Timeout bounds one call, in addition to the time that the store is asked to wait; the
+	// default is 1 second.
 	Timeout Duration `toml:"timeout"`
-	// Within is how soon a change that the store has taken must be in force on all
-	// boxes; the default is 2 seconds.
+	// MaxDelay is how soon a change that the store has accepted must be in force on all boxes;
+	// the default is 2 seconds.
 	MaxDelay Duration `toml:"within"`
 }
 
-// Peers says how boxes prove themselves to each other.
+// Peers configures how boxes authenticate to each other.
 type Peers struct {
-	// Secret is shared by all boxes; it signs what they send. It may be empty
-	// only while the peer listener is on loopback.
+	// Secret is shared by all boxes and signs their messages. It may be empty only if the peer
+	// listener is on loopback.
 	Secret string `toml:"secret"`
 	// Certificate, Key and Authority are PEM files for TLS between boxes.
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
 	Authority   string `toml:"authority"`
-	// Trusted says that the network between the boxes admits nobody else, so
-	// that they need not prove themselves.
+	// Trusted says that nobody else has access to the network between the boxes, so that they
+	// need not authenticate.
 	Trusted bool `toml:"trusted"`
-	// Seeds are addresses of some boxes to begin with; they may be stale.
+	// Seeds are addresses of some boxes to contact first. They may be out of date.
 	Seeds []string `toml:"seeds"`
 }
 
-// Keys says how keys of client accounts are checked.
+// Keys configures how the keys of client accounts are checked.
 type Keys struct {
-	// Freshness is how long after a key was taken away it may still be served;
-	// zero is no bound.
+	// Freshness is how long a key may still be accepted after its revocation; zero means no
+	// bound.
 	Freshness Duration `toml:"freshness"`
 }
 
-// Retries bounds how often requests are sent to a second target, over all boxes.
+// Retries bounds how often requests are retried at another target, over all boxes.
 type Retries struct {
-	// Ratio is the retries for each request to a service within Window; Extra
-	// are allowed besides.
+	// Ratio is the number of retries allowed per request to a service within Window; Extra is a
+	// number of retries allowed in addition.
 	Ratio  float64  `toml:"ratio"`
 	Extra  float64  `toml:"extra"`
 	Window Duration `toml:"window"`
@@ -104,61 +103,62 @@
 
 // Limits bounds requests.
 type Limits struct {
-	// Body bounds a request's body in bytes; the default is 16 MiB.
+	// MaxBody bounds the body of a request in bytes; the default is 16 MiB.
 	MaxBody int64 `toml:"body"`
 	// MinTime and MaxTime bound the time limit of a request.
 	MinTime Duration `toml:"min_time"`
 	MaxTime Duration `toml:"max_time"`
-	// Stall is how long a target may send nothing; the default is 20 seconds.
+	// StallTimeout is how long a target may send nothing; the default is 20 seconds.
 	StallTimeout Duration `toml:"stall"`
-	// Grace is how long a planned stop waits for running requests; the default
-	// is one hour, the longest a request may take.
+	// Grace is how long a planned stop waits for running requests; the default is one hour, the
+	// longest a request may take.
 	Grace Duration `toml:"grace"`
-	// Rest bounds for how long a target may ask to get nothing; the default is a minute.
+	// MaxRest bounds for how long a target may ask to get no requests; the default is one
+	// minute.
 	MaxRest Duration `toml:"rest"`
-	// Notice is how long the balancer is given after readiness goes off; the
-	// default is 5 seconds.
+	// Notice is the time between the failure of the readiness probe and the stop, in which the
+	// load balancer reacts; the default is 5 seconds.
 	Notice Duration `toml:"notice"`
 }
 
-// Capacity tunes the dispensers.
+// Capacity tunes the dispensers, which share out the capacity of engines.
 type Capacity struct {
 	// Interval is the time between a box's reports; the default is 1 second.
 	Interval Duration `toml:"interval"`
-	// LongPart is the part of the engines that may read long prompts at once.
+	// LongShare is the share of engines that may process long prompts at the same time.
 	LongShare float64 `toml:"long_part"`
-	// ShortMemory is the part of an engine's memory that long prompts leave free.
+	// ShortMemoryShare is the share of an engine's memory that long prompts leave free.
 	ShortMemoryShare float64 `toml:"short_memory"`
-	// Window bounds how far ahead short prompts are sent to an engine.
+	// Window bounds how far ahead of time short prompts are sent to an engine.
 	Window Duration `toml:"window"`
 }
 
-// Admin says who may use the administration API.
+// Admin lists who may use the administration API.
 type Admin struct {
 	Operators []Operator `toml:"operator"`
 }
 
-// Operator is one person or program that may use the administration API.
+// Operator is a person or program that may use the administration API.
 type Operator struct {
 	Name string `toml:"name"`
 	// SHA256 is the hexadecimal hash of the operator's token.
 	SHA256 string `toml:"sha256"`
 	// Role is "viewer", "team" or "admin".
 	Role string `toml:"role"`
-	// Team names the accounts' team that a "team" operator may change.
+	// Team is the team whose accounts a "team" operator may change.
 	Team string `toml:"team"`
 }
 
-// Log says what is logged.
+// Log configures logging.
 type Log struct {
 	// Level is debug, info, warn or error; the default is info.
 	Level string `toml:"level"`
 }
 
-// Duration is a time.Duration written as text, such as "2s".
+// Duration is a time.Duration in text form, such as "2s".
 type Duration time.Duration
 
-// UnmarshalText reads a duration such as "2s".
+// UnmarshalText parses a duration such as "2s".
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	*d = Duration(v)
@@ -173,7 +173,7 @@
 	return time.Duration(d)
 }
 
-// Read reads and checks the file.
+// Read reads and validates the file.
 func Read(name string) (s Settings, err error) {
 	defer func() {
 		if err != nil {
@@ -189,8 +189,8 @@
 	return s, err
 }
 
-// Parse reads and checks the text of a file. The error lists all that is wrong,
-// a line each: place, key, value and what is allowed.
+// Parse parses and validates the text of a file. The error has one line for each problem:
+// position or key, value, and what is allowed.
 func Parse(text []byte) (s Settings, err error) {
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
@@ -203,7 +203,7 @@
 	return s, nil
 }
 
-// place words an error of the decoder with its line and key.
+// describeDecodeError returns the message of a decoder's error with its line and key.
 func describeDecodeError(err error) string {
 	var strict *toml.StrictMissingError
 	if eris.As(err, &strict) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -32,8 +32,8 @@
 		"address by name":           {"[box]\nid = \"b\"\nhall = \"h\"\n[listen]\nadmin = \"localhost:1\"\n", `listen.admin = localhost:1: must be an IP number and port.*`},
 		"peers open to all":         {"[box]\nid = \"b\"\nhall = \"h\"\n[listen]\npeers = \"10.0.0.1:7070\"\n", `peers.secret = "": must be set, or peers.certificate or peers.trusted, when listen.peers is not on loopback`},
 		"peers on loopback":         {"[box]\nid = \"b\"\nhall = \"h\"\n[listen]\npeers = \"127.0.0.1:7070\"\n", ""},
-		"limits that contradict":    {good + "[limits]\nmin_time = \"2s\"\nmax_time = \"1s\"\n", `limits.min_time = 2s: must be at most limits.max_time`},
-		"part above one":            {good + "[capacity]\nlong_part = 2.0\n", `capacity.long_part = 2: must be from 0 to 1`},
+		"contradictory limits":      {good + "[limits]\nmin_time = \"2s\"\nmax_time = \"1s\"\n", `limits.min_time = 2s: must be at most limits.max_time`},
+		"fraction above one":        {good + "[capacity]\nlong_part = 2.0\n", `capacity.long_part = 2: must be from 0 to 1`},
 		"cores below zero":          {"[box]\nid = \"b\"\nhall = \"h\"\ncores = -1.0\n", `box.cores = -1: must be a number, 0 or above`},
 		"operator without a digest": {good + "[[admin.operator]]\nname = \"o\"\nrole = \"king\"\n", `(?s)admin.operator.sha256 = : must be 64.*admin.operator.role = king: must be viewer, team or admin`},
 	}
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestStrength checks how boxes compare: by powers of two, and never as nothing,
-// which is what a box that was held up tells of itself.
+// TestStrength checks that boxes are compared by powers of two, and that the strength is never
+// zero, the value that a box reports after it was suspended.
 func TestStrength(t *testing.T) {
 	cases := map[string]struct {
 		box  settings.Box
--- a/internal/settings/watcher.go
+++ b/internal/settings/watcher.go
@@ -13,31 +13,30 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Watcher reads the settings anew when SIGHUP comes or the file changes. Its
-// exported fields are set before Serve.
+// Watcher reloads the settings on SIGHUP or when the file changes. Its exported fields are set
+// before Serve.
 type Watcher struct {
 	Clock barleystep.Clock
-	// Current are the settings in force.
+	// Current holds the settings in force.
 	Current Settings
-	// Apply puts changed settings in force, as far as that is possible without a
-	// new start.
+	// Apply applies changed settings, as far as that is possible without a restart.
 	Apply func(Settings)
 	Log   *log.Logger
-	// Signals delivers SIGHUP; it is made by Serve if it is nil.
+	// Signals delivers SIGHUP; Serve creates it if it is nil.
 	Signals chan os.Signal
 
 	lastVersion fileVersion
 }
 
-// stamp tells versions of a file apart.
+// fileVersion distinguishes versions of the file.
 type fileVersion struct {
 	size    int64
 	changed time.Time
 }
 
 const (
-	// lookEvery is how often the file is looked at: it may change without a
-	// signal, and a change should be in force within a few seconds.
+	// pollInterval is how often the file is checked for changes: a change must take effect
+	// within a few seconds, also without a signal.
 	pollInterval = 2 * time.Second
 
 	logPrefix = "settings: "
@@ -71,17 +70,18 @@
 func (w *Watcher) stat() fileVersion {
 	info, err := os.Stat(w.Current.file)
 	if err != nil {
-		return w.lastVersion // A file that is being replaced is looked at again.
+		return w.lastVersion // The file may be about to be replaced; it is checked again.
 	}
 	return fileVersion{size: info.Size(), changed: info.ModTime()}
 }
 
+// reload reads the file and applies the settings if they have changed.
 func (w *Watcher) reload(cause string) {
 	w.lastVersion = w.stat()
 	s, err := Read(w.Current.file)
 	if err != nil {
 		w.Log.Error().Str("cause", cause).Err(err).
-			Msg(logPrefix + "The new settings were refused. The last good ones stay in force.")
+			Msg(logPrefix + "New settings rejected. The last valid ones stay in force.")
 		return
 	}
 	changed := !reflect.DeepEqual(s, w.Current)
@@ -89,5 +89,5 @@
 	if changed {
 		w.Apply(s)
 	}
-	w.Log.Info().Str("cause", cause).Bool("changed", changed).Msg(logPrefix + "The settings were read anew.")
+	w.Log.Info().Str("cause", cause).Bool("changed", changed).Msg(logPrefix + "Settings reloaded.")
 }
--- a/internal/settings/watcher_test.go
+++ b/internal/settings/watcher_test.go
@@ -15,8 +15,8 @@
 	"github.com/barleystep/barleystep/internal/settings"
 )
 
-// TestWatcher checks that settings are read anew after SIGHUP and after a change
-// without one, and that bad ones change nothing.
+// TestWatcher checks that settings are reloaded on SIGHUP and on a change of the file without a
+// signal, and that invalid ones have no effect.
 func TestWatcher(t *testing.T) {
 	c := quicktest.New(t)
 	name := filepath.Join(t.TempDir(), "settings.toml")
--- a/internal/web/server.go
+++ b/internal/web/server.go
@@ -16,21 +16,20 @@
 	"github.com/barleystep/barleystep/internal/clock"
 )
 
-// Server is one listener. Its exported fields are set before Serve.
+// Server is an HTTP listener. Its exported fields are set before Serve.
 type Server struct {
-	// Name tells listeners apart in logs.
+	// Name identifies the listener in logs.
 	Name string
-	// Addr is the IP and port to listen on; port 0 takes any.
+	// Addr is the IP and port to listen on; port 0 selects a free one.
 	Addr    string
 	Handler http.Handler
 	Clock   barleystep.Clock
 	Log     *log.Logger
-	// Grace bounds how long running requests may take after the stop; without it
-	// they are cut at once.
+	// Grace bounds how long running requests may take after the stop; zero aborts them at once.
 	Grace time.Duration
-	// Unencrypted allows HTTP/2 without TLS, for peers.
+	// Unencrypted allows HTTP/2 without TLS, for connections between boxes.
 	Unencrypted bool
-	// TLS encrypts the connections; nil leaves them in the clear.
+	// TLS encrypts the connections; nil disables encryption.
 	TLS *tls.Config
 
 	once  sync.Once
@@ -42,7 +41,7 @@
 
 const logPrefix = "web: "
 
-// Serve listens until ctx ends; then it lets running requests finish.
+// Serve listens until ctx ends, then lets running requests finish within Grace.
 func (s *Server) Serve(ctx context.Context) (err error) {
 	defer func() {
 		if err != nil {
@@ -83,13 +82,13 @@
 
 func (s *Server) stop(h *http.Server) error {
 	if s.Grace == 0 {
-		_ = h.Close() // Only listeners whose streams never end have no grace.
+		_ = h.Close() // Only listeners whose streams never end have no grace period.
 		return context.Canceled
 	}
 	ctx, cancel := clock.WithDeadline(context.Background(), s.Clock, s.Clock.Now().Add(s.Grace))
 	defer cancel()
 	if err := h.Shutdown(ctx); err != nil {
-		s.Log.Warn().Str("listener", s.Name).Msg(logPrefix + "Requests were cut at the end of the grace.")
+		s.Log.Warn().Str("listener", s.Name).Msg(logPrefix + "Aborted running requests at the end of the grace period.")
 		return h.Close()
 	}
 	return context.Canceled
@@ -109,11 +108,11 @@
 	close(s.ready)
 }
 
-// Ready returns a channel that is closed when the listener is open.
+// Ready returns a channel that is closed once the listener is open.
 func (s *Server) Ready() <-chan struct{} {
 	s.init()
 	return s.ready
 }
 
-// ListenAddr returns the address; it is set once Ready is closed.
+// ListenAddr returns the address of the listener. It may be called once Ready is closed.
 func (s *Server) ListenAddr() string { return s.addr }
