--- a/cmd/barleystep-admin/main.go
+++ b/cmd/barleystep-admin/main.go
@@ -24,7 +24,7 @@
 	}))
 }
 
-// check refuses settings without which the program can't serve.
+// check rejects settings with which the program cannot run.
 func check(s settings.Settings) error {
 	switch {
 	case s.Listen.Admin == "":
--- a/cmd/barleystep-dev/main.go
+++ b/cmd/barleystep-dev/main.go
@@ -57,6 +57,7 @@
     -d '{"model":"%s","stream":true,"max_tokens":8,"messages":[{"role":"user","content":"Read this deed."}]}'
 `
 
+// printUsage prints how to call the hall once it is ready.
 func printUsage(cmd *cobra.Command, h *local.Hall) {
 	<-h.Ready()
 	fmt.Fprintf(cmd.OutOrStdout(), usage, local.CallersPort, local.AdminPort, local.CallersPort, local.KeyConversia, local.Model)
--- a/cmd/barleystep-entry/main.go
+++ b/cmd/barleystep-entry/main.go
@@ -1,4 +1,4 @@
-// Command barleystep-entry holds callers' connections and streams on a box.
+// Command barleystep-entry serves the connections and streams of callers on a box.
 package main
 
 import (
@@ -24,7 +24,7 @@
 	}))
 }
 
-// check refuses settings without which the program can't serve.
+// check rejects settings with which the program cannot run.
 func check(s settings.Settings) error {
 	switch {
 	case s.Listen.Callers == "":
--- a/cmd/barleystep-entry/main_test.go
+++ b/cmd/barleystep-entry/main_test.go
@@ -43,7 +43,7 @@
 level = "error"
 `
 
-// rig is boxes that run as processes before stand-ins in the test.
+// fixture is a set of boxes that run as processes, with stand-ins in the test's process.
 type fixture struct {
 	engine  *standin.Engine
 	callers []string
@@ -109,7 +109,7 @@
 	c.Assert(err, quicktest.IsNil)
 }
 
-// reply is what a caller got.
+// reply is the answer that a caller received.
 type reply struct {
 	outcome string
 	reason  string
@@ -146,17 +146,17 @@
 		}
 		clock.Sleep(t.Context(), clk, 10*time.Millisecond)
 	}
-	t.Fatal("the condition did not come about")
+	t.Fatal("timed out waiting for the condition")
 }
 
-// running waits until the engine has started another attempt.
+// waitForRun waits until the engine has started another attempt.
 func (r *fixture) waitForRun(t *testing.T, before int) {
 	eventually(t, func() bool { return len(r.engine.Runs()) > before })
 }
 
-// TestKilledBox kills a box in the midst of a request that must not be repeated.
-// Its caller does not take the torn answer for a whole one, and the retry at
-// another box runs nothing.
+// TestKilledBox kills a box while it serves a request that must not be repeated. The caller
+// must not take the incomplete answer for a complete one, and a retry at another box must not
+// run the request again.
 func TestKilledBox(t *testing.T) {
 	c := quicktest.New(t)
 	r := newFixture(t, 2)
@@ -176,7 +176,7 @@
 	c.Check(len(r.engine.Runs())-before, quicktest.Equals, 2)
 }
 
-// TestFrozenBox stops a box's process in the midst of a stream and lets it go on.
+// TestFrozenBox suspends a box's process during a stream and resumes it.
 func TestFrozenBox(t *testing.T) {
 	c := quicktest.New(t)
 	r := newFixture(t, 1)
@@ -193,8 +193,8 @@
 	c.Check(strings.Count(got.text, "data: "), quicktest.Equals, 42)
 }
 
-// TestStoppedBox asks a box's process to stop in the midst of a stream: it ends
-// after the stream, and cuts nothing short.
+// TestStoppedBox stops a box's process during a stream. The process must exit after the stream
+// has ended and not abort it.
 func TestStoppedBox(t *testing.T) {
 	c := quicktest.New(t)
 	r := newFixture(t, 1)
--- a/cmd/barleystep-keeper/main.go
+++ b/cmd/barleystep-keeper/main.go
@@ -1,5 +1,5 @@
-// Command barleystep-keeper looks after the targets of a hall: clean-up, orders
-// and old rows.
+// Command barleystep-keeper maintains the targets of a hall: it cleans up attempts, sends
+// orders and removes old rows.
 package main
 
 import (
@@ -25,7 +25,7 @@
 	}))
 }
 
-// check refuses settings without which the program can't work.
+// check rejects settings with which the program cannot run.
 func check(s settings.Settings) error {
 	switch {
 	case s.Listen.Peers == "":
--- a/cmd/barleystep-lab/main.go
+++ b/cmd/barleystep-lab/main.go
@@ -1,5 +1,5 @@
-// Command barleystep-lab measures how targets are chosen, over engines that follow
-// the published cost model, in simulated time.
+// Command barleystep-lab measures how well targets are chosen, with engines that follow the
+// published cost model, in simulated time.
 package main
 
 import (
--- a/cmd/barleystep-router/main.go
+++ b/cmd/barleystep-router/main.go
@@ -1,5 +1,5 @@
-// Command barleystep-router stands between callers and targets on a platform
-// that keeps the configuration and the list of targets in a store.
+// Command barleystep-router routes requests from callers to targets on a platform that keeps
+// the configuration and the list of targets in a store.
 package main
 
 import (
@@ -26,7 +26,7 @@
 	}))
 }
 
-// check refuses settings without which the program can't serve.
+// check rejects settings with which the program cannot run.
 func check(s settings.Settings) error {
 	for key, value := range map[string]string{
 		"listen.callers": s.Listen.Callers,
--- a/cmd/barleystep-soak/main.go
+++ b/cmd/barleystep-soak/main.go
@@ -1,5 +1,5 @@
-// Command barleystep-soak runs boxes, a store and targets as processes on loopback
-// sockets under faults drawn from a seed, and checks that every promise is kept.
+// Command barleystep-soak runs boxes, a store and targets as processes on loopback, injects
+// faults drawn from a seed, and checks that every guarantee holds.
 package main
 
 import (
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// regressionsCommand runs the seeds that have failed once. The root's flag for the box's
-// program holds for it too.
+// regressionsCommand returns the command that runs the seeds that have failed before. The root
+// command's flag for the box's program applies to it too.
 func regressionsCommand(s *soak.Runner) *cobra.Command {
 	var ci bool
 	cmd := &cobra.Command{Use: "regressions", Short: "Run the seeds that have failed once", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
--- a/cmd/barleystep-standin/main.go
+++ b/cmd/barleystep-standin/main.go
@@ -1,5 +1,5 @@
-// Command barleystep-standin runs one of the stand-ins as a process of its own,
-// for trying the programs out without a platform or engines.
+// Command barleystep-standin runs a stand-in as a process of its own, to try out the programs
+// without a platform or engines.
 package main
 
 import (
--- a/cmd/barleystep-trial/main.go
+++ b/cmd/barleystep-trial/main.go
@@ -1,5 +1,5 @@
-// Command barleystep-trial measures how requests are placed, by our decisions
-// and by simple baselines, over small fake engines in simulated time.
+// Command barleystep-trial measures the placement of requests by the balancer and by simple
+// baselines, with a few fake engines in simulated time.
 package main
 
 import (
--- a/cmd/barleystep/main.go
+++ b/cmd/barleystep/main.go
@@ -1,4 +1,4 @@
-// Command barleystep administers barleystep.
+// Command barleystep is the administration command line.
 package main
 
 import (
--- a/examples/caller/main.go
+++ b/examples/caller/main.go
@@ -1,5 +1,5 @@
-// Command caller asks the local hall of "make run" one question and prints the
-// answer as it comes.
+// Command caller sends one question to the local hall that "make run" starts, and prints the
+// answer as it arrives.
 package main
 
 import (
