--- a/internal/router/observe.go
+++ b/internal/router/observe.go
@@ -40,8 +40,8 @@
 
 func (r *Router) suspects() []metric.Sample {
 	var list []metric.Sample
-	for standing, count := range r.balancer.Suspects.Counts() {
-		list = append(list, metric.Sample{Label: standing.String(), Value: float64(count)})
+	for status, count := range r.balancer.Suspects.Counts() {
+		list = append(list, metric.Sample{Label: status.String(), Value: float64(count)})
 	}
 	return list
 }
@@ -92,7 +92,7 @@
 		if view != nil && view.Service(t.Service) == nil {
 			counts["no_service"]++
 		}
-		for _, state := range r.beliefStates(t.ID) {
+		for _, state := range r.statusStates(t.ID) {
 			counts[state]++
 		}
 	}
@@ -103,19 +103,19 @@
 	return list
 }
 
-// beliefStates returns the states of a target that do not come from its record.
-func (r *Router) beliefStates(id barleystep.TargetID) (states []string) {
-	belief := r.balancer.TargetStatus(id)
-	if belief.Down {
+// statusStates returns the states of a target that do not come from its record.
+func (r *Router) statusStates(id barleystep.TargetID) (states []string) {
+	status := r.balancer.TargetStatus(id)
+	if status.Down {
 		states = append(states, "down")
 	}
-	if belief.Statement.Limit.Value.IsSet() {
-		states = append(states, "limited, "+origin(belief.Statement.Limit == belief.HeardLocally.Limit))
+	if status.Statement.Limit.Value.IsSet() {
+		states = append(states, "limited, "+origin(status.Statement.Limit == status.HeardLocally.Limit))
 	}
-	if belief.Statement.Leaving.Value {
-		states = append(states, "leaving, "+origin(belief.Statement.Leaving == belief.HeardLocally.Leaving))
+	if status.Statement.Leaving.Value {
+		states = append(states, "leaving, "+origin(status.Statement.Leaving == status.HeardLocally.Leaving))
 	}
-	if belief.Resting {
+	if status.Resting {
 		states = append(states, "resting, "+origin(true))
 	}
 	return states
@@ -123,8 +123,8 @@
 
 // origin returns the label for a statement that this box received, or that another box passed
 // on.
-func origin(heardHere bool) string {
-	if heardHere {
+func origin(heardLocally bool) string {
+	if heardLocally {
 		return "heard"
 	}
 	return "told"
