--- a/internal/router/observe.go
+++ b/internal/router/observe.go
@@ -8,7 +8,8 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// observe exports what the box believes, and how old that is.
+// registerMetrics exports the box's view of targets, other boxes and the store, and how old
+// that view is.
 func (r *Router) registerMetrics() {
 	r.Exporter.Observe("barleystep_belief_age_seconds", "How long ago a change of the topic could last have been missed; below zero without any proof.", "topic", r.beliefAges)
 	r.Exporter.Observe("barleystep_targets_believed", "Targets by what the box believes of them.", "state", r.targetStates)
@@ -39,8 +40,8 @@
 
 func (r *Router) suspects() []metric.Sample {
 	var list []metric.Sample
-	for standing, count := range r.balancer.Suspects.Counts() {
-		list = append(list, metric.Sample{Label: standing.String(), Value: float64(count)})
+	for status, count := range r.balancer.Suspects.Counts() {
+		list = append(list, metric.Sample{Label: status.String(), Value: float64(count)})
 	}
 	return list
 }
@@ -75,8 +76,8 @@
 	return list
 }
 
-// targetStates counts the targets by what is believed of them. What targets say of themselves
-// is counted by who was told: this box, or another one.
+// targetStates counts the targets by state. Statements of targets are counted apart by whether
+// this box or another one received them.
 func (r *Router) targetStates() []metric.Sample {
 	counts := map[string]int{}
 	for _, state := range []string{"known", "draining", "down", "limited, heard", "limited, told", "leaving, heard", "leaving, told", "resting, heard", "no_service"} {
@@ -91,7 +92,7 @@
 		if view != nil && view.Service(t.Service) == nil {
 			counts["no_service"]++
 		}
-		for _, state := range r.beliefStates(t.ID) {
+		for _, state := range r.statusStates(t.ID) {
 			counts[state]++
 		}
 	}
@@ -102,27 +103,28 @@
 	return list
 }
 
-// believed returns what is believed of a target besides its record.
-func (r *Router) beliefStates(id barleystep.TargetID) (states []string) {
-	belief := r.balancer.TargetStatus(id)
-	if belief.Down {
+// statusStates returns the states of a target that do not come from its record.
+func (r *Router) statusStates(id barleystep.TargetID) (states []string) {
+	status := r.balancer.TargetStatus(id)
+	if status.Down {
 		states = append(states, "down")
 	}
-	if belief.Statement.Limit.Value.IsSet() {
-		states = append(states, "limited, "+origin(belief.Statement.Limit == belief.HeardLocally.Limit))
+	if status.Statement.Limit.Value.IsSet() {
+		states = append(states, "limited, "+origin(status.Statement.Limit == status.HeardLocally.Limit))
 	}
-	if belief.Statement.Leaving.Value {
-		states = append(states, "leaving, "+origin(belief.Statement.Leaving == belief.HeardLocally.Leaving))
+	if status.Statement.Leaving.Value {
+		states = append(states, "leaving, "+origin(status.Statement.Leaving == status.HeardLocally.Leaving))
 	}
-	if belief.Resting {
+	if status.Resting {
 		states = append(states, "resting, "+origin(true))
 	}
 	return states
 }
 
-// source names who was told by a target.
-func origin(heardHere bool) string {
-	if heardHere {
+// origin returns the label for a statement that this box received, or that another box passed
+// on.
+func origin(heardLocally bool) string {
+	if heardLocally {
 		return "heard"
 	}
 	return "told"
