--- a/internal/soak/box.go
+++ b/internal/soak/box.go
@@ -18,11 +18,11 @@
 	"github.com/barleystep/barleystep"
 )
 
-// box is a box's program, which is started again when it ends.
+// box supervises the process of a box, which is restarted whenever it exits.
 type box struct {
 	id          string
 	program     string
-	configFile  string // file is its settings file.
+	configFile  string // configFile is the path of its settings.
 	logFile     *os.File
 	callersAddr string
 	readyAddr   string
@@ -32,21 +32,21 @@
 	mu          sync.Mutex
 	cmd         *exec.Cmd
 	incarnation int
-	// wanted is set while the box is to run.
+	// shouldRun is set while the process is to be restarted.
 	shouldRun bool
 	done      chan struct{}
 }
 
 const (
-	// restartPause is how long a box is down after its process has ended.
+	// restartDelay is the time between the exit of a box's process and its restart.
 	restartDelay = 300 * time.Millisecond
-	// grace is how long a planned stop lasts at the most.
+	// gracePeriod bounds the duration of a planned stop.
 	gracePeriod = 8 * time.Second
 )
 
-// newBox writes the settings of a box, whose first seeds are the given addresses.
+// newBox writes the settings of a box. The first three addresses of peers are its seeds.
 func newBox(clk barleystep.Clock, h *History, program, dir string, number int, peers []string, store string) (b *box, err error) {
-	defer func() { err = eris.Wrap(err, "soak: box") }()
+	defer func() { err = eris.Wrap(err, "soak: write settings of box") }()
 	b = &box{
 		id: fmt.Sprintf("b%d", number), program: program, clock: clk, history: h,
 		callersAddr: addr(portCallers, number), readyAddr: addr(portReady, number),
@@ -62,19 +62,20 @@
 	return b, err
 }
 
-// hostOf returns the loopback address of a run's own, by its process: no other run can take
-// a port of its boxes, links and targets, nor be reached at one that a target has left.
+// loopbackHost returns a loopback address derived from the run's process id. Each run has its own,
+// so that no other run can take a port of its boxes, proxies and targets, or be reached at a port
+// that one of its targets has released.
 func loopbackHost(pid int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 64+pid>>16&63, pid>>8&255, pid&255)
 }
 
-// listen listens at any port of the address of the run whose process is given.
+// listen opens a listener on any free port of the address of the run with this process id.
 func listen(ctx context.Context, pid int) (net.Listener, error) {
 	var c net.ListenConfig
 	return c.Listen(ctx, "tcp", loopbackHost(pid)+":0")
 }
 
-// The ports of a box: those of the first one, which stand side by side.
+// Ports of the first box. The ports of the next boxes follow in steps of portsPerBox.
 const (
 	portCallers = 7000 + iota
 	portReady
@@ -82,12 +83,12 @@
 	portsPerBox = iota
 )
 
-// addr returns the address of a box's port.
+// addr returns the address of a port of the box with this number.
 func addr(port, number int) string {
 	return fmt.Sprintf("%s:%d", loopbackHost(os.Getpid()), port+portsPerBox*number)
 }
 
-// start runs the program until stop.
+// start runs the program, with restarts, until stop. It returns after the first start.
 func (b *box) start(ctx context.Context) {
 	b.shouldRun = true
 	b.done = make(chan struct{})
@@ -96,7 +97,7 @@
 	<-started
 }
 
-// keep starts the program again whenever it ends.
+// supervise restarts the program whenever it exits.
 func (b *box) supervise(ctx context.Context, started chan struct{}) {
 	defer close(b.done)
 	for {
@@ -122,14 +123,14 @@
 			b.history.RecordFinding("%s cannot be started: %v", b.id, err)
 			return
 		}
-		_ = cmd.Wait() // How it ended is judged where it was ended.
+		_ = cmd.Wait() // checkExit judges the exit.
 		b.checkExit(cmd)
 		timer := b.clock.NewTimer(restartDelay)
 		<-timer.C()
 	}
 }
 
-// ended notes a process that ended by itself.
+// checkExit records a violation if the process was neither killed nor told to stop.
 func (b *box) checkExit(cmd *exec.Cmd) {
 	incarnation := incarnationID(b.id, b.currentIncarnation())
 	b.history.mu.Lock()
@@ -147,7 +148,7 @@
 	return b.incarnation
 }
 
-// signal sends a signal to the current process.
+// signal sends a signal to the current process and records it in the history.
 func (b *box) signal(s syscall.Signal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -159,13 +160,13 @@
 	case syscall.SIGSTOP:
 		b.history.RecordFreeze(b.id, b.incarnation, b.clock.Now())
 	}
-	_ = b.cmd.Process.Signal(s) // It may have ended just now.
+	_ = b.cmd.Process.Signal(s) // The process may have exited meanwhile.
 	if s == syscall.SIGCONT {
 		b.history.RecordThaw(b.id, b.incarnation, b.clock.Now())
 	}
 }
 
-// stop ends the box for good.
+// stop ends the process without a restart and waits for its exit.
 func (b *box) stop() {
 	b.mu.Lock()
 	b.shouldRun = false
@@ -176,17 +177,17 @@
 	_ = b.logFile.Close()
 }
 
-// usage is what a process holds.
+// usage is what a process holds: open file descriptors and resident memory in MB.
 type usage struct {
 	descriptors int
 	megabytes   int
 }
 
-// pageBytes is the size of a page in /proc/PID/statm.
+// pageBytes is the unit of the sizes in /proc/PID/statm.
 const pageBytes = 4 << 10
 
 func (b *box) usage() (u usage, err error) {
-	defer func() { err = eris.Wrap(err, "soak: usage") }()
+	defer func() { err = eris.Wrap(err, "soak: read resource usage") }()
 	b.mu.Lock()
 	pid := strconv.Itoa(b.cmd.Process.Pid)
 	b.mu.Unlock()
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -17,19 +17,19 @@
 	"github.com/barleystep/barleystep/platform/platformtest"
 )
 
-// caller sends requests one after the other to boxes at random, over connections that it
-// keeps until the box's process is gone.
+// caller sends requests one after the other to random boxes, over connections that it keeps open
+// until the box's process exits.
 type caller struct {
 	name    string
 	clock   barleystep.Clock
 	rand    *rand.Rand
 	boxes   []*box
 	history *History
-	// routes returns how many routes were added so far, keys the keys that may be used.
+	// routes returns how many routes have been added. keys are the API keys to choose from.
 	routes func() int
 	keys   []string
-	// deadly reports whether deadly requests are sent now. They are drawn apart, so that
-	// seeds go on to draw what they drew.
+	// deadly reports whether deadly requests are sent now. They are drawn from a generator of their
+	// own, so that the other draws of a seed do not change.
 	deadly     func() bool
 	deadlyRand *rand.Rand
 	load       load
@@ -38,19 +38,19 @@
 }
 
 const (
-	// host is that of all routes.
+	// host is the host name of all routes.
 	host = "soak.example"
-	// thinkTime is the mean time between two requests of a caller.
+	// thinkTime is the mean pause between two requests of a caller.
 	thinkTime = 25 * time.Millisecond
-	// longBody is the size of a body that does not fit in socket buffers at once, and
-	// longEvery how seldom it comes.
+	// longBody is the size of a body that exceeds the socket buffers. One in longEvery requests has
+	// such a body.
 	longBody  = 96 << 10
 	longEvery = 20
-	// deadlyEvery is how seldom a deadly request comes while there are such.
+	// One in deadlyEvery requests is deadly while such requests are sent.
 	deadlyEvery = 20
 	deadlyKey   = "key-a"
-	// shortPrompt and giantPrompt are lengths in tokens; the second is over an engine's
-	// memory.
+	// shortPrompt and oversizedPrompt are lengths in tokens. oversizedPrompt exceeds the KV cache
+	// of an engine.
 	shortPrompt     = 500
 	oversizedPrompt = 60_000
 )
@@ -65,7 +65,7 @@
 	}
 }
 
-// run sends requests until ctx ends.
+// run sends requests until ctx is done.
 func (c *caller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		b := c.boxes[c.rand.IntN(len(c.boxes))]
@@ -80,7 +80,7 @@
 	c.client.CloseIdleConnections()
 }
 
-// draw chooses what to ask for.
+// randomCall draws the next request.
 func (c *caller) randomCall() Call {
 	c.number++
 	x := Call{ID: fmt.Sprintf("%s-%d", c.name, c.number), Key: c.keys[c.rand.IntN(len(c.keys))], Body: "body of a request"}
@@ -98,18 +98,18 @@
 	return x
 }
 
-// call sends one request and takes in the answer.
+// call sends one request and records the answer in the returned Call.
 func (c *caller) call(b *box, x Call) Call {
 	x.Box, x.Incarnation, x.TimeLimit, x.Started = b.id, b.currentIncarnation(), c.load.timeLimit, c.clock.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), x.TimeLimit)
 	defer cancel()
 	connected := false
-	var sent atomic.Pointer[time.Time] // It is set by another goroutine, perhaps late.
+	var sent atomic.Pointer[time.Time] // The trace runs on another goroutine, possibly after the request has ended.
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(i httptrace.GotConnInfo) {
 			connected, x.Reused = true, i.Reused
 			if !i.Reused {
-				x.Incarnation = b.currentIncarnation() // It may have started since.
+				x.Incarnation = b.currentIncarnation() // The process may have been restarted since.
 			}
 		},
 		WroteRequest: func(i httptrace.WroteRequestInfo) {
@@ -120,10 +120,10 @@
 	})
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+b.callersAddr+x.Path, strings.NewReader(x.Body))
 	if err != nil {
-		panic(err) // The address and path are this package's own.
+		panic(err) // Unreachable: the address and the path come from this package.
 	}
 	req.Host = host
-	req.GetBody = nil // The transport must not send it again.
+	req.GetBody = nil // Keeps the transport from resending the request.
 	platformtest.SetCallerHeaders(req.Header, x.ID, x.Key)
 	prompt := shortPrompt
 	if x.Kind == KindResumableStream && c.rand.IntN(c.load.oversizedEvery) == 0 {
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -11,23 +11,23 @@
 	"github.com/barleystep/barleystep/platform/platformtest"
 )
 
-// The bounds that the boxes are given, and which their callers rely on.
+// Settings of the boxes and bounds that callers may rely on.
 const (
-	// overtime is how much later than its limit a request may be answered; it is wide,
-	// since the machine may be busy, and finds what is never answered.
+	// answerSlack is how much later than its time limit a request may be answered. It is large,
+	// since the machine may be busy, and finds requests that are never answered.
 	answerSlack = 10 * time.Second
-	// freshness is how long after it was taken away a key may still be served.
+	// freshness is how long a revoked key may still be accepted.
 	freshness = 5 * time.Second
-	// foreignBound is how long after another writer has overwritten its entry a target
-	// may still get work.
+	// foreignBound is how long a target may still get requests after another writer has overwritten
+	// its record.
 	foreignBound = 5 * time.Second
-	// retryRatio, retryExtra and retryWindow are the retry budget of all boxes.
+	// retryRatio, retryExtra and retryWindow are the retry budget of all boxes together.
 	retryRatio  = 0.2
 	retryExtra  = 100
 	retryWindow = 10 * time.Second
 )
 
-// Check returns all that is wrong with a history, a line each.
+// Check returns all violations found in the history, one a line.
 func (h *History) Check() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -54,7 +54,7 @@
 	return c.violations
 }
 
-// check is one examination of a history, whose lock is held.
+// check is one examination of a history. The history's lock is held.
 type check struct {
 	history    *History
 	arrivals   map[string][]platformtest.Arrival
@@ -65,7 +65,7 @@
 	c.violations = append(c.violations, rule+": request "+request+": "+fmt.Sprintf(format, args...))
 }
 
-// call checks what one caller got.
+// checkCall checks what a caller observed.
 func (c *check) checkCall(x *Call) {
 	c.checkExecutions(x)
 	if took := x.Ended.Sub(x.Started); took > x.TimeLimit+answerSlack && !c.frozen(x) {
@@ -80,8 +80,8 @@
 	}
 }
 
-// once checks that what must not be repeated has run once, and that a promise that it has
-// not run is true.
+// checkExecutions checks that a request that must not be repeated was executed at most once, and
+// that a request refused with a status that denies execution was not executed.
 func (c *check) checkExecutions(x *Call) {
 	runs := 0
 	for _, a := range c.arrivals[x.ID] {
@@ -100,14 +100,14 @@
 	}
 }
 
-// answer checks that an answer is the request's own, of one source, and whole.
+// checkAnswer checks that an answer belongs to the request, comes from one source and is complete.
 func (c *check) checkAnswer(x *Call) {
 	if got := platformtest.RequestID(x.Header); got != x.ID {
 		c.addViolation("own answer", x.ID, "the answer names %q", got)
 	}
 	digest, hasDigest := platformtest.ReadDigest(x.Header)
 	switch {
-	case x.Truncated && c.killed(x): // It was cut in the midst, and looks it.
+	case x.Truncated && c.killed(x): // The box was killed during the answer, and the caller can see the truncation.
 	case !hasDigest && x.Status < http.StatusBadRequest:
 		c.addViolation("own answer", x.ID, "a %d without a digest", x.Status)
 	case !hasDigest:
@@ -121,7 +121,7 @@
 	}
 }
 
-// own checks an answer of the box itself: it holds nothing of a target's.
+// checkOwnAnswer checks that an answer produced by the box itself contains nothing from a target.
 func (c *check) checkOwnAnswer(x *Call) {
 	if strings.Contains(x.Answer, x.ID) || x.Truncated {
 		c.addViolation("own answer", x.ID, "the box's own %d has %q, broken: %t", x.Status, x.Answer, x.Truncated)
@@ -135,11 +135,11 @@
 	}
 }
 
-// stream checks that events come in order, without gap and repetition, from targets
-// that ran this request, and that a stream that looks whole is.
+// checkStream checks that events arrive in order, without gaps or duplicates, from targets that
+// executed this request, and that a stream that ends normally is complete.
 func (c *check) checkStream(x *Call) {
 	events := strings.SplitAfter(x.Answer, "\n\n")
-	events = events[:len(events)-1] // What follows the last border is no event.
+	events = events[:len(events)-1] // The part after the last separator is not an event.
 	for i, e := range events {
 		if !strings.HasPrefix(e, fmt.Sprintf("id: %d\ndata: %s ", i+1, x.ID)) {
 			c.addViolation("stream order", x.ID, "event %d is %q", i+1, e)
@@ -151,7 +151,7 @@
 	}
 }
 
-// arrival checks what a target got against what the caller sent.
+// checkArrival checks what a target received against what the caller sent.
 func (c *check) checkArrival(a platformtest.Arrival, x *Call) {
 	if x == nil {
 		c.addViolation("unchanged", a.Request, "no caller sent what reached %s", a.Target)
@@ -173,8 +173,9 @@
 	c.checkForeignEntry(a, x)
 }
 
-// foreign checks that no work goes to a target whose entry another writer has overwritten,
-// once boxes that run, and a store that serves, have had the time to learn it.
+// checkForeignEntry checks that a target gets no work once another writer has overwritten its
+// record and the box has had time to read it: the box was running and the store available for
+// foreignBound.
 func (c *check) checkForeignEntry(a platformtest.Arrival, x *Call) {
 	for _, o := range c.history.overwritten[a.Target] {
 		late := x.Started.After(c.entryKnownBy(o.from, x))
@@ -184,7 +185,7 @@
 	}
 }
 
-// budget checks the retries of all boxes together in every window.
+// checkRetryBudget checks the retries of all boxes together in every window.
 func (c *check) checkRetryBudget(calls map[string]*Call) {
 	var requests, repeats []time.Time
 	for _, x := range calls {
@@ -211,7 +212,7 @@
 	}
 }
 
-// routes checks that no life of a box forgets a route that it has served.
+// checkRoutes checks that no incarnation of a box loses a route that it has served.
 func (c *check) checkRoutes() {
 	known := make(map[string]time.Time)
 	for _, x := range c.history.calls {
@@ -228,8 +229,9 @@
 	}
 }
 
-// learnt returns when, at the latest, the call's box knows what stands in the store since
-// the given time: when the store has served, and the box run, for foreignBound on end.
+// entryKnownBy returns the latest time at which the call's box knows what the store has held since
+// the given time: the end of the first period of foreignBound in which the store is available and
+// the box not frozen.
 func (c *check) entryKnownBy(since time.Time, x *Call) time.Time {
 	breaks := slices.Concat(c.history.storeDown, c.history.frozen[incarnationID(x.Box, x.Incarnation)])
 	slices.SortFunc(breaks, func(a, b interval) int { return a.from.Compare(b.from) })
@@ -246,7 +248,7 @@
 	return since.Add(foreignBound)
 }
 
-// Summary tells how much was seen.
+// Summary returns the counts of calls and arrivals.
 func (h *History) Summary() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/soak/check_deadly.go
+++ b/internal/soak/check_deadly.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// mostEnded is how many targets may end under a request, one of them while it ran alone,
-	// before it is sent to no other.
+	// maxTargetExits is how many targets may exit while executing a deadly request before it is
+	// sent to no other target. One of them must have run it alone.
 	maxTargetExits = 3
-	// mostLate is how many more may end after that: where all three ended beside other
-	// requests, one that runs alone shows that it was this one.
+	// maxLateExits is how many more may exit after that: if all three ran other requests too, one
+	// target that runs it alone is needed to identify the request.
 	maxLateExits = 1
-	// deadlyBound is within what time a box that lives and runs has heard of what ended under
-	// a request, and knows how it stands; it is wide, since the machine may be busy.
+	// deadlyBound is how long a running box may take to learn of targets that exited during a
+	// request and of the resulting verdict. It is large, since the machine may be busy.
 	deadlyBound = 2 * time.Second
 )
 
-// deadly checks that a request under which targets have ended is sent to no other by boxes
-// that have lived since, or have run again for long enough.
+// checkDeadly checks that a request during which targets have exited is sent to no other target by
+// boxes that have run since, or have been running again for deadlyBound.
 func (c *check) checkDeadly(calls map[string]*Call) {
 	var ends []platformtest.Arrival
 	for _, a := range c.history.arrivals {
@@ -37,8 +37,8 @@
 	c.checkLateExits(ends, calls)
 }
 
-// lateEnds checks ends of targets between which the boxes were not all killed at once: what they
-// know of fewer than three is in their memory only.
+// checkLateExits checks exits of targets between which the boxes were not all killed at once. Boxes
+// keep what they know of fewer than three exits in memory only.
 func (c *check) checkLateExits(ends []platformtest.Arrival, calls map[string]*Call) {
 	if len(ends) <= maxTargetExits {
 		return
@@ -55,10 +55,10 @@
 	}
 }
 
-// atOnce is within what time all boxes end that are killed at once.
+// massKillWindow is the time within which boxes that are killed together exit.
 const massKillWindow = 500 * time.Millisecond
 
-// wiped returns when all boxes were killed at once, in order.
+// massKills returns the times at which all boxes were killed together, in order.
 func (c *check) massKills() (list []time.Time) {
 	killed := make(map[string][]time.Time)
 	for _, x := range c.history.calls {
@@ -66,7 +66,7 @@
 		if at, ok := c.history.killed[incarnationID(x.Box, x.Incarnation)]; ok && !slices.Contains(times, at) {
 			times = append(times, at)
 		}
-		killed[x.Box] = times // A box that was never killed counts too.
+		killed[x.Box] = times // Keeps an entry for boxes that were never killed.
 	}
 	for _, times := range killed {
 		for _, at := range times {
@@ -79,7 +79,8 @@
 	return list
 }
 
-// allKilled reports whether a life of each box was killed about then.
+// allKilledAt reports whether an incarnation of each box was killed within massKillWindow of the
+// given time.
 func (c *check) allKilledAt(killed map[string][]time.Time, at time.Time) bool {
 	for _, times := range killed {
 		if !slices.ContainsFunc(times, func(t time.Time) bool { return t.Sub(at).Abs() <= massKillWindow }) {
@@ -89,7 +90,8 @@
 	return true
 }
 
-// livedSince reports whether the box's life that took the call had begun by the given time.
+// startedBefore reports whether the incarnation of the box that took the call had started by the
+// given time.
 func (c *check) startedBefore(x *Call, since time.Time) bool {
 	if x.Incarnation <= 1 {
 		return true
@@ -103,8 +105,8 @@
 	return false
 }
 
-// heard returns when the box that took the call has heard at the latest of what happened at the
-// given time.
+// informedBy returns the latest time at which the box that took the call has learned of an event at
+// the given time.
 func (c *check) informedBy(since time.Time, x *Call) time.Time {
 	for _, f := range c.history.frozen[incarnationID(x.Box, x.Incarnation)] {
 		switch {
--- a/internal/soak/check_statement.go
+++ b/internal/soak/check_statement.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// leaveBound is how long after a box has passed on the answer of a target which says that it
-	// leaves a caller's request may still reach it.
+	// leaveBound is how long a request may still reach a leaving target after the box has forwarded
+	// the answer in which the target said that it is leaving.
 	leaveBound = 2 * time.Second
-	// restSlack is how long after a target has asked for rest it counts, and mostInRest how many
-	// requests of the box that it has asked may come after that: those that were under way.
+	// restSlack is how long after a target's request for rest it takes effect. maxDuringRest is how
+	// many requests of the box that was asked may arrive after that, since they were in flight.
 	restSlack     = 500 * time.Millisecond
 	maxDuringRest = 2
 )
 
-// statements checks that boxes heed what targets say of themselves in their answers.
+// checkStatements checks that boxes obey the statements that targets make in their answers.
 func (c *check) checkStatements(calls map[string]*Call) {
 	byProcess := make(map[string][]platformtest.Arrival)
 	for _, a := range c.history.arrivals {
 		if calls[a.Request] != nil {
-			process := a.Target + "@" + strconv.FormatInt(a.Born, 10) // Another one has said nothing yet.
+			process := a.Target + "@" + strconv.FormatInt(a.Born, 10) // Another process of the target has made no statement yet.
 			byProcess[process] = append(byProcess[process], a)
 		}
 	}
@@ -35,7 +35,8 @@
 	}
 }
 
-// left checks that nothing comes to a target from a life of a box that has passed on its word.
+// checkLeaving checks that a target gets no request from an incarnation of a box that has forwarded
+// its statement that it is leaving.
 func (c *check) checkLeaving(list []platformtest.Arrival, calls map[string]*Call) {
 	passed := make(map[string]time.Time)
 	for _, a := range list {
@@ -52,8 +53,8 @@
 	}
 }
 
-// rested checks that no more comes to a target from a life of a box that it has asked for rest
-// than was under way.
+// checkResting checks that a target that has asked an incarnation of a box for rest gets no more
+// from it than was in flight.
 func (c *check) checkResting(list []platformtest.Arrival, calls map[string]*Call) {
 	for i, asked := range list {
 		if asked.Rest == 0 {
@@ -74,7 +75,8 @@
 	}
 }
 
-// stoodStill reports whether the call's box has stood still between the given time and its end.
+// frozenBetween reports whether the call's box was frozen at any time from the given time until the
+// call's end.
 func (c *check) frozenBetween(x *Call, since time.Time) bool {
 	return slices.ContainsFunc(c.history.frozen[incarnationID(x.Box, x.Incarnation)], func(f interval) bool { return f.overlaps(since, x.Ended) })
 }
--- a/internal/soak/check_stop.go
+++ b/internal/soak/check_stop.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// crossTime is how long before its connection closes a request was sent that can't have
-// crossed the close: the box has read it.
+// closeRaceWindow is how long before the close of its connection a request must have been sent to
+// be sure that the box has read it: it cannot have crossed the close.
 const closeRaceWindow = time.Second
 
-// unanswered checks a call that ended without any answer: only a box that was killed, or
-// one that has not taken the request, leaves one so. A box has taken what it passed on,
-// and what came long before the close.
+// checkUnanswered checks a call that ended without any answer. That is permitted only if the box
+// was killed or has not accepted the request. A box has accepted what it forwarded to a target, and
+// what was sent well before the close.
 func (c *check) checkUnanswered(x *Call) {
 	if x.ConnectFailed || x.TimedOut || c.killed(x) || c.frozen(x) {
 		return
@@ -30,7 +30,8 @@
 	}
 }
 
-// sinceStop tells how long after the box was told to stop the call began and ended.
+// describeStop says how long after the box was told to stop the call started and ended, or returns
+// an empty string.
 func (c *check) describeStop(x *Call) string {
 	stopped, stopping := c.history.stopping[incarnationID(x.Box, x.Incarnation)]
 	if !stopping {
@@ -45,13 +46,13 @@
 	return killed && !at.After(x.Ended)
 }
 
-// frozen reports whether the call's box stood still during the call.
+// frozen reports whether the call's box was frozen at any time during the call.
 func (c *check) frozen(x *Call) bool {
 	return slices.ContainsFunc(c.history.frozen[incarnationID(x.Box, x.Incarnation)], func(f interval) bool { return f.overlaps(x.Started, x.Ended) })
 }
 
-// reopened checks that no life of a box takes new connections again after it has refused
-// them in a planned stop.
+// checkReopened checks that no incarnation of a box accepts new connections again after it has
+// refused one in a planned stop.
 func (c *check) checkReopened() {
 	calls := slices.Clone(c.history.calls)
 	slices.SortFunc(calls, func(a, b Call) int { return a.Started.Compare(b.Started) })
@@ -74,8 +75,8 @@
 	}
 }
 
-// stopping reports whether the call's box was told to stop before the call, and not killed
-// until its end.
+// stopping reports whether the call's box was told to stop before the call and not killed before
+// its end.
 func (c *check) stopping(x *Call) bool {
 	at, stopping := c.history.stopping[incarnationID(x.Box, x.Incarnation)]
 	return stopping && x.Started.After(at) && !c.killed(x)
--- a/internal/soak/check_targets_test.go
+++ b/internal/soak/check_targets_test.go
@@ -13,8 +13,8 @@
 	"github.com/barleystep/barleystep/platform/platformtest"
 )
 
-// findings returns how many of what is wrong with a history is of a rule.
-func findings(h *soak.History, rule string) (n int) {
+// countViolations returns the number of violations of a rule in a history.
+func countViolations(h *soak.History, rule string) (n int) {
 	for _, line := range h.Check() {
 		if strings.HasPrefix(line, rule) {
 			n++
@@ -23,27 +23,28 @@
 	return n
 }
 
-// TestDeadly checks which requests may still be sent after three targets have ended under them.
+// TestDeadly checks which requests may still be sent after a deadly request has crashed three
+// targets.
 func TestDeadly(t *testing.T) {
 	type sent struct {
-		box  string
-		life int
-		at   time.Duration
+		box         string
+		incarnation int
+		at          time.Duration
 	}
 	first := []sent{{"b0", 1, 0}, {"b1", 1, 100 * time.Millisecond}, {"b0", 1, 200 * time.Millisecond}}
 	cases := map[string]struct {
 		later  []sent
-		frozen bool // frozen is set if b1 stood still from 1 s to 6 s.
+		frozen bool // frozen is set if b1 was frozen from 1 s to 6 s.
 		found  int
 	}{
-		"none":                          {nil, false, 0},
-		"one that shows it":             {[]sent{{"b0", 1, 4 * time.Second}}, false, 0},
-		"two, long after":               {[]sent{{"b0", 1, 4 * time.Second}, {"b1", 1, 5 * time.Second}}, false, 1},
-		"many, under way":               {[]sent{{"b0", 1, 300 * time.Millisecond}, {"b1", 1, time.Second}, {"b1", 1, 2 * time.Second}}, false, 0},
-		"by a box that stood still":     {[]sent{{"b0", 1, 4 * time.Second}, {"b1", 1, 7 * time.Second}}, true, 0},
-		"long after it stood still":     {[]sent{{"b0", 1, 4 * time.Second}, {"b1", 1, 9 * time.Second}}, true, 1},
-		"by a box that started since":   {[]sent{{"b0", 1, 4 * time.Second}, {"b1", 2, 5 * time.Second}}, false, 0},
-		"by a box that started earlier": {[]sent{{"b0", 1, 4 * time.Second}, {"b2", 2, 5 * time.Second}}, false, 1},
+		"none":                       {nil, false, 0},
+		"one more, alone":            {[]sent{{"b0", 1, 4 * time.Second}}, false, 0},
+		"two more, long after":       {[]sent{{"b0", 1, 4 * time.Second}, {"b1", 1, 5 * time.Second}}, false, 1},
+		"many, in flight":            {[]sent{{"b0", 1, 300 * time.Millisecond}, {"b1", 1, time.Second}, {"b1", 1, 2 * time.Second}}, false, 0},
+		"by a box that was frozen":   {[]sent{{"b0", 1, 4 * time.Second}, {"b1", 1, 7 * time.Second}}, true, 0},
+		"long after it was frozen":   {[]sent{{"b0", 1, 4 * time.Second}, {"b1", 1, 9 * time.Second}}, true, 1},
+		"by a box restarted since":   {[]sent{{"b0", 1, 4 * time.Second}, {"b1", 2, 5 * time.Second}}, false, 0},
+		"by a box restarted earlier": {[]sent{{"b0", 1, 4 * time.Second}, {"b2", 2, 5 * time.Second}}, false, 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -55,44 +56,44 @@
 				h.RecordThaw("b1", 1, at(6*time.Second))
 			}
 			for i, s := range append(slices.Clone(first), tc.later...) {
-				x := change(refused(soak.KindIdempotent, http.StatusBadGateway), func(x *soak.Call) {
-					x.ID, x.Box, x.Incarnation, x.Body = string(rune('a'+i)), s.box, s.life, platformtest.CrashBody
+				x := modified(refused(soak.KindIdempotent, http.StatusBadGateway), func(x *soak.Call) {
+					x.ID, x.Box, x.Incarnation, x.Body = string(rune('a'+i)), s.box, s.incarnation, platformtest.CrashBody
 					x.Started, x.Ended = at(s.at), at(s.at+time.Second)
 					x.Header = answered(x.ID, "")
 				})
 				h.RecordCall(x)
 				h.RecordArrival(arrival(x, 1))
 			}
-			quicktest.Check(t, findings(h, "deadly requests"), quicktest.Equals, tc.found)
+			quicktest.Check(t, countViolations(h, "deadly requests"), quicktest.Equals, tc.found)
 		})
 	}
 }
 
-// TestStatements checks which requests may still reach a target that has said that it leaves, or
-// has asked for rest.
+// TestStatements checks which requests may still reach a target that has stated that it is leaving
+// or has asked for rest.
 func TestStatements(t *testing.T) {
 	const second = time.Second
 	type sent struct {
-		box  string
-		life int
-		at   time.Duration
+		box         string
+		incarnation int
+		at          time.Duration
 	}
 	cases := map[string]struct {
-		rest   time.Duration // rest is what the target asks for; without it, it leaves.
+		rest   time.Duration // rest is what the target asks for. If zero, the target states that it is leaving.
 		later  []sent
-		frozen bool // frozen is set if b0 stood still from 1 s to 6 s.
+		frozen bool // frozen is set if b0 was frozen from 1 s to 6 s.
 		found  int
 	}{
-		"leaves, at once":             {0, []sent{{"b0", 1, second}}, false, 0},
-		"leaves, later":               {0, []sent{{"b0", 1, 5 * second}}, false, 1},
-		"leaves, from another box":    {0, []sent{{"b1", 1, 5 * second}}, false, 0},
-		"leaves, from a later life":   {0, []sent{{"b0", 2, 5 * second}}, false, 0},
-		"leaves, its box stood still": {0, []sent{{"b0", 1, 7 * second}}, true, 0},
-		"rests, one under way":        {4 * second, []sent{{"b0", 1, 300 * time.Millisecond}, {"b0", 1, second}}, false, 0},
-		"rests, three more":           {4 * second, []sent{{"b0", 1, second}, {"b0", 1, 2 * second}, {"b0", 1, 3 * second}}, false, 1},
-		"rests, after its end":        {second, []sent{{"b0", 1, 2 * second}, {"b0", 1, 3 * second}, {"b0", 1, 4 * second}}, false, 0},
-		"rests, from other boxes":     {4 * second, []sent{{"b1", 1, second}, {"b2", 1, 2 * second}, {"b3", 1, 3 * second}}, false, 0},
-		"rests, its box stood still":  {9 * second, []sent{{"b0", 1, 6 * second}, {"b0", 1, 7 * second}, {"b0", 1, 8 * second}}, true, 0},
+		"leaving, at once":                   {0, []sent{{"b0", 1, second}}, false, 0},
+		"leaving, later":                     {0, []sent{{"b0", 1, 5 * second}}, false, 1},
+		"leaving, from another box":          {0, []sent{{"b1", 1, 5 * second}}, false, 0},
+		"leaving, from a later incarnation":  {0, []sent{{"b0", 2, 5 * second}}, false, 0},
+		"leaving, its box was frozen":        {0, []sent{{"b0", 1, 7 * second}}, true, 0},
+		"resting, two in flight":             {4 * second, []sent{{"b0", 1, 300 * time.Millisecond}, {"b0", 1, second}}, false, 0},
+		"resting, three more":                {4 * second, []sent{{"b0", 1, second}, {"b0", 1, 2 * second}, {"b0", 1, 3 * second}}, false, 1},
+		"resting, after the end of the rest": {second, []sent{{"b0", 1, 2 * second}, {"b0", 1, 3 * second}, {"b0", 1, 4 * second}}, false, 0},
+		"resting, from other boxes":          {4 * second, []sent{{"b1", 1, second}, {"b2", 1, 2 * second}, {"b3", 1, 3 * second}}, false, 0},
+		"resting, its box was frozen":        {9 * second, []sent{{"b0", 1, 6 * second}, {"b0", 1, 7 * second}, {"b0", 1, 8 * second}}, true, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -103,7 +104,7 @@
 			}
 			for i, s := range append([]sent{{"b0", 1, 0}}, tc.later...) {
 				x := call(soak.KindIdempotent, s.at)
-				x.ID, x.Box, x.Incarnation, x.Ended = string(rune('a'+i)), s.box, s.life, at(s.at+time.Millisecond)
+				x.ID, x.Box, x.Incarnation, x.Ended = string(rune('a'+i)), s.box, s.incarnation, at(s.at+time.Millisecond)
 				x.Header = answered(x.ID, digest(http.StatusOK).String())
 				a := arrival(x, 1)
 				if i == 0 {
@@ -112,17 +113,17 @@
 				h.RecordCall(x)
 				h.RecordArrival(a)
 			}
-			quicktest.Check(t, findings(h, "leaving targets")+findings(h, "resting targets"), quicktest.Equals, tc.found)
+			quicktest.Check(t, countViolations(h, "leaving targets")+countViolations(h, "resting targets"), quicktest.Equals, tc.found)
 		})
 	}
 }
 
-// TestDeadlyForgotten checks that boxes which are all killed at once may forget what has ended
-// before, and that what ends since counts.
+// TestDeadlyForgotten checks that boxes killed all at once may forget earlier exits of targets, and
+// that later exits count.
 func TestDeadlyForgotten(t *testing.T) {
 	const second = time.Second
 	cases := map[string]struct {
-		ends  []time.Duration // ends are when targets ended under attempts, and killed when boxes were.
+		ends  []time.Duration // ends are the times at which targets exited during the request.
 		found int
 	}{
 		"two before, three since": {[]time.Duration{18 * second, 19 * second, 21 * second, 22 * second, 23 * second}, 0},
@@ -136,7 +137,7 @@
 				h.RecordKill(b, 1, at(20*second+time.Duration(i)*time.Millisecond))
 			}
 			for i, when := range tc.ends {
-				x := change(refused(soak.KindIdempotent, http.StatusBadGateway), func(x *soak.Call) {
+				x := modified(refused(soak.KindIdempotent, http.StatusBadGateway), func(x *soak.Call) {
 					x.ID, x.Box, x.Incarnation, x.Body = string(rune('a'+i)), []string{"b0", "b1"}[i%2], 1, platformtest.CrashBody
 					if when > 20*second {
 						x.Incarnation = 2
@@ -147,7 +148,7 @@
 				h.RecordCall(x)
 				h.RecordArrival(arrival(x, 1))
 			}
-			quicktest.Check(t, findings(h, "deadly requests"), quicktest.Equals, tc.found)
+			quicktest.Check(t, countViolations(h, "deadly requests"), quicktest.Equals, tc.found)
 		})
 	}
 }
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -17,7 +17,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// digest is that of the first run of a target.
+// digest returns the digest of the first execution at target t0.
 func digest(status int) platformtest.Digest {
 	return platformtest.Digest{Target: "t0", Run: 1, Status: status}
 }
@@ -28,7 +28,7 @@
 	return h
 }
 
-// call returns a call of the kind that was served well, sent at the time.
+// call returns a call of the kind, sent at the given time and answered completely.
 func call(kind soak.Kind, sent time.Duration) soak.Call {
 	x := soak.Call{
 		ID: "r1", Kind: kind, Box: "b0", Incarnation: 1, Key: "k", Path: "/" + string(kind) + "/", Body: "ask",
@@ -47,12 +47,12 @@
 	return x
 }
 
-// arrival is what reached a target of such a call.
+// arrival returns the record of such a call at a target.
 func arrival(x soak.Call, run int) platformtest.Arrival {
 	return platformtest.Arrival{Request: x.ID, Target: "t0", Run: run, Tenant: "tenant", RequestLine: "POST " + x.Path, Body: x.Body, At: x.Started}
 }
 
-func change(x soak.Call, f func(*soak.Call)) soak.Call {
+func modified(x soak.Call, f func(*soak.Call)) soak.Call {
 	x.Header = x.Header.Clone()
 	f(&x)
 	return x
@@ -60,17 +60,18 @@
 
 func unanswered(x *soak.Call) { x.Status, x.Answer, x.Header = 0, "", nil }
 
-// waited returns a call over a connection in use that was closed after the time without an
+// waited returns a call over a reused connection that was closed after the given time without an
 // answer.
 func waited(d time.Duration) soak.Call {
-	return change(call(soak.KindResumableStream, 0), func(x *soak.Call) {
+	return modified(call(soak.KindResumableStream, 0), func(x *soak.Call) {
 		unanswered(x)
 		x.Reused, x.Sent, x.Ended = true, at(time.Millisecond), at(d)
 	})
 }
 
-// another returns a call of a caller over a new connection, sent at the time.
-func another(id string, sent time.Duration, unsent bool) soak.Call {
+// newConnCall returns a call over a new connection, sent at the given time. If unsent is set no
+// connection was established.
+func newConnCall(id string, sent time.Duration, unsent bool) soak.Call {
 	x := refused(soak.KindNonIdempotent, http.StatusServiceUnavailable)
 	x.ID, x.Started, x.Ended = id, at(sent), at(sent+time.Millisecond)
 	x.Header = answered(id, "")
@@ -80,69 +81,69 @@
 	return x
 }
 
-// overwrite has another writer's entry stand in place of the target's for ten seconds.
-func overwrite(h *soak.History) {
+// overwriteRecord makes another writer's record replace that of the target for ten seconds.
+func overwriteRecord(h *soak.History) {
 	h.RecordOverwrite("t0", at(0))
 	h.RecordRestore("t0", at(10*time.Second))
 }
 
-// TestCheck checks, for each promise, that a history that breaks it is found, and that
-// one that keeps it is not.
+// TestCheck checks for each guarantee that a history that violates it is reported and one that
+// keeps it is not.
 func TestCheck(t *testing.T) {
 	once, again, stream := call(soak.KindNonIdempotent, 0), call(soak.KindIdempotent, 0), call(soak.KindResumableStream, 0)
 	cases := map[string]struct {
 		call     soak.Call
 		arrivals []platformtest.Arrival
 		prepare  func(h *soak.History)
-		found    string // found is how the one finding begins, empty for none.
+		found    string // found is the prefix of the only violation, empty for none.
 	}{
-		"served":          {call: once, arrivals: []platformtest.Arrival{arrival(once, 1)}},
-		"stream":          {call: stream, arrivals: []platformtest.Arrival{arrival(stream, 1), arrival(stream, 2)}},
-		"repeated":        {call: again, arrivals: []platformtest.Arrival{arrival(again, 1), arrival(again, 2)}},
-		"ran twice":       {call: once, arrivals: []platformtest.Arrival{arrival(once, 1), arrival(once, 2)}, found: "at most once"},
-		"refused":         {call: refused(soak.KindNonIdempotent, 503), arrivals: []platformtest.Arrival{arrival(once, 0)}},
-		"refused and ran": {call: refused(soak.KindNonIdempotent, 503), arrivals: []platformtest.Arrival{arrival(once, 1)}, found: "true refusals"},
-		"another's":       {call: change(once, func(x *soak.Call) { x.Header = answered("r2", digest(http.StatusOK).String()) }), found: "own answer"},
-		"no digest":       {call: change(once, func(x *soak.Call) { x.Header = answered("r1", "") }), found: "own answer"},
-		"under a digest":  {call: change(stream, func(x *soak.Call) { x.Status = 502 }), found: "own answer"},
-		"own with a target's body": {
-			call:  change(refused(soak.KindNonIdempotent, 502), func(x *soak.Call) { x.Answer = "r1 t0.1.200" }),
+		"served":                         {call: once, arrivals: []platformtest.Arrival{arrival(once, 1)}},
+		"stream":                         {call: stream, arrivals: []platformtest.Arrival{arrival(stream, 1), arrival(stream, 2)}},
+		"repeated":                       {call: again, arrivals: []platformtest.Arrival{arrival(again, 1), arrival(again, 2)}},
+		"executed twice":                 {call: once, arrivals: []platformtest.Arrival{arrival(once, 1), arrival(once, 2)}, found: "at most once"},
+		"refused":                        {call: refused(soak.KindNonIdempotent, 503), arrivals: []platformtest.Arrival{arrival(once, 0)}},
+		"refused and executed":           {call: refused(soak.KindNonIdempotent, 503), arrivals: []platformtest.Arrival{arrival(once, 1)}, found: "true refusals"},
+		"answer to another request":      {call: modified(once, func(x *soak.Call) { x.Header = answered("r2", digest(http.StatusOK).String()) }), found: "own answer"},
+		"no digest":                      {call: modified(once, func(x *soak.Call) { x.Header = answered("r1", "") }), found: "own answer"},
+		"status differs from the digest": {call: modified(stream, func(x *soak.Call) { x.Status = 502 }), found: "own answer"},
+		"own answer with a target's body": {
+			call:  modified(refused(soak.KindNonIdempotent, 502), func(x *soak.Call) { x.Answer = "r1 t0.1.200" }),
 			found: "own answer",
 		},
-		"not whole":       {call: change(once, func(x *soak.Call) { x.Answer = x.Answer[:20] }), found: "whole answer"},
-		"stream with gap": {call: change(stream, func(x *soak.Call) { x.Answer = x.Answer[strings.Index(x.Answer, "id: 2"):] }), found: "stream order"},
-		"stream cut":      {call: change(stream, func(x *soak.Call) { x.Answer, x.Truncated = x.Answer[:strings.Index(x.Answer, "id: 4")], true })},
-		"stream cut and looks whole": {
-			call:  change(stream, func(x *soak.Call) { x.Answer = x.Answer[:strings.Index(x.Answer, "id: 4")] }),
+		"incomplete":       {call: modified(once, func(x *soak.Call) { x.Answer = x.Answer[:20] }), found: "whole answer"},
+		"stream with gap":  {call: modified(stream, func(x *soak.Call) { x.Answer = x.Answer[strings.Index(x.Answer, "id: 2"):] }), found: "stream order"},
+		"stream truncated": {call: modified(stream, func(x *soak.Call) { x.Answer, x.Truncated = x.Answer[:strings.Index(x.Answer, "id: 4")], true })},
+		"stream truncated but looks complete": {
+			call:  modified(stream, func(x *soak.Call) { x.Answer = x.Answer[:strings.Index(x.Answer, "id: 4")] }),
 			found: "stream order",
 		},
-		"never answered": {call: change(once, func(x *soak.Call) { x.Ended = at(time.Minute) }), found: "time limit"},
-		"closed after it was passed on": {
-			call: change(once, unanswered), arrivals: []platformtest.Arrival{arrival(once, 1)}, found: "no answer lost",
+		"never answered": {call: modified(once, func(x *soak.Call) { x.Ended = at(time.Minute) }), found: "time limit"},
+		"closed after it was forwarded": {
+			call: modified(once, unanswered), arrivals: []platformtest.Arrival{arrival(once, 1)}, found: "no answer lost",
 		},
 		"closed by a planned stop": {
-			call: change(once, unanswered), arrivals: []platformtest.Arrival{arrival(once, 1)},
+			call: modified(once, unanswered), arrivals: []platformtest.Arrival{arrival(once, 1)},
 			prepare: func(h *soak.History) { h.RecordStop("b0", 1, at(0)) }, found: "no answer lost",
 		},
 		"killed": {
-			call: change(once, unanswered), arrivals: []platformtest.Arrival{arrival(once, 1)},
+			call: modified(once, unanswered), arrivals: []platformtest.Arrival{arrival(once, 1)},
 			prepare: func(h *soak.History) { h.RecordKill("b0", 1, at(0)) },
 		},
-		"closed while it waited": {
+		"closed while waiting": {
 			call: waited(5 * time.Second), prepare: func(h *soak.History) { h.RecordStop("b0", 1, at(-time.Second)) }, found: "no answer lost",
 		},
-		"closed while it waited, new connection": {
-			call:    change(waited(5*time.Second), func(x *soak.Call) { x.Reused = false }),
+		"closed while waiting, new connection": {
+			call:    modified(waited(5*time.Second), func(x *soak.Call) { x.Reused = false }),
 			prepare: func(h *soak.History) { h.RecordStop("b0", 1, at(-time.Second)) }, found: "no answer lost",
 		},
 		"crossed the close": {
 			call: waited(time.Second / 2), prepare: func(h *soak.History) { h.RecordStop("b0", 1, at(-time.Second)) },
 		},
-		"not sent whole": {
-			call:    change(waited(5*time.Second), func(x *soak.Call) { x.Sent = time.Time{} }),
+		"sent incompletely": {
+			call:    modified(waited(5*time.Second), func(x *soak.Call) { x.Sent = time.Time{} }),
 			prepare: func(h *soak.History) { h.RecordStop("b0", 1, at(-time.Second)) },
 		},
-		"killed while it waited": {
+		"killed while waiting": {
 			call: waited(5 * time.Second), prepare: func(h *soak.History) {
 				h.RecordStop("b0", 1, at(0))
 				h.RecordKill("b0", 1, at(4*time.Second))
@@ -157,82 +158,82 @@
 				h.RecordKill("b0", 1, at(6*time.Second))
 			},
 		},
-		"stood still while it waited": {
+		"frozen while waiting": {
 			call: waited(5 * time.Second), prepare: func(h *soak.History) {
 				h.RecordFreeze("b0", 1, at(time.Second))
 				h.RecordThaw("b0", 1, at(2*time.Second))
 			},
 		},
-		"stood still before": {
+		"frozen before": {
 			call: waited(5 * time.Second), prepare: func(h *soak.History) {
 				h.RecordFreeze("b0", 1, at(-2*time.Second))
 				h.RecordThaw("b0", 1, at(-time.Second))
 			}, found: "no answer lost",
 		},
-		"refuses in a stop": {
-			call: another("r1", 0, false), prepare: func(h *soak.History) {
+		"refuses while stopping": {
+			call: newConnCall("r1", 0, false), prepare: func(h *soak.History) {
 				h.RecordStop("b0", 1, at(time.Second))
-				h.RecordCall(another("r2", 5*time.Second, true))
+				h.RecordCall(newConnCall("r2", 5*time.Second, true))
 			},
 		},
-		"opened again in a stop": {
-			call: another("r1", 0, false), prepare: func(h *soak.History) {
+		"reopened while stopping": {
+			call: newConnCall("r1", 0, false), prepare: func(h *soak.History) {
 				h.RecordStop("b0", 1, at(time.Second))
-				h.RecordCall(another("r2", 5*time.Second, true))
-				h.RecordCall(another("r3", 6*time.Second, false))
+				h.RecordCall(newConnCall("r2", 5*time.Second, true))
+				h.RecordCall(newConnCall("r3", 6*time.Second, false))
 			}, found: "closed stays closed",
 		},
-		"work by a foreign entry": {
+		"request after an overwritten record": {
 			call: call(soak.KindNonIdempotent, 6*time.Second), arrivals: []platformtest.Arrival{arrival(call(soak.KindNonIdempotent, 6*time.Second), 1)},
-			prepare: overwrite, found: "foreign entries",
+			prepare: overwriteRecord, found: "foreign entries",
 		},
-		"work by a foreign entry, in time": {
+		"request after an overwritten record, in time": {
 			call: call(soak.KindNonIdempotent, 4*time.Second), arrivals: []platformtest.Arrival{arrival(call(soak.KindNonIdempotent, 4*time.Second), 1)},
-			prepare: overwrite,
+			prepare: overwriteRecord,
 		},
-		"work after it was healed": {
+		"request after the record was restored": {
 			call: call(soak.KindNonIdempotent, 11*time.Second), arrivals: []platformtest.Arrival{arrival(call(soak.KindNonIdempotent, 11*time.Second), 1)},
-			prepare: overwrite,
+			prepare: overwriteRecord,
 		},
-		"work by a foreign entry, the store away": {
+		"request after an overwritten record, store down": {
 			call: call(soak.KindNonIdempotent, 6*time.Second), arrivals: []platformtest.Arrival{arrival(call(soak.KindNonIdempotent, 6*time.Second), 1)},
 			prepare: func(h *soak.History) {
-				overwrite(h)
+				overwriteRecord(h)
 				h.RecordStoreDown(at(time.Second))
 				h.RecordStoreUp(at(2 * time.Second))
 			},
 		},
-		"work by a foreign entry, the store away again": {
+		"request after an overwritten record, store down again": {
 			call: call(soak.KindNonIdempotent, 8*time.Second), arrivals: []platformtest.Arrival{arrival(call(soak.KindNonIdempotent, 8*time.Second), 1)},
 			prepare: func(h *soak.History) {
-				overwrite(h)
+				overwriteRecord(h)
 				h.RecordStoreDown(at(6 * time.Second))
 				h.RecordStoreUp(at(7 * time.Second))
 			}, found: "foreign entries",
 		},
-		"work by a foreign entry, the store still away": {
+		"request after an overwritten record, store still down": {
 			call: call(soak.KindNonIdempotent, 6*time.Second), arrivals: []platformtest.Arrival{arrival(call(soak.KindNonIdempotent, 6*time.Second), 1)},
 			prepare: func(h *soak.History) {
-				overwrite(h)
+				overwriteRecord(h)
 				h.RecordStoreDown(at(time.Second))
 			},
 		},
-		"closed while it rested": {call: change(once, func(x *soak.Call) { unanswered(x); x.Reused = true })},
+		"closed while idle": {call: modified(once, func(x *soak.Call) { unanswered(x); x.Reused = true })},
 		"body changed": {
-			call: once, arrivals: []platformtest.Arrival{arrival(change(once, func(x *soak.Call) { x.Body = "?" }), 1)}, found: "unchanged",
+			call: once, arrivals: []platformtest.Arrival{arrival(modified(once, func(x *soak.Call) { x.Body = "?" }), 1)}, found: "unchanged",
 		},
-		"never sent": {call: once, arrivals: []platformtest.Arrival{arrival(change(once, func(x *soak.Call) { x.ID = "r9" }), 1)}, found: "unchanged"},
-		"key passed on": {
+		"never sent": {call: once, arrivals: []platformtest.Arrival{arrival(modified(once, func(x *soak.Call) { x.ID = "r9" }), 1)}, found: "unchanged"},
+		"key forwarded": {
 			call: once, arrivals: []platformtest.Arrival{func() platformtest.Arrival { a := arrival(once, 1); a.HasKey = true; return a }()}, found: "keys stay",
 		},
 		"another account": {
 			call: once, arrivals: []platformtest.Arrival{func() platformtest.Arrival { a := arrival(once, 1); a.Tenant = "x"; return a }()}, found: "client accounts",
 		},
-		"key gone, in time": {
+		"key revoked, in time": {
 			call: call(soak.KindNonIdempotent, 4*time.Second), arrivals: []platformtest.Arrival{arrival(once, 1)},
 			prepare: func(h *soak.History) { h.RecordRevocation("k", at(0)) },
 		},
-		"key gone": {
+		"key revoked": {
 			call: call(soak.KindNonIdempotent, 6*time.Second), arrivals: []platformtest.Arrival{arrival(once, 1)},
 			prepare: func(h *soak.History) { h.RecordRevocation("k", at(0)) }, found: "keys taken away",
 		},
@@ -245,7 +246,7 @@
 			},
 			found: "configuration never back",
 		},
-		"too many repeats": {
+		"too many retries": {
 			call: again,
 			prepare: func(h *soak.History) {
 				for range 150 {
@@ -277,8 +278,8 @@
 	}
 }
 
-// TestSchedule checks that a seed gives one schedule, free of faults at both ends, with
-// faults that overlap.
+// TestSchedule checks that a seed determines the schedule, that both ends of it are free of faults
+// and that faults overlap.
 func TestSchedule(t *testing.T) {
 	c := quicktest.New(t)
 	const length = time.Minute
@@ -298,8 +299,8 @@
 	c.Check(overlaps > len(events)/2, quicktest.IsTrue)
 }
 
-// TestScheduleOfOldSeeds checks that a seed draws the faults that it drew before there were
-// other sources of events, by the first, the last and the number of them.
+// TestScheduleOfOldSeeds checks that a seed still draws the same faults as before other event
+// sources existed, by the first, the last and the number of them.
 func TestScheduleOfOldSeeds(t *testing.T) {
 	c := quicktest.New(t)
 	run := soak.Setup{Seed: 2, Length: 20 * time.Second, Boxes: 3, Targets: 6, Profile: soak.ProfileUsual}
@@ -311,8 +312,8 @@
 	c.Check(events[len(events)-1].String(), quicktest.Equals, " 16.013s crash    1 for 987ms  0.00")
 }
 
-// TestScheduleOfStops checks that boxes of crowded runs are told to stop in series, beside
-// what else happens.
+// TestScheduleOfStops checks that in crowded runs boxes are told to stop in series, in addition to
+// the other events.
 func TestScheduleOfStops(t *testing.T) {
 	c := quicktest.New(t)
 	run := soak.Setup{Seed: 2, Length: time.Minute, Boxes: 5, Targets: 6, Profile: soak.ProfileUsual}
@@ -325,7 +326,7 @@
 	c.Check(stops() > before+8, quicktest.IsTrue, quicktest.Commentf("%d stops after %d", stops(), before))
 }
 
-// TestRegressions checks that each run that has failed once tells why and can be run.
+// TestRegressions checks that each stored failing run has a cause and can be run.
 func TestRegressions(t *testing.T) {
 	c := quicktest.New(t)
 	list, err := soak.Regressions()
--- a/internal/soak/child.go
+++ b/internal/soak/child.go
@@ -16,7 +16,7 @@
 	"github.com/barleystep/barleystep/platform/platformtest"
 )
 
-// order is a line to a stand-in's process. It carries one order.
+// command is a JSON line written to a stand-in's process. It carries one command.
 type command struct {
 	Number       int                                  `json:"number"`
 	TargetFaults map[platformtest.TargetFault]float64 `json:"spoils,omitempty"`
@@ -24,37 +24,38 @@
 	Remove       *record                              `json:"remove,omitempty"`
 	StoreFault   string                               `json:"fault,omitempty"`
 	Forget       bool                                 `json:"forget,omitempty"`
-	// Says is what a target is to say of itself from now on.
+	// Says replaces the statement that a target makes in its answers.
 	Says *statement `json:"says,omitempty"`
 }
 
-// statement is what a target says of itself.
+// statement is what a target says of itself in its answers.
 type statement struct {
 	Leaving bool          `json:"leaving,omitempty"`
 	Rest    time.Duration `json:"rest,omitempty"`
 }
 
-// record is a row of the store as the operator or a target writes it.
+// record is a row of the store as an operator or a target writes it.
 type record struct {
 	Table string `json:"table"`
 	Key   string `json:"key"`
 	Value any    `json:"value,omitempty"`
-	// Bytes stand in place of the value where that can't be read.
+	// Bytes is written in place of Value, to store data that cannot be decoded.
 	Bytes []byte `json:"bytes,omitempty"`
 }
 
-// report is a line from a stand-in's process.
+// report is a JSON line from a stand-in's process.
 type report struct {
-	// Addr is where it listens; it is told first.
+	// Addr is the listen address. It is in the first report.
 	Addr string `json:"addr,omitempty"`
-	// Done is the number of the order that was carried out, and Held how much memory
-	// is set aside at a target then.
+	// Done is the number of the executed command, Held the KV cache reserved at a target at that
+	// time, in tokens.
 	Done    int                   `json:"done,omitempty"`
 	Held    int                   `json:"held,omitempty"`
 	Arrival *platformtest.Arrival `json:"arrival,omitempty"`
 }
 
-// child is a stand-in's process. It ends when its input does, so that none is left over.
+// child is the process of a stand-in. It exits when its input is closed, so that none outlives the
+// run.
 type child struct {
 	cmd     *exec.Cmd
 	in      io.WriteCloser
@@ -66,13 +67,13 @@
 	reserved int
 	pending  map[int]chan struct{}
 	ended    chan struct{}
-	// killed is set once it is ended from here.
+	// killed is set when the process is killed by kill.
 	killed atomic.Bool
 }
 
-// startChild starts a stand-in's process and waits until it listens.
+// startChild starts the process of a stand-in and waits until it listens.
 func startChild(ctx context.Context, program string, onArrival func(platformtest.Arrival), args ...string) (c *child, err error) {
-	defer func() { err = eris.Wrap(err, "soak: start a stand-in") }()
+	defer func() { err = eris.Wrap(err, "soak: start stand-in") }()
 	cmd := exec.CommandContext(ctx, program, args...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	in, err := cmd.StdinPipe()
@@ -98,8 +99,8 @@
 	return c, nil
 }
 
-// read takes in what the process tells until its output ends, also what it told before
-// it was killed.
+// read handles the reports of the process until its output ends, including those written before it
+// was killed.
 func (c *child) read(reader *json.Decoder, onArrival func(platformtest.Arrival)) {
 	defer close(c.ended)
 	for {
@@ -126,7 +127,7 @@
 	}
 }
 
-// give gives an order and waits until it was carried out or the process has ended.
+// execute sends a command and waits until the process has executed it or exited.
 func (c *child) execute(o command) {
 	c.mu.Lock()
 	c.number++
@@ -136,7 +137,7 @@
 	err := c.encoder.Encode(o)
 	c.mu.Unlock()
 	if err != nil {
-		return // It has ended.
+		return // The process has exited.
 	}
 	select {
 	case <-done:
@@ -144,7 +145,7 @@
 	}
 }
 
-// heldMemory returns how much memory is set aside at a target.
+// reservedMemory returns the KV cache reserved at a target, in tokens.
 func (c *child) reservedMemory() int {
 	c.execute(command{})
 	c.mu.Lock()
@@ -152,13 +153,13 @@
 	return c.reserved
 }
 
-// kill ends the process at once and takes in what it has told.
+// kill kills the process and waits until its last reports have been read.
 func (c *child) kill() {
 	c.killed.Store(true)
-	_ = c.cmd.Process.Kill() // It may have ended.
+	_ = c.cmd.Process.Kill() // It may have exited.
 	_ = c.in.Close()
 	if c.addr != "" {
 		<-c.ended
 	}
-	_ = c.cmd.Wait() // That it was killed is no error.
+	_ = c.cmd.Wait() // The kill is expected.
 }
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,4 +1,4 @@
-// Package soak runs the real programs as processes on real sockets under faults and
-// checks from what callers and targets see that every promise is kept. The faults are
-// drawn from a seed; the verdict rests on what was seen, not on how fast it came.
+// Package soak runs the real programs as processes on real sockets, injects faults drawn from a
+// seed, and checks every guarantee against what callers and targets observed. The checks depend on
+// what was observed, not on how fast it happened.
 package soak
--- a/internal/soak/final_check.go
+++ b/internal/soak/final_check.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	// settleTime is how long all may take to work after the last fault, which is wide,
-	// since the machine may be busy.
+	// settleTime is how long boxes may take to serve again after the last fault. It is large, since
+	// the machine may be busy.
 	settleTime = 30 * time.Second
-	// pollEvery is how often it is looked whether all works.
+	// pollInterval is the time between two probes of a box.
 	pollInterval = 50 * time.Millisecond
-	// moreDescriptors, besides one for each other process, and mostMegabytes bound what a
-	// box may hold in the end, when it has nothing to do.
+	// baseDescriptors, plus one for each other process, and maxMegabytes bound what an idle box may
+	// hold at the end of the run.
 	baseDescriptors = 138
 	maxMegabytes    = 256
-	// holdTime is how long memory may stay set aside after the last request.
+	// releaseTime is how long KV cache may stay reserved after the last request.
 	releaseTime = 4 * time.Second
 )
 
-// settled waits until every box serves a request of each service.
+// waitServing waits until every box serves a request of each service, and reports whether all did
+// within settleTime.
 func (s *Runner) waitServing(ctx context.Context) bool {
 	end := s.Clock.Now().Add(settleTime)
 	var all sync.WaitGroup
@@ -43,7 +44,8 @@
 	return !failed.Load()
 }
 
-// boxSettled waits until the box serves a request of each service.
+// waitBoxServing waits until the box serves a request of each service, and reports whether it did
+// before the end.
 func (s *Runner) waitBoxServing(ctx context.Context, probe *caller, b *box, end time.Time) bool {
 	defer probe.client.CloseIdleConnections()
 	for _, kind := range []Kind{KindIdempotent, KindResumableStream} {
@@ -70,7 +72,8 @@
 	c.deadly = func() bool { return s.deadly.Load() > 0 }
 }
 
-// examine looks at what is left when all faults are over.
+// checkFinalState waits until all boxes serve again after the last fault and records reserved
+// memory and other resources that were not released.
 func (s *Runner) checkFinalState(ctx context.Context) {
 	if !s.waitServing(ctx) {
 		s.history.RecordFinding("served again: not all boxes serve %s after the last fault", settleTime)
--- a/internal/soak/foreign.go
+++ b/internal/soak/foreign.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Names of the store's table of targets, of fields of their entries and of a state.
+// Names of the store's table of targets, of the fields of its records and of a state.
 const (
 	tableTargets = "servers"
 	fieldService = "service"
@@ -16,11 +16,11 @@
 	stateReady   = "ready"
 )
 
-// foreignTime is how long another writer's entry stands at the least: boxes have
-// foreignBound to learn of it, and what they do after that is to be seen.
+// foreignTime is the minimum time for which another writer's record stays in place. Boxes have
+// foreignBound to read it, and their behaviour after that must be observable.
 const foreignTime = foreignBound + 5*time.Second
 
-// foreignEntries are the ways in which another writer spoils a target's entry, by name.
+// foreignEntries are the ways in which another writer corrupts a target's record, by name.
 var foreignEntries = map[string]func(entry map[string]any) record{
 	"no-address":      withoutField(fieldAddress),
 	"no-service":      withoutField(fieldService),
@@ -33,10 +33,10 @@
 	"bytes":           func(map[string]any) record { return record{Bytes: []byte("\xff{")} },
 }
 
-// foreignNames are the names in a fixed order.
+// foreignNames lists the names in a fixed order, which the schedule draws from.
 var foreignNames = slices.Sorted(maps.Keys(foreignEntries))
 
-// without leaves a field out.
+// withoutField removes a field.
 func withoutField(field string) func(map[string]any) record {
 	return func(entry map[string]any) record {
 		delete(entry, field)
@@ -44,7 +44,7 @@
 	}
 }
 
-// with gives a field another value.
+// withField replaces the value of a field.
 func withField(field string, value any) func(map[string]any) record {
 	return func(entry map[string]any) record {
 		entry[field] = value
--- a/internal/soak/foreign_internal_test.go
+++ b/internal/soak/foreign_internal_test.go
@@ -8,9 +8,8 @@
 	"github.com/frankban/quicktest"
 )
 
-// TestForeignEntries checks that another writer's entries are drawn where they have a
-// weight, each of them differs from the target's own, and bytes are such that nobody can
-// read them.
+// TestForeignEntries checks that the schedule draws every way of corrupting a record, that each
+// corrupted record differs from the target's own and that raw bytes are not valid JSON.
 func TestForeignEntries(t *testing.T) {
 	c := quicktest.New(t)
 	run := Setup{Seed: 1, Length: 10 * time.Minute, Boxes: 3, Targets: 6, Profile: ProfileUsual}
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -9,11 +9,11 @@
 	"github.com/barleystep/barleystep/platform/platformtest"
 )
 
-// Kind is a kind of request.
+// Kind is the kind of a request.
 type Kind string
 
-// The kinds: what must run once, what may run again, a stream that may be taken up at
-// another target and one that may not.
+// The kinds of requests: not idempotent, idempotent, a stream that may be resumed on another target
+// and one that may not.
 const (
 	KindNonIdempotent   Kind = "once"
 	KindIdempotent      Kind = "again"
@@ -21,68 +21,69 @@
 	KindPlainStream     Kind = "streamplain"
 )
 
-// Call is one request of a caller, and what it got.
+// Call is one request of a caller and the outcome that the caller observed.
 type Call struct {
 	ID          string
 	Kind        Kind
 	Box         string
-	Incarnation int // Life counts the starts of the box's process.
+	Incarnation int // Incarnation numbers the starts of the box's process, from 1.
 	Key         string
 	Path        string
 	Body        string
-	// Limit is how long the caller waits.
+	// TimeLimit is how long the caller waits.
 	TimeLimit time.Duration
 	Started   time.Time
-	// Sent is when the last byte of the request was given to the connection, zero if it
-	// was not.
+	// Sent is when the last byte of the request was written to the connection, or zero if it was
+	// not.
 	Sent  time.Time
 	Ended time.Time
-	// Reused is set if the connection had served a request before.
+	// Reused is set if the connection had carried a request before.
 	Reused bool
-	// Unsent is set if no connection could be had.
+	// ConnectFailed is set if no connection was established.
 	ConnectFailed bool
-	// GaveUp is set if the caller stopped waiting.
+	// TimedOut is set if the time limit passed before the answer was complete.
 	TimedOut bool
-	// Status is 0 if no head came, and Broken is set if the body did not come whole.
+	// Status is 0 if no response header arrived. Truncated is set if the body is incomplete.
 	Status    int
 	Header    http.Header
 	Answer    string
 	Truncated bool
 }
 
-// History is all that callers and targets saw. It is safe for concurrent use.
+// History records everything that callers and targets observed. It is safe for concurrent use.
 type History struct {
 	mu       sync.Mutex
 	calls    []Call
 	arrivals []platformtest.Arrival
-	// bodies has each body of the calls and arrivals once: they are few, and long.
+	// bodies holds one copy of each body of the calls and arrivals: there are few distinct ones,
+	// and they are long.
 	bodies map[string]string
-	// killed lists when processes of boxes were first killed, by box and life, and
-	// stopping when they were first told to stop.
+	// killed holds the time at which each process of a box was first killed, and stopping that at
+	// which it was first told to stop, by incarnationID.
 	killed   map[string]time.Time
 	stopping map[string]time.Time
-	// frozen lists when lives stood still.
+	// frozen holds the intervals in which each incarnation was frozen by SIGSTOP.
 	frozen map[string][]interval
-	// away lists when the store failed, and overwritten when another writer's entry stood
-	// in place of a target's.
+	// storeDown holds the intervals in which the store failed, overwritten those in which another
+	// writer's record replaced that of a target, by the target's id.
 	storeDown   []interval
 	overwritten map[string][]interval
-	// revoked is when the store had taken each key away.
+	// revoked holds the time at which each key was revoked in the store.
 	revoked map[string]time.Time
-	// tenants are the client accounts by their keys.
+	// accounts maps API keys to client accounts.
 	accounts   map[string]string
 	violations []string
 }
 
-// span is a stretch of time, whose end is zero while it lasts.
+// interval is a period of time. A zero end means that it has not ended.
 type interval struct{ from, to time.Time }
 
-// meets reports whether the span and one that has ended have a moment in common.
+// overlaps reports whether the interval has a moment in common with a closed one.
 func (s interval) overlaps(from, to time.Time) bool {
 	return !to.Before(s.from) && (s.to.IsZero() || !from.After(s.to))
 }
 
-// end ends the spans that last.
+// closeIntervals closes the open intervals of the list.
 func closeIntervals(list []interval, at time.Time) {
 	for i := range list {
 		if list[i].to.IsZero() {
@@ -91,7 +92,7 @@
 	}
 }
 
-// NewHistory returns an empty history.
+// NewHistory returns an empty history. accounts maps API keys to client accounts.
 func NewHistory(accounts map[string]string) *History {
 	return &History{
 		bodies:      make(map[string]string),
@@ -104,7 +105,7 @@
 	}
 }
 
-// Called notes a call that has ended.
+// RecordCall records a call that has ended.
 func (h *History) RecordCall(c Call) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -112,7 +113,7 @@
 	h.calls = append(h.calls, c)
 }
 
-// Arrived notes what reached a target.
+// RecordArrival records a request that reached a target.
 func (h *History) RecordArrival(a platformtest.Arrival) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -120,7 +121,7 @@
 	h.arrivals = append(h.arrivals, a)
 }
 
-// body returns the copy that is kept of a body.
+// internBody returns the stored copy of a body.
 func (h *History) internBody(text string) string {
 	kept, ok := h.bodies[text]
 	if !ok {
@@ -130,7 +131,7 @@
 	return kept
 }
 
-// Killed notes that a life of a box was killed.
+// RecordKill records that an incarnation of a box was killed. The first kill counts.
 func (h *History) RecordKill(box string, incarnation int, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -139,7 +140,7 @@
 	}
 }
 
-// Stopping notes that a life of a box was told to stop.
+// RecordStop records that an incarnation of a box was told to stop. The first time counts.
 func (h *History) RecordStop(box string, incarnation int, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -148,7 +149,7 @@
 	}
 }
 
-// Frozen notes that a life of a box stands still from now on.
+// RecordFreeze records that an incarnation of a box is frozen from now on.
 func (h *History) RecordFreeze(box string, incarnation int, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -156,49 +157,49 @@
 	h.frozen[id] = append(h.frozen[id], interval{from: at})
 }
 
-// Thawed notes that a life of a box goes on.
+// RecordThaw records that an incarnation of a box runs again.
 func (h *History) RecordThaw(box string, incarnation int, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	closeIntervals(h.frozen[incarnationID(box, incarnation)], at)
 }
 
-// StoreAway notes that the store fails from now on, and StoreBack that it serves again.
+// RecordStoreDown records that the store fails from now on.
 func (h *History) RecordStoreDown(at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.storeDown = append(h.storeDown, interval{from: at})
 }
 
-// StoreBack notes that the store serves again.
+// RecordStoreUp records that the store is available again.
 func (h *History) RecordStoreUp(at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	closeIntervals(h.storeDown, at)
 }
 
-// Overwritten notes that the store has another writer's entry in place of a target's.
+// RecordOverwrite records that another writer's record has replaced that of a target.
 func (h *History) RecordOverwrite(target string, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.overwritten[target] = append(h.overwritten[target], interval{from: at})
 }
 
-// Healed notes that the target is about to write its entry again.
+// RecordRestore records that the target is about to write its record again.
 func (h *History) RecordRestore(target string, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	closeIntervals(h.overwritten[target], at)
 }
 
-// Revoked notes that the store has taken a key away.
+// RecordRevocation records that a key has been revoked in the store.
 func (h *History) RecordRevocation(key string, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.revoked[key] = at
 }
 
-// Find notes something wrong that was found while the run went on.
+// RecordFinding records a violation detected during the run.
 func (h *History) RecordFinding(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/soak/history_internal_test.go
+++ b/internal/soak/history_internal_test.go
@@ -10,8 +10,8 @@
 	"github.com/barleystep/barleystep/platform/platformtest"
 )
 
-// TestBodiesKeptOnce checks that a body which many calls have is kept once: runs of minutes took
-// gigabytes for them.
+// TestBodiesInterned checks that a body shared by many calls is stored once. Otherwise runs of some
+// minutes took gigabytes.
 func TestBodiesInterned(t *testing.T) {
 	h := NewHistory(nil)
 	body := func() string { return strings.Repeat("x", 1000) }
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// play has callers send requests while the events happen.
+// runEvents runs the callers and injects the events at their times. It returns after the last fault
+// and the last call have ended.
 func (s *Runner) runEvents(ctx context.Context, events []Event) {
-	callersCtx, cancel := context.WithCancel(ctx) // Processes that faults start go on after it.
+	callersCtx, cancel := context.WithCancel(ctx) // Processes that faults start outlive callersCtx.
 	defer cancel()
 	var callers, faults sync.WaitGroup
 	for i := range s.Callers {
@@ -42,7 +43,7 @@
 	}
 }
 
-// act brings one fault about and ends it after its time.
+// inject injects one fault and ends it after its duration.
 func (s *Runner) inject(ctx context.Context, e Event) {
 	switch e.Action {
 	case ActionTerm, ActionKill, ActionReload, ActionFreeze:
@@ -85,7 +86,8 @@
 	}
 }
 
-// storeFault has the store fail for a time. Where several overlap the newest is in force.
+// injectStoreFault makes the store fail for the event's duration. While several faults overlap the
+// newest is active.
 func (s *Runner) injectStoreFault(ctx context.Context, e Event) {
 	s.storeMu.Lock()
 	s.storeFaults = append(s.storeFaults, e.Detail)
@@ -102,7 +104,7 @@
 	}
 }
 
-// revoke takes away the key that is there for it, once.
+// revokeKey revokes revocableKey if that has not happened yet.
 func (s *Runner) revokeKey() {
 	s.configMu.Lock()
 	known := slices.Contains(s.keys, revocableKey)
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -13,34 +13,34 @@
 	"github.com/barleystep/barleystep"
 )
 
-// link stands between boxes and one target and can break, silence or slow what passes.
+// proxy forwards connections from boxes to one target and can reset, stall or delay them.
 type proxy struct {
 	clock    barleystep.Clock
 	listener net.Listener
 	mu       sync.Mutex
-	target   string // to is the target's own address.
+	target   string // target is the target's own address.
 	conns    map[net.Conn]struct{}
-	// silent counts the reasons for which nothing passes, slow those for which it
-	// passes late; moved is closed when silent changes.
+	// stalled counts the active faults under which nothing is forwarded, slow those under which
+	// data is delayed. changed is closed and replaced when either count changes.
 	stalled int
 	slow    int
 	changed chan struct{}
 }
 
-// slowness is how much later each piece passes on a slow link.
+// slowDelay is the delay of each chunk on a slow connection.
 const slowDelay = 60 * time.Millisecond
 
 func newProxy(ctx context.Context, clk barleystep.Clock) (l *proxy, err error) {
 	listener, err := listen(ctx, os.Getpid())
 	if err != nil {
-		return nil, eris.Wrap(err, "soak: link")
+		return nil, eris.Wrap(err, "soak: listen for proxy")
 	}
 	l = &proxy{clock: clk, listener: listener, conns: make(map[net.Conn]struct{}), changed: make(chan struct{})}
 	go l.accept(ctx)
 	return l, nil
 }
 
-// lead has new connections lead to the address.
+// setTarget sets the address to which new connections are forwarded.
 func (l *proxy) setTarget(target string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// join passes bytes both ways until one side ends.
+// bridge forwards bytes in both directions until both have ended.
 func (l *proxy) bridge(ctx context.Context, client net.Conn) {
 	var d net.Dialer
 	l.mu.Lock()
@@ -81,11 +81,12 @@
 	delete(l.conns, client)
 	delete(l.conns, server)
 	l.mu.Unlock()
-	_ = client.Close() // Both have ended.
+	_ = client.Close() // Both directions have ended.
 	_ = server.Close()
 }
 
-// pass copies one way. Its end is passed on as it came, a reset as a reset.
+// forward copies one direction. It reproduces the way in which the source ended: a reset as a
+// reset, an end of file as a half close.
 func (l *proxy) forward(to, from net.Conn) {
 	buffer := make([]byte, 16<<10)
 	for {
@@ -98,7 +99,7 @@
 		switch {
 		case eris.Is(err, io.EOF):
 			if c, ok := to.(*net.TCPConn); ok {
-				_ = c.CloseWrite() // The other way may still be in use.
+				_ = c.CloseWrite() // The other direction may still be in use.
 			}
 			return
 		case err != nil:
@@ -108,7 +109,7 @@
 	}
 }
 
-// hold waits while nothing passes, and a little where it passes late.
+// waitToForward blocks while the connection is stalled and sleeps for slowDelay while it is slow.
 func (l *proxy) waitToForward() {
 	for {
 		l.mu.Lock()
@@ -126,7 +127,7 @@
 	}
 }
 
-// change adds to the reasons for silence and slowness.
+// adjust adds to the counts of active stalls and delays.
 func (l *proxy) adjust(stalled, slow int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/soak/regression.go
+++ b/internal/soak/regression.go
@@ -1,7 +1,7 @@
 package soak
 
 import (
-	_ "embed" // The list of regressions stands in a file of its own.
+	_ "embed" // Embeds regressions.toml.
 	"time"
 
 	"github.com/pelletier/go-toml/v2"
@@ -10,7 +10,7 @@
 	"github.com/barleystep/barleystep/internal/settings"
 )
 
-// Regression is a run that has failed once.
+// Regression is the setup of a run that once failed.
 type Regression struct {
 	Seed    uint64            `toml:"seed"`
 	Length  settings.Duration `toml:"length"`
@@ -18,9 +18,9 @@
 	Targets int               `toml:"targets"`
 	Callers int               `toml:"callers"`
 	Profile Profile           `toml:"profile"`
-	// CI is set for those that are run in CI.
+	// CI is set if CI runs it.
 	CI bool `toml:"ci"`
-	// Cause tells in a line why it failed.
+	// Cause is the cause of the failure in one line.
 	Cause string `toml:"cause"`
 }
 
@@ -32,11 +32,11 @@
 //go:embed regressions.toml
 var regressionsText []byte
 
-// Regressions returns all runs that have failed once.
+// Regressions returns all runs that once failed.
 func Regressions() (list []Regression, err error) {
 	var file struct {
 		Regressions []Regression `toml:"regression"`
 	}
 	err = toml.Unmarshal(regressionsText, &file)
-	return file.Regressions, eris.Wrap(err, "soak: regressions")
+	return file.Regressions, eris.Wrap(err, "soak: decode regressions")
 }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -10,49 +10,48 @@
 	"github.com/barleystep/barleystep/platform/platformtest"
 )
 
-// Action is what is done to a process, a link or the store.
+// Action is a fault or a change applied to a process, a connection or the store.
 type Action string
 
-// The actions. Those with a duration end after it.
+// The actions. Those with a duration are undone after it.
 const (
-	// ActionTerm, ActionKill, ActionFreeze and ActionReload send a box SIGTERM,
-	// SIGKILL, SIGSTOP (and SIGCONT in the end) and SIGHUP. A box that ends is
-	// started again.
+	// ActionTerm, ActionKill, ActionFreeze and ActionReload send SIGTERM, SIGKILL, SIGSTOP
+	// (followed by SIGCONT after the duration) and SIGHUP to a box. A box that exits is restarted.
 	ActionTerm   Action = "term"
 	ActionKill   Action = "kill"
 	ActionFreeze Action = "freeze"
 	ActionReload Action = "reload"
 	// ActionKillAll kills all boxes at once.
 	ActionKillAll Action = "kill-all"
-	// ActionCrash kills a target; another with a new id takes its place in the end.
+	// ActionCrash kills a target. After the duration a target with a new id replaces it.
 	ActionCrash Action = "crash"
-	// ActionRestart kills a target; in the end it starts again under its id.
+	// ActionRestart kills a target. After the duration it is restarted under the same id.
 	ActionRestart Action = "restart"
-	// ActionForeign has another writer overwrite a target's entry in the way that Detail
-	// names, until the target writes it again.
+	// ActionForeign makes another writer overwrite a target's record in the way that Detail names.
+	// After the duration the target writes its record again.
 	ActionForeign Action = "foreign"
-	// ActionDrain has a target say that it leaves, and end it in the end.
+	// ActionDrain makes a target announce in the store that it is leaving, and replaces it after
+	// the duration.
 	ActionDrain Action = "drain"
-	// ActionSpoil has targets spoil their answers.
+	// ActionSpoil makes a target return faulty answers.
 	ActionSpoil Action = "spoil"
-	// ActionReset, ActionSilence and ActionSlow break, silence and slow the
-	// connections to a target.
+	// ActionReset, ActionSilence and ActionSlow reset, stall and delay the connections to a target.
 	ActionReset   Action = "reset"
 	ActionSilence Action = "silence"
 	ActionSlow    Action = "slow"
-	// ActionStore has the store fail in the way that Detail names.
+	// ActionStore makes the store fail in the way that Detail names.
 	ActionStore Action = "store"
-	// ActionForget has the store forget its history.
+	// ActionForget makes the store drop its change history.
 	ActionForget Action = "forget"
-	// ActionRoute adds a route, and ActionRevoke takes the key away that is there to be
-	// taken away.
+	// ActionRoute adds a route. ActionRevoke revokes revocableKey.
 	ActionRoute  Action = "route"
 	ActionRevoke Action = "revoke"
-	// ActionDeadly has callers send a request, now and then, that ends each target which
-	// runs it.
+	// ActionDeadly makes callers occasionally send a request that crashes each target that executes
+	// it.
 	ActionDeadly Action = "deadly"
-	// ActionLeave has a target say in its answers, and nowhere else, that it leaves, and end it
-	// in the end. ActionRest has one turn all requests away and ask for rest.
+	// ActionLeave makes a target state in its answers only, not in the store, that it is leaving,
+	// and replaces it after the duration. ActionRest makes a target refuse all requests and ask for
+	// rest.
 	ActionLeave Action = "leave"
 	ActionRest  Action = "rest"
 )
@@ -62,51 +61,52 @@
 	At       time.Duration
 	Duration time.Duration
 	Action   Action
-	// Index chooses the box or target.
+	// Index selects the box or target.
 	Index int
-	// Detail is the store's fault or how answers are spoilt, and Share of how many.
+	// Detail names the fault of the store, of a target's answers or of its record. Share is the
+	// share of a target's answers that are faulty.
 	Detail string
 	Share  float64
 }
 
-// String returns the event as a line of the schedule.
+// String returns the event as a line of the printed schedule.
 func (e Event) String() string {
 	return fmt.Sprintf("%8s %-8s %d for %s %s %.2f", e.At, e.Action, e.Index, e.Duration, e.Detail, e.Share)
 }
 
 const (
-	// quietStart and quietEnd are free of faults: all must work before, and again
-	// after.
+	// quietStart and quietEnd are free of faults: everything must work before the first fault and
+	// again after the last.
 	quietStart = 2 * time.Second
 	quietEnd   = 3 * time.Second
-	// gap is the mean time between two events; they overlap, since most last longer.
+	// faultGap is the mean time between two events. Faults overlap, since most last longer.
 	faultGap = 350 * time.Millisecond
-	// restartGap and foreignGap are the same between targets that start again under their
-	// ids and between entries of another writer.
+	// restartGap and foreignGap are the mean times between restarts of targets under the same id
+	// and between overwritten records.
 	restartGap = 3 * time.Second
 	foreignGap = 5 * time.Second
-	// deadlyGap is the same between times in which callers send a deadly request.
+	// deadlyGap is the mean time between periods in which callers send deadly requests.
 	deadlyGap = 8 * time.Second
-	// statementGap is the same between targets that say something of themselves.
+	// statementGap is the mean time between statements of targets.
 	statementGap = 3 * time.Second
-	// shortest and longest bound how long a fault lasts.
+	// minFault and maxFault bound the duration of a fault.
 	minFault = 300 * time.Millisecond
 	maxFault = 4 * time.Second
-	// leastShare and mostShare bound how many answers of a target are spoilt.
+	// minShare and maxShare bound the share of a target's answers that are faulty.
 	minShare = 0.05
 	maxShare = 0.4
 )
 
-// source draws events of its own, so that a new one leaves the events of others as they
-// are: a seed that is kept goes on to draw what it drew.
+// eventSource draws events from a generator of its own. A new source therefore leaves the events of
+// the others unchanged, and a stored seed keeps producing the same faults.
 type eventSource struct {
-	stream  uint64 // stream tells its generator from those of others.
+	stream  uint64 // stream selects the generator.
 	meanGap time.Duration
-	// weights say how often each action comes.
+	// weights are the relative frequencies of the actions.
 	weights map[Action]int
 }
 
-// The generators of sources.
+// The generators of the event sources.
 const (
 	streamFaults uint64 = iota << 32
 	streamStops
@@ -116,7 +116,7 @@
 	streamStatements
 )
 
-// sources returns what the events of a run are drawn from.
+// eventSources returns the sources of a run's events.
 func eventSources(s Setup) []eventSource {
 	list := []eventSource{
 		{streamFaults, faultGap, faultWeights},
@@ -132,14 +132,14 @@
 	return list
 }
 
-// weights are those of the faults that every run has.
+// faultWeights are the relative frequencies of the faults that every run has.
 var faultWeights = map[Action]int{
 	ActionTerm: 6, ActionKill: 4, ActionFreeze: 4, ActionReload: 4, ActionKillAll: 1,
 	ActionCrash: 5, ActionDrain: 4, ActionSpoil: 30, ActionReset: 6, ActionSilence: 4, ActionSlow: 4,
 	ActionStore: 6, ActionForget: 2, ActionRoute: 4, ActionRevoke: 1,
 }
 
-// actions returns the actions in a fixed order, each as often as its weight says.
+// weightedActions returns the actions in a fixed order, each repeated as often as its weight.
 func (s eventSource) weightedActions() []Action {
 	var list []Action
 	for a, n := range s.weights {
@@ -151,7 +151,7 @@
 	return list
 }
 
-// Schedule draws the events of a run; the same seed gives the same schedule.
+// Schedule draws the events of a run. The same seed gives the same schedule.
 func Schedule(s Setup) []Event {
 	var events []Event
 	for _, from := range eventSources(s) {
@@ -161,7 +161,7 @@
 	return events
 }
 
-// draw draws the events of one source.
+// generate draws the events of one source.
 func (s eventSource) generate(run Setup) []Event {
 	r := rand.New(rand.NewPCG(run.Seed, s.stream))
 	list := s.weightedActions()
@@ -179,7 +179,7 @@
 	return events
 }
 
-// detail draws what the action is done to, and how.
+// detail draws the box or target of the action and its parameters.
 func (e *Event) detail(r *rand.Rand, boxes, targets int) {
 	e.Index = r.IntN(targets)
 	switch e.Action {
@@ -195,5 +195,5 @@
 	}
 }
 
-// storeFaults are the store's faults by their names.
+// storeFaults names the faults of the store.
 var storeFaults = []string{"busy", "reset", "lost", "hang"}
--- a/internal/soak/setup.go
+++ b/internal/soak/setup.go
@@ -6,20 +6,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// Setup says how large a run is and what it is drawn from.
+// Setup is the size of a run and the seed from which it is drawn.
 type Setup struct {
 	Seed uint64
 	// Length is how long callers send requests.
 	Length time.Duration
-	// Boxes, Targets and Callers count processes of boxes, targets that are engines,
-	// and callers. There are half as many targets of a plain service.
+	// Boxes, Targets and Callers are the numbers of boxes, of targets that are engines, and of
+	// callers. There are half as many targets of a plain service as engines.
 	Boxes   int
 	Targets int
 	Callers int
 	Profile Profile
 }
 
-// allTargets counts the targets of both services.
+// targetCount returns the number of targets of both services.
 func (s Setup) targetCount() int { return s.Targets + s.Targets/2 }
 
 // load returns the load of the profile.
@@ -29,40 +29,41 @@
 type Profile string
 
 const (
-	// ProfileUsual has targets with room and short streams.
+	// ProfileUsual has targets with spare slots and short streams.
 	ProfileUsual Profile = "usual"
-	// ProfileCrowded has targets with few places and long streams, and callers that wait
-	// longer than a planned stop lasts, so that requests wait for places when boxes stop.
+	// ProfileCrowded has targets with few slots and long streams, and callers that wait longer than
+	// a planned stop lasts, so that requests are queued when boxes stop.
 	ProfileCrowded Profile = "crowded"
 )
 
-// String returns the name.
+// String returns the profile's name.
 func (p *Profile) String() string { return string(*p) }
 
-// Set takes the name of a profile.
+// Set sets the profile by name. It fails if there is no such profile.
 func (p *Profile) Set(name string) error {
 	if _, ok := loads[Profile(name)]; !ok {
-		return eris.Errorf("soak: there is no profile %q", name)
+		return eris.Errorf("soak: unknown profile %q", name)
 	}
 	*p = Profile(name)
 	return nil
 }
 
-// Type names the type in the program's help.
+// Type returns the name of the flag's type in help texts.
 func (*Profile) Type() string { return "profile" }
 
-// load is what a profile stands for.
+// load holds the parameters of a profile.
 type load struct {
 	// timeLimit is how long callers wait.
 	timeLimit time.Duration
 	objective time.Duration
-	// slots is how many requests an engine takes, and pause the time between two events
-	// of its streams.
+	// slots is the number of requests that an engine serves at once, pause the time between two
+	// events of its streams.
 	slots int
 	pause time.Duration
-	// giantEvery is how seldom a prompt is over an engine's memory.
+	// One in oversizedEvery resumable streams has a prompt that exceeds an engine's KV cache.
 	oversizedEvery int
-	// stops is how many boxes are told to stop in series, as a divisor; 0 for none.
+	// stops is the divisor of the rate of additional planned stops: Boxes/stops boxes are told to
+	// stop in each grace period. Zero adds none.
 	stops int
 }
 
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -15,16 +15,17 @@
 	"github.com/barleystep/barleystep/platform/platformtest"
 )
 
-// Soak is one run. Its exported fields are set before Run.
+// Runner executes one run. Its exported fields are set before Run.
 type Runner struct {
 	Setup
 	Clock barleystep.Clock
-	// Program is the box's program, Self this program, which runs the stand-ins.
+	// BoxProgram is the path of the box's program, StandInProgram that of the program that runs the
+	// stand-ins.
 	BoxProgram     string
 	StandInProgram string
-	// Dir keeps settings and logs of the boxes.
+	// Dir holds the settings and logs of the boxes.
 	Dir string
-	// Out gets the schedule and the findings.
+	// Out receives the schedule and the violations.
 	Out io.Writer
 
 	history *History
@@ -34,9 +35,9 @@
 	routes  atomic.Int64
 	version int
 	keys    []string
-	deadly  atomic.Int64 // deadly counts the times that last in which callers send a deadly request.
-	probes  int          // probes counts the callers that looked whether all works.
-	// configuring orders changes of the configuration, and storeMu faults of the store.
+	deadly  atomic.Int64 // deadly counts the current periods in which callers send deadly requests.
+	probes  int          // probes counts the callers made to probe boxes.
+	// configMu serializes changes of the configuration, storeMu faults of the store.
 	configMu    sync.Mutex
 	storeMu     sync.Mutex
 	storeFaults []string
@@ -46,11 +47,11 @@
 	engineService = "model"
 	plainService  = "app"
 	engineMemory  = 50_000
-	// doomedKey is the key that may be taken away.
+	// revocableKey is the API key that ActionRevoke revokes.
 	revocableKey = "key-doomed"
 )
 
-// Run starts all, brings the faults about, and returns what is wrong, a line each.
+// Run starts all processes, injects the faults and returns the violations, one a line.
 func (s *Runner) Run(ctx context.Context) (violations []string, err error) {
 	defer func() { err = eris.Wrap(err, "soak") }()
 	s.history = NewHistory(map[string]string{"key-a": "tenant-a", "key-b": "tenant-b", revocableKey: "tenant-c"})
@@ -64,17 +65,17 @@
 		fmt.Fprintln(s.Out, e)
 	}
 	if !s.waitServing(ctx) {
-		return nil, eris.New("the boxes did not begin to serve")
+		return nil, eris.New("boxes did not start to serve within the settle time")
 	}
 	s.runEvents(ctx, events)
 	if err = ctx.Err(); err != nil {
-		return nil, err // Interrupted, with processes away that were to start again.
+		return nil, err // Interrupted: some processes are down and would have been restarted.
 	}
 	s.checkFinalState(ctx)
 	return s.history.Check(), nil
 }
 
-// begin starts the processes.
+// startAll starts the processes.
 func (s *Runner) startAll(ctx context.Context) (err error) {
 	if s.store, err = startChild(ctx, s.StandInProgram, s.history.RecordArrival, "store"); err != nil {
 		return err
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// end stops all processes.
+// stopAll stops all processes.
 func (s *Runner) stopAll() {
 	var all sync.WaitGroup
 	for _, b := range s.boxes {
@@ -131,7 +132,7 @@
 	}
 }
 
-// configure writes the next version of the configuration.
+// writeConfig writes the next version of the configuration.
 func (s *Runner) writeConfig() {
 	s.configMu.Lock()
 	defer s.configMu.Unlock()
@@ -157,11 +158,11 @@
 	s.store.execute(command{Put: &record{Table: "op", Key: "config", Value: value}})
 }
 
-// TempDir returns a directory for settings and logs of a run.
+// TempDir creates and returns the directory for settings and logs of a run.
 func TempDir(run Setup) (dir string, err error) {
 	dir = filepath.Join(os.TempDir(), fmt.Sprintf("barleystep-soak-%s-%d", run.Profile, run.Seed))
-	return dir, eris.Wrap(os.MkdirAll(dir, 0o700), "soak: directory")
+	return dir, eris.Wrap(os.MkdirAll(dir, 0o700), "soak: create directory")
 }
 
-// Summary tells how much was seen in the run.
+// Summary returns the counts of calls and arrivals of the run.
 func (s *Runner) Summary() string { return s.history.Summary() }
--- a/internal/soak/standin.go
+++ b/internal/soak/standin.go
@@ -15,7 +15,7 @@
 	"github.com/barleystep/barleystep/platform/platformtest"
 )
 
-// output writes reports to the process that started this one.
+// output writes reports to the parent process.
 type output struct {
 	mu      sync.Mutex
 	encoder *json.Encoder
@@ -26,10 +26,10 @@
 func (o *output) send(r report) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	_ = o.encoder.Encode(r) // The other process has ended; so does this one, with its input.
+	_ = o.encoder.Encode(r) // The parent has exited. This process exits too when its input ends.
 }
 
-// serveOrders carries out orders until the input ends.
+// serveCommands executes commands until the input ends.
 func serveCommands(out *output, execute func(command) (reserved int)) error {
 	in := json.NewDecoder(os.Stdin)
 	for {
@@ -39,18 +39,18 @@
 			return nil
 		}
 		if err != nil {
-			return eris.Wrap(err, "soak: read orders")
+			return eris.Wrap(err, "soak: read commands")
 		}
 		out.send(report{Done: o.Number, Held: execute(o)})
 	}
 }
 
-// RunTarget is the process of a stand-in for a target, which is set up but for its
-// reports. It returns when its input ends.
+// RunTarget runs a stand-in for a target and returns when its input ends. The callbacks and the
+// start time of t are set here, all else by the caller.
 func RunTarget(ctx context.Context, t *platformtest.Target) (err error) {
 	l, err := listen(ctx, os.Getppid())
 	if err != nil {
-		return eris.Wrap(err, "soak: target")
+		return eris.Wrap(err, "soak: listen for target")
 	}
 	context.AfterFunc(ctx, func() { _ = l.Close() })
 	out := newOutput()
@@ -58,7 +58,7 @@
 	t.Crash = func() { os.Exit(1) }
 	t.Born = t.Clock.Now().UnixNano()
 	out.send(report{Addr: l.Addr().String()})
-	go func() { _ = t.Serve(l) }() // It ends with the process.
+	go func() { _ = t.Serve(l) }() // It runs until the process exits.
 	return serveCommands(out, func(o command) int {
 		if o.TargetFaults != nil {
 			t.SetFaults(o.TargetFaults)
@@ -70,21 +70,21 @@
 	})
 }
 
-// headerTimeout bounds how long a box takes for the head of a call.
+// headerTimeout is the time limit for reading the header of a request from a box.
 const headerTimeout = 4 * time.Second
 
-// RunStore is the process of a stand-in for the platform's store.
+// RunStore runs a stand-in for the platform's store and returns when its input ends.
 func RunStore(ctx context.Context, clk barleystep.Clock) (err error) {
 	l, err := listen(ctx, os.Getppid())
 	if err != nil {
-		return eris.Wrap(err, "soak: store")
+		return eris.Wrap(err, "soak: listen for store")
 	}
 	context.AfterFunc(ctx, func() { _ = l.Close() })
 	s := &platformtest.Store{Clock: clk}
 	out := newOutput()
 	out.send(report{Addr: l.Addr().String()})
 	server := &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout}
-	go func() { _ = server.Serve(l) }() // It ends with the process.
+	go func() { _ = server.Serve(l) }() // It runs until the process exits.
 	return serveCommands(out, func(o command) int {
 		executeOnStore(s, o)
 		return 0
--- a/internal/soak/target_slot.go
+++ b/internal/soak/target_slot.go
@@ -10,7 +10,7 @@
 	"github.com/barleystep/barleystep/platform/platformtest"
 )
 
-// slot is a place for a target, in which one process follows another.
+// targetSlot holds one target at a time. When its process exits, another one replaces it.
 type targetSlot struct {
 	runner  *Runner
 	number  int
@@ -19,13 +19,13 @@
 	mu         sync.Mutex
 	generation int
 	id         string
-	born       time.Time // born is when the process started.
+	born       time.Time // born is when the process was started.
 	child      *child
 	proxy      *proxy
 	faults     map[platformtest.TargetFault]float64
 }
 
-// start starts a process in the slot and has it announced.
+// start starts a process with a new id and announces it.
 func (t *targetSlot) start(ctx context.Context) (err error) {
 	t.generation++
 	t.id = fmt.Sprintf("t%d-%d", t.number, t.generation)
@@ -35,7 +35,8 @@
 	return t.startProcess(ctx)
 }
 
-// begin starts a process with the slot's id, which knows nothing of one before it.
+// startProcess starts a process with the slot's current id. It has no state of an earlier process
+// with that id.
 func (t *targetSlot) startProcess(ctx context.Context) (err error) {
 	t.born = t.runner.Clock.Now()
 	seed := t.runner.Seed*1000 + uint64(t.number)
@@ -50,10 +51,11 @@
 	return nil
 }
 
-// deadTime is how long a target is away that has ended by itself.
+// crashRestartDelay is the time between the unexpected exit of a target and its replacement.
 const crashRestartDelay = time.Second
 
-// watch has another process follow one that ends by itself. It says nothing of its end.
+// watch replaces a process that exits without being killed by the run. Such an exit is not
+// announced.
 func (t *targetSlot) watch(ctx context.Context, c *child) {
 	<-c.ended
 	if c.killed.Load() {
@@ -67,7 +69,7 @@
 	}
 }
 
-// entry is what the target says of itself in the store.
+// entry returns the target's record for the store.
 func (t *targetSlot) entry(state string) map[string]any {
 	e := platformtest.ServerRecord(t.service, t.proxy.addr(), fmt.Sprintf("h%d", t.number%2), t.runner.load().slots, state)
 	e["born"] = t.born.UnixMilli()
@@ -78,7 +80,7 @@
 	t.write(record{Value: t.entry(state)})
 }
 
-// write writes the target's entry.
+// write writes the target's record.
 func (t *targetSlot) write(r record) {
 	r.Table, r.Key = tableTargets, t.id
 	t.runner.store.execute(command{Put: &r})
@@ -93,7 +95,7 @@
 	}
 }
 
-// act brings a fault about at the slot's target.
+// inject injects a fault at the slot's target.
 func (t *targetSlot) inject(ctx context.Context, e Event) {
 	t.mu.Lock()
 	l := t.proxy
@@ -128,11 +130,11 @@
 	}
 }
 
-// drainTime is how long a target that leaves serves on.
+// drainTime is how long a leaving target continues to serve.
 const drainTime = 3 * time.Second
 
-// replace ends the target's process, after a notice if it is planned, and starts another.
-// Boxes that cannot reach the store do not hear of it.
+// replace ends the target's process, after an announcement if it is planned, and starts another.
+// Boxes that cannot reach the store do not learn of it.
 func (t *targetSlot) replace(ctx context.Context, wait time.Duration, planned bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -148,8 +150,8 @@
 	t.recordStartError(t.start(ctx))
 }
 
-// leave ends the target's process after it has said in its answers, and nowhere else, that it
-// leaves, and starts another.
+// leave makes the target state in its answers only that it is leaving, and replaces its process
+// after the wait.
 func (t *targetSlot) leave(ctx context.Context, wait time.Duration) {
 	t.mu.Lock()
 	t.child.execute(command{Says: &statement{Leaving: true}})
@@ -158,10 +160,10 @@
 	t.replace(ctx, 0, false)
 }
 
-// restAsked is the rest that targets ask for.
+// requestedRest is the rest that targets ask for.
 const requestedRest = 2 * time.Second
 
-// rest has the target turn requests away and ask for rest for a time.
+// rest makes the target refuse requests and ask for rest for the given time.
 func (t *targetSlot) rest(ctx context.Context, wait time.Duration) {
 	t.mu.Lock()
 	c := t.child
@@ -181,17 +183,18 @@
 	}
 }
 
-// restart kills the target's process and has another one follow it under its id.
+// restart kills the target's process and starts another with the same id.
 func (t *targetSlot) restart(ctx context.Context, wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.proxy.resetAll() // Before the end, since a stream without a length would look whole.
+	t.proxy.resetAll() // Before the kill: a stream without a length would look complete.
 	t.child.kill()
 	t.runner.sleep(ctx, wait)
 	t.recordStartError(t.startProcess(ctx))
 }
 
-// foreign has another writer overwrite the target's entry, until the target writes it again.
+// overwriteEntry makes another writer overwrite the target's record. After the wait the target
+// writes it again.
 func (t *targetSlot) overwriteEntry(ctx context.Context, name string, wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -202,7 +205,7 @@
 	t.announce(stateReady)
 }
 
-// spoil adds to the share of answers that are spoilt in one way.
+// addFault adds to the share of answers that have this fault.
 func (t *targetSlot) addFault(way platformtest.TargetFault, share float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
