--- a/internal/soak/check_targets_test.go
+++ b/internal/soak/check_targets_test.go
@@ -89,7 +89,7 @@
 		"leaving, from another box":          {0, []sent{{"b1", 1, 5 * second}}, false, 0},
 		"leaving, from a later incarnation":  {0, []sent{{"b0", 2, 5 * second}}, false, 0},
 		"leaving, its box was frozen":        {0, []sent{{"b0", 1, 7 * second}}, true, 0},
-		"resting, two in flight":             {4 * second, []sent{{"b0", 1, 300 * time.Millisecond}, {"b0", 1, second}}, false, 0},
+		"resting, one in flight":             {4 * second, []sent{{"b0", 1, 300 * time.Millisecond}, {"b0", 1, second}}, false, 0},
 		"resting, three more":                {4 * second, []sent{{"b0", 1, second}, {"b0", 1, 2 * second}, {"b0", 1, 3 * second}}, false, 1},
 		"resting, after the end of the rest": {second, []sent{{"b0", 1, 2 * second}, {"b0", 1, 3 * second}, {"b0", 1, 4 * second}}, false, 0},
 		"resting, from other boxes":          {4 * second, []sent{{"b1", 1, second}, {"b2", 1, 2 * second}, {"b3", 1, 3 * second}}, false, 0},
--- a/internal/standin/boxes.go
+++ b/internal/standin/boxes.go
@@ -7,8 +7,7 @@
 	"github.com/barleystep/barleystep"
 )
 
-// BoxList stands in for the platform's list of boxes. Its zero value is an empty
-// list.
+// BoxList is a stand-in for the platform's list of boxes. Its zero value is an empty list.
 type BoxList struct {
 	mu    sync.Mutex
 	boxes []barleystep.Box
@@ -21,7 +20,7 @@
 	l.boxes = boxes
 }
 
-// Boxes returns the list of boxes.
+// Boxes returns a copy of the list of boxes. It never fails.
 func (l *BoxList) Boxes(context.Context) ([]barleystep.Box, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -1,7 +1,6 @@
-// Package standin holds small stand-ins for the systems around barleystep: a
-// model engine, a plain service and the platform's stores. They speak the
-// published protocols and serve tests and the local hall; they are not meant
-// for production.
+// Package standin provides small stand-ins for the systems around barleystep: a model engine, a
+// plain service and the platform's list of boxes. They speak the published protocols and serve
+// tests and the local hall. They are not meant for production.
 package standin
 
 import (
@@ -23,50 +22,49 @@
 const (
 	bytesPerToken = 4
 	defaultOutput = 16
-	resumeWindow  = time.Minute // minuteOfAnswer is how long a finished answer can be resumed.
+	resumeWindow  = time.Minute // resumeWindow is how long a finished answer can be resumed.
 )
 
-// Fault makes a stand-in engine misbehave on one attempt.
+// Fault is a fault that a stand-in engine injects into one attempt.
 type Fault uint8
 
 // The faults of a stand-in engine.
 const (
-	// FaultNone serves the attempt well.
+	// FaultNone serves the attempt normally.
 	FaultNone Fault = iota
-	// FaultRefuse answers that the attempt was not started.
+	// FaultRefuse refuses the attempt and answers that it was not started.
 	FaultRefuse
-	// FaultSilent runs the attempt and closes the connection unanswered.
+	// FaultNoAnswer executes the attempt and closes the connection without an answer.
 	FaultNoAnswer
-	// FaultTear breaks the stream after the second event; it can be resumed.
+	// FaultBreakStream closes the connection after the second event. The stream can be resumed.
 	FaultBreakStream
-	// FaultForeign answers with another attempt's id.
+	// FaultWrongAttempt answers with the id of another attempt.
 	FaultWrongAttempt
-	// FaultCross puts an event of another attempt into the stream.
+	// FaultForeignEvent inserts an event of another attempt into the stream.
 	FaultForeignEvent
-	// FaultGap leaves an event out.
+	// FaultSkipEvent omits an event.
 	FaultSkipEvent
-	// FaultRepeat sends an event twice.
+	// FaultRepeatEvent sends an event twice.
 	FaultRepeatEvent
 	// FaultHang starts the attempt and sends nothing.
 	FaultHang
 )
 
-// Engine is a stand-in model engine. Its exported fields are set before it
-// serves.
+// Engine is a stand-in model engine. Its exported fields are set before it serves.
 type Engine struct {
 	Clock barleystep.Clock
-	// Tokens is the KV memory in tokens; the default is 400,000.
+	// KVTokens is the size of the KV cache in tokens. Zero means 400,000.
 	KVTokens int
-	// Step is the time between generated tokens; the default is none.
+	// Step is the time between generated tokens. Zero means none.
 	Step time.Duration
-	// PrefillRate is the reading speed in tokens per second; the default reads
-	// at once.
+	// PrefillRate is the prefill speed in tokens per second. Zero means that prefill takes no time.
 	PrefillRate float64
-	// Fault is asked for each attempt that starts; nil means FaultNone.
+	// Fault returns the fault of each attempt that starts. Nil means FaultNone.
 	Fault func(attempt string) Fault
-	// Forget drops an attempt when its stream breaks, so that it can't be resumed.
+	// ForgetOnBreak drops an attempt when FaultBreakStream breaks its stream, so that it cannot be
+	// resumed.
 	ForgetOnBreak bool
-	// ChecksFence makes the engine refuse orders with an old fencing token.
+	// ChecksFence makes the engine refuse orders with a fencing token older than the last one.
 	ChecksFence bool
 
 	mu       sync.Mutex
@@ -80,11 +78,11 @@
 
 type attemptState struct {
 	tokens    int
-	deadline  time.Time // deadline is what the attempt came with.
+	deadline  time.Time // deadline is that of the request.
 	events    []string
-	first     time.Time     // first is when the first token is due.
+	first     time.Time     // first is when the first token is generated.
 	ready     chan struct{} // ready is closed when the answer is complete.
-	cancelled chan struct{} // gone is closed when the attempt is cancelled.
+	cancelled chan struct{} // cancelled is closed when the attempt is cancelled.
 	closed    bool
 	ended     time.Time
 }
@@ -108,7 +106,7 @@
 	}
 }
 
-// Runs returns how often each attempt has been started.
+// Runs returns how often each attempt has been started, by its id.
 func (e *Engine) Runs() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -119,14 +117,14 @@
 	return runs
 }
 
-// SetLeaving makes the engine report that it is leaving.
+// SetLeaving sets whether the engine reports that it is leaving.
 func (e *Engine) SetLeaving(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = leaving
 }
 
-// UsedTokens returns the KV memory in use.
+// UsedTokens returns the KV cache in use, in tokens.
 func (e *Engine) UsedTokens() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -223,7 +221,8 @@
 	e.writeAnswer(w, r, id, h, from, fault, gjson.GetBytes(body, "stream").Bool())
 }
 
-// admit finds the attempt, or starts it if it is new and there is room.
+// admit returns the attempt with the id, or starts it if it is new and the KV cache has room. ok is
+// false if it cannot be started or resumed.
 func (e *Engine) admit(id string, body []byte, resume bool, r *http.Request) (h *attemptState, ok bool) {
 	prompt := len(body) / bytesPerToken
 	output := int(gjson.GetBytes(body, "max_tokens").Int())
@@ -276,7 +275,7 @@
 	}
 }
 
-// generate waits as long as the answer takes and then marks it complete.
+// generate waits until the answer has been generated and marks it complete.
 func (e *Engine) generate(h *attemptState) {
 	if !h.waitUntil(context.Background(), e.Clock, e.due(h, len(h.events))) {
 		return
@@ -287,8 +286,8 @@
 	close(h.ready)
 }
 
-// waitUntil waits for a time; it reports false if the attempt was cancelled or
-// its caller went away first.
+// waitUntil waits until the given time. It reports false if the attempt is cancelled or ctx is done
+// first.
 func (h *attemptState) waitUntil(ctx context.Context, clk barleystep.Clock, at time.Time) bool {
 	t := clk.NewTimer(at.Sub(clk.Now()))
 	defer t.Stop()
@@ -353,7 +352,7 @@
 	}
 }
 
-// faultyEvent is the number of the event at which a fault shows.
+// faultEvent is the number of the event at which a fault of a stream occurs.
 const faultEvent = 3
 
 func writeWithFault(w http.ResponseWriter, id, data string, number uint64, fault Fault) {
@@ -379,8 +378,8 @@
 	}
 }
 
-// answerEvents makes the events of an answer. The text names the attempt, so
-// that a test can tell whose answer it is.
+// answerEvents returns the events of an answer. The text names the attempt, so that a test can tell
+// which attempt the answer belongs to.
 func answerEvents(id string, prompt, output int, path string) []string {
 	events := make([]string, 0, output+2)
 	for i := range output {
@@ -419,5 +418,5 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // The reader may have gone away.
+	_ = json.NewEncoder(w).Encode(v) // The client may have closed the connection.
 }
--- a/internal/standin/order.go
+++ b/internal/standin/order.go
@@ -8,12 +8,13 @@
 	"github.com/barleystep/barleystep/internal/engine"
 )
 
-// Order is an order to a target.
+// Order is the body of an order to a target.
 type Order struct {
 	Weights string `json:"weights"`
 }
 
-// order takes an order unless its fencing token is older than the last one.
+// order executes an order. With ChecksFence it answers 409 to one whose fencing token is older than
+// the last one.
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
 	fence, err := strconv.ParseInt(r.Header.Get(engine.HeaderFence), 10, 64)
 	if err != nil {
@@ -37,14 +38,14 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Orders returns how many orders came.
+// Orders returns the number of valid orders received, including refused ones.
 func (e *Engine) Orders() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.orders
 }
 
-// Weights returns the version of the weights that was last ordered.
+// Weights returns the version of the weights in the last executed order.
 func (e *Engine) Weights() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -12,8 +12,8 @@
 
 const readLimit = 64 << 20
 
-// Service is a stand-in plain service: it counts calls and answers with what it
-// was sent.
+// Service is a stand-in plain service. It counts the calls of each attempt and describes the
+// request in its answer.
 type Service struct {
 	mu    sync.Mutex
 	calls map[string]int
@@ -41,7 +41,7 @@
 	fmt.Fprintf(w, `{"path":%q,"method":%q,"received":%d}`, r.URL.Path, r.Method, len(body))
 }
 
-// Calls returns how often each attempt was received.
+// Calls returns how often each attempt was received, by its id.
 func (s *Service) Calls() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
