--- a/internal/lab/attempt.go
+++ b/internal/lab/attempt.go
@@ -13,8 +13,8 @@
 	"github.com/barleystep/barleystep/internal/timeline"
 )
 
-// clockOf is simulated time as the balancer takes it. Nothing in it waits on a
-// timer: the day polls its waits.
+// simClock is the simulated clock of the balancer. Its timers never fire: the day polls for
+// requests whose wait has ended.
 type simClock struct{ *timeline.Timeline }
 
 // NewTimer returns a timer that never fires.
@@ -22,13 +22,13 @@
 
 type idleTimer struct{}
 
-// C returns a channel on which nothing comes.
+// C returns a nil channel, which never delivers.
 func (idleTimer) C() <-chan time.Time { return nil }
 
 // Stop reports that the timer had not fired.
 func (idleTimer) Stop() bool { return true }
 
-// arrive is a caller's try.
+// sendTry sends a try of the caller to its box.
 func (d *day) sendTry(r *request) {
 	if r.ended {
 		return
@@ -46,7 +46,7 @@
 	d.place(b, r, nil)
 }
 
-// watch ends the try for a caller who has waited for too long.
+// watchPatience ends the request once its caller has waited too long for the next event.
 func (d *day) watchPatience(r *request, try int) {
 	kind := d.load.Kinds[r.kind]
 	patience := max(2*time.Second, 4*kind.Objective)
@@ -80,7 +80,8 @@
 	}
 }
 
-// again lets the caller come back, if it does.
+// retry makes the caller retry after the wait, but after at most a third of the time that is left.
+// It ends the request if no try or no time is left.
 func (d *day) retry(r *request, wait time.Duration, c cause) {
 	kind := d.load.Kinds[r.kind]
 	left := r.at + kind.Deadline - d.timeline.Elapsed()
@@ -125,7 +126,7 @@
 	j := d.job(r)
 	j.Avoid = avoid
 	j.Hall = b.balancer.Hall
-	asked := d.boxes[0] // It is the lead.
+	asked := d.boxes[0] // The first box is the lead.
 	p, w, err := asked.balancer.TryPlace(context.Background(), j)
 	switch {
 	case err != nil:
@@ -137,7 +138,7 @@
 	}
 }
 
-// placed sends a request; what the lead has placed is adopted by the request's box.
+// dispatch sends a placed request. The request's box adopts a placement made by the lead.
 func (d *day) dispatch(asked, b *box, r *request, avoid []barleystep.TargetID, p *balance.Placement) {
 	if asked != b {
 		j := d.job(r)
@@ -155,27 +156,27 @@
 	wait := noTargetRetryDelay
 	kind := d.load.Kinds[r.kind]
 	if eris.Is(err, balance.ErrFull) {
-		wait = kind.Deadline // Callers heed a third of what they have left.
+		wait = kind.Deadline // retry shortens it to a third of the time left.
 	}
 	r.refusedEarly = r.sends == 0 && d.timeline.Elapsed()-r.at <= kind.Objective/earlyRefusalPart
 	d.retry(r, wait, causeRefused)
 }
 
-// soonPart is the part of the objective, as a divisor, within which a refusal leaves the
-// caller time to come back.
+// earlyRefusalPart is the divisor of the objective that gives the time within which a refusal
+// leaves the caller enough time to retry.
 const earlyRefusalPart = 4
 
-// noTargetPause is when a caller may come back whose request no engine took.
+// noTargetRetryDelay is when a caller may retry after no engine accepted its request.
 const noTargetRetryDelay = 200 * time.Millisecond
 
-// waiting is a request that waits at a box for a place.
+// queuedRequest is a request that is queued at a box until a slot is free.
 type queuedRequest struct {
 	wait  *balance.QueuedJob
-	box   *box // box is where its caller asked.
+	box   *box // box is the one that received the request.
 	avoid []barleystep.TargetID
 }
 
-// wait keeps a request until the balancer that was asked has a place for it.
+// wait queues a request until the balancer of the box asked has a slot for it.
 func (d *day) wait(asked, b *box, r *request, avoid []barleystep.TargetID, w *balance.QueuedJob) {
 	asked.waits[r] = queuedRequest{w, b, avoid}
 	asked.order = append(asked.order, r)
@@ -200,7 +201,7 @@
 	})
 }
 
-// poll sends the requests whose wait is over.
+// poll dispatches the requests whose wait has ended.
 func (d *day) poll(b *box) {
 	var left []*request
 	order := b.order
@@ -222,11 +223,11 @@
 	b.order = append(left, b.order...)
 }
 
-// choice is where a request is sent.
+// choice is the set of engines to which a request is sent.
 type choice struct {
 	first     *engine
 	helpers   []*engine
-	memory    int // memory is what its first engine holds of it.
+	memory    int // memory is 0 if helpers hold the KV cache of the prompt, otherwise -1.
 	placement *balance.Placement
 }
 
@@ -241,7 +242,8 @@
 	return c
 }
 
-// replace places a prompt anew whose memory cannot be spread as it was chosen.
+// replan places a prompt again whose memory cannot be distributed as planned since helpers are
+// dead.
 func (d *day) replan(b *box, r *request, avoid []barleystep.TargetID, c *choice) {
 	c.placement.Done(balance.Report{})
 	r.sends--
@@ -253,7 +255,7 @@
 	d.place(b, r, avoid)
 }
 
-// silent returns the helpers that are dead before the request is sent.
+// deadHelpers returns the helpers that are dead before the request is sent.
 func (c *choice) deadHelpers() []barleystep.TargetID {
 	var deadHelpers []barleystep.TargetID
 	for _, h := range c.helpers {
@@ -264,7 +266,7 @@
 	return deadHelpers
 }
 
-// dead returns a helper that is dead.
+// dead returns a dead helper, or the first engine if no helper is dead.
 func (c *choice) dead() barleystep.TargetID {
 	for _, h := range c.helpers {
 		if h.dead {
@@ -274,7 +276,7 @@
 	return c.first.id()
 }
 
-// attempt is one sending of a request, and what is to be done with its outcome.
+// attempt is one sending of a request to engines, with what is needed to handle its outcome.
 type attempt struct {
 	day     *day
 	box     *box
@@ -285,7 +287,7 @@
 	sent    time.Time
 }
 
-// send starts the request at its engines.
+// send sends the request to its engines.
 func (d *day) send(b *box, r *request, avoid []barleystep.TargetID, c *choice) {
 	r.sends++
 	r.otherHall = c.first.target.Hall != b.balancer.Hall
@@ -321,7 +323,7 @@
 	})
 }
 
-// event passes an event on; the last one ends the request.
+// event delivers an event to the caller. The last one ends the request.
 func (a *attempt) event(p pass) {
 	r := a.request
 	if a.run.emitted == 1 {
@@ -338,7 +340,7 @@
 	}
 }
 
-// end takes the attempt off its engines and tells the balancer what was learnt.
+// end removes the attempt from its engines and reports the outcome to the balancer.
 func (a *attempt) end(report balance.Report) {
 	a.run.stop()
 	if a.choice.placement != nil {
@@ -347,7 +349,8 @@
 	}
 }
 
-// again sends the request to other engines after a failure, or back to its caller.
+// retry sends the request to other engines after a failure, or returns it to its caller after
+// maxSends.
 func (a *attempt) retry(report balance.Report, avoid barleystep.TargetID) {
 	r := a.request
 	if r.run != a.run || r.ended {
@@ -363,7 +366,7 @@
 	a.day.place(a.box, r, append(slices.Clone(a.avoid), avoid))
 }
 
-// event notes an event that the caller got.
+// event records an event that the caller received.
 func (d *day) event(r *request, kind Kind, p pass) {
 	now := d.timeline.Elapsed()
 	if r.received == 0 {
@@ -394,14 +397,15 @@
 	}
 }
 
-// Policy is a way to choose engines.
+// Policy is a way of choosing engines.
 type Policy struct {
 	Name string
-	// pick chooses at once, knowing all engines as they are; nil is the balancer.
+	// pick chooses an engine immediately, with exact knowledge of all engines. Nil stands for the
+	// balancer.
 	pick func(d *day, r *request, avoid []barleystep.TargetID) *engine
 }
 
-// The policies that are measured.
+// The measured policies.
 var (
 	Balancer    = Policy{Name: "balancer"}
 	Random      = Policy{Name: "random", pick: pickRandom}
@@ -412,7 +416,8 @@
 	return d.engines[d.rng.IntN(len(d.engines))]
 }
 
-// pickLeastLoaded takes the engine with the fewest requests.
+// pickLeastLoaded returns an engine with the fewest running and waiting requests, at random among
+// equals.
 func pickLeastLoaded(d *day, _ *request, _ []barleystep.TargetID) *engine {
 	order := rand.New(rand.NewPCG(d.rng.Uint64(), 0)).Perm(len(d.engines))
 	best := d.engines[order[0]]
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -12,30 +12,30 @@
 	"github.com/barleystep/barleystep/internal/timeline"
 )
 
-// cause says why a stream was late.
+// cause is the reason why a stream was late.
 type cause uint8
 
 // The causes of late streams.
 const (
 	causeNone cause = iota
-	// causeFirst is a first event that came late.
+	// causeFirst: the first event came after the objective.
 	causeFirst
-	// causePart is a pause while the engine read a part of a long prompt, causeLong
-	// one while it read a long prompt of its own, causeShort while it read short ones.
+	// A pause exceeded the limit while the engine prefilled part of a prompt split among engines
+	// (causePart), a long prompt of its own (causeLong) or short prompts (causeShort).
 	causePart
 	causeLong
 	causeShort
-	// causeMoved is a pause while the stream was taken up by another engine.
+	// causeMoved: a pause exceeded the limit while another engine resumed the stream.
 	causeMoved
-	// causeRefused, causeGone and causeCut are streams without a whole answer:
-	// refused, given up by their callers, or cut by a restart.
+	// Streams without a complete answer: refused (causeRefused), abandoned by their callers
+	// (causeGone) or cut off by a restart of the boxes (causeCut).
 	causeRefused
 	causeGone
 	causeCut
 	causes
 )
 
-// String returns the cause in words.
+// String returns the cause as the tables print it.
 func (c cause) String() string {
 	return [...]string{"in time", "first event late", "paused by a part", "paused by a long prompt", "paused by short prompts", "paused by a move", "refused", "given up", "cut"}[c]
 }
@@ -43,25 +43,25 @@
 const (
 	// service is the name of the engines' service.
 	service = "engines"
-	// told is the time between what a box tells of its work, and delay how old it is
-	// when the others have it, where a load does not say.
+	// gossipInterval is the time between two reports of a box's work to its peers, gossipDelay the
+	// age of a report on arrival. A scenario may override both.
 	gossipInterval = 50 * time.Millisecond
 	gossipDelay    = 50 * time.Millisecond
-	// network is the way of a request to an engine.
+	// networkDelay is the time a request takes to reach an engine.
 	networkDelay = 2 * time.Millisecond
-	// after is how long a day goes on after the last prompt.
+	// drainTime is how long a day continues after the last prompt.
 	drainTime = 16 * time.Second
-	// down is how long the boxes are away when they are started anew.
+	// boxRestartTime is how long the boxes are down during a restart.
 	boxRestartTime = time.Second
-	// callerTries is how often callers ask.
+	// maxTries is how often a caller sends a request.
 	maxTries = 2
-	// mostSends bounds the engines to which one try is sent.
+	// maxSends bounds the number of engines to which one try is sent.
 	maxSends = 2
-	// mostDials bounds the choices of engines that cannot be reached.
+	// maxReplans bounds the number of placements of one try whose engines are unreachable.
 	maxReplans = 4
 )
 
-// day is one run of a load.
+// day is one simulated run of a scenario.
 type day struct {
 	load         Scenario
 	timeline     *timeline.Timeline
@@ -72,19 +72,19 @@
 	allRequests  []*request
 	policy       Policy
 	statedLimits []*statedLimit
-	starts       int // lives counts the starts of the boxes.
+	starts       int // starts counts the starts of the boxes.
 }
 
-// box is one box with its balancer and what it has told of its work.
+// box is one box with its balancer and the last report of its work.
 type box struct {
 	balancer *balance.Balancer
 	snapshot balance.Snapshot
 	waits    map[*request]queuedRequest
-	order    []*request // order is that of the waits, for the same day each time.
+	order    []*request // order lists the queued requests in order, so that a day is deterministic.
 	up       bool
 }
 
-// Run plays one day of the load and returns what was served.
+// Run simulates one day of the scenario under the policy and returns the outcome.
 func Run(l Scenario, p Policy, seed uint64) Result {
 	d := newDay(l, p, seed)
 	for _, r := range d.allRequests {
@@ -121,12 +121,12 @@
 	return d
 }
 
-// hall returns the hall of an engine or a box by its number.
+// hall returns the hall of the engine or box with this number.
 func (l Scenario) hall(number int) barleystep.HallID {
 	return barleystep.HallID(fmt.Sprintf("hall%d", number%max(l.Halls, 1)))
 }
 
-// orElse returns the duration, or the usual one if it is zero.
+// orDefault returns d, or the fallback if d is zero.
 func orDefault(d, fallback time.Duration) time.Duration {
 	if d == 0 {
 		return fallback
@@ -134,7 +134,8 @@
 	return d
 }
 
-// begin starts all boxes, which know nothing. The first one is the lead.
+// startBoxes starts all boxes without any knowledge of engines and requests. The first box is the
+// lead.
 func (d *day) startBoxes(seed uint64) {
 	d.starts++
 	d.boxes = nil
@@ -154,18 +155,18 @@
 	}
 }
 
-// lead is the lead as the other boxes reach it.
+// lead is the lead as its peers reach it.
 type lead struct {
 	day      *day
 	balancer *balance.Balancer
 }
 
-// Place is not asked: the day itself asks the lead, as that may have to wait.
+// Place is not used: the day calls the lead's balancer itself, since the request may have to wait.
 func (lead) Place(context.Context, balance.Job) (balance.Plan, error) {
 	return balance.Plan{}, balance.ErrNoTarget
 }
 
-// Read tells the lead after the network's delay.
+// PrefillDone tells the lead after networkDelay that a plan's prompt has been prefilled.
 func (l lead) PrefillDone(plan uint64) {
 	l.day.timeline.After(networkDelay, func() {
 		l.balancer.PrefillDone(plan)
@@ -181,7 +182,8 @@
 	return list
 }
 
-// faults plans the deaths of engines, the slow ones and the restart.
+// scheduleFaults schedules crashes and restarts of engines and the restart of the boxes, and slows
+// engines down.
 func (d *day) scheduleFaults() {
 	for i := range d.load.Crashes {
 		at := d.load.Length * time.Duration(i+1) / time.Duration(d.load.Crashes+1)
@@ -203,7 +205,7 @@
 	}
 }
 
-// restart kills all boxes; callers come back once they are there again.
+// restartBoxes kills all boxes. Callers retry once the boxes are up again.
 func (d *day) restartBoxes() {
 	for _, r := range d.allRequests {
 		if r.at > d.timeline.Elapsed() || r.ended || r.tries == 0 {
@@ -220,7 +222,7 @@
 	d.timeline.After(boxRestartTime, func() { d.startBoxes(d.rng.Uint64()) })
 }
 
-// gossip lets the boxes tell their work. What the others hear is older by the delay.
+// gossip exchanges the boxes' reports of their work. They arrive after the gossip delay.
 func (d *day) gossip() {
 	sum := balance.NewSnapshot()
 	for _, b := range d.boxes {
--- a/internal/lab/doc.go
+++ b/internal/lab/doc.go
@@ -1,6 +1,5 @@
-// Package lab measures how targets are chosen. It drives the real balancers of
-// several boxes, with a lead and the age of what they tell each other, over engines
-// that follow the published cost model, in simulated time. Loads are drawn from
-// distributions; the same seed gives the same day. Beside the balancer stand simple
-// policies and a bound that no policy can exceed.
+// Package lab measures how well targets are chosen. It drives the real balancers of several boxes,
+// with a lead and delayed gossip, over engines that follow the published cost model, in simulated
+// time. Scenarios are drawn from distributions, and the same seed gives the same day. The balancer
+// is compared with simple policies and with an upper bound for every policy.
 package lab
--- a/internal/lab/engine.go
+++ b/internal/lab/engine.go
@@ -9,22 +9,22 @@
 	"github.com/barleystep/barleystep/internal/timeline"
 )
 
-// engine is one model engine by the published cost model: it works in passes over
-// all that it has. A pass in which somebody writes has Stride token steps, each of
-// which may read a chunk of prompts; one without writers has a single step.
+// engine simulates one model engine by the published cost model. It runs forward passes over all
+// its work. A pass with decoding streams has Stride token steps, each of which may prefill a chunk
+// of prompts. A pass without them has a single step.
 type engine struct {
 	target   fleet.Target
 	cost     *fleet.CostModel
 	timeline *timeline.Timeline
-	// slowness multiplies the time of each pass.
+	// slowness multiplies the duration of each pass.
 	slowness    float64
 	dead        bool
-	incarnation int // lives counts the deaths.
-	// naming is set while it names how much it takes.
+	incarnation int // incarnation counts the deaths of the engine.
+	// statedLimit is set while the engine states a rate limit.
 	statedLimit *statedLimit
 
-	// parts are read before prompts, the one that came last first. The first engine's
-	// own part of a prompt is among the prompts.
+	// parts are prefilled before prompts, the latest part first. The first engine's own part of a
+	// prompt is among the prompts.
 	parts    []*prefill
 	prompts  []*prefill
 	decoding []*run
@@ -33,50 +33,50 @@
 	busy     bool
 }
 
-// reading is what an engine has to read of a prompt: all of it, or a part.
+// prefill is what an engine has to prefill of a prompt: all of it, or a part.
 type prefill struct {
 	run       *run
 	remaining int
-	// whole is set for a prompt that is read by one engine.
+	// whole is set for a prompt that one engine prefills alone.
 	whole bool
-	// perToken is the time for a token of a part: every part bears its share of
-	// the pairs of the whole prompt.
+	// perToken is the time for a token of a part. Each part bears its share of the attention pairs
+	// of the whole prompt.
 	perToken time.Duration
 }
 
-// run is one attempt of a request at an engine and its helpers.
+// run is one attempt of a request on an engine and its helpers.
 type run struct {
 	request *request
 	first   *engine
 	helpers []*engine
-	// unread counts the parts that are still being read.
+	// pendingParts counts the parts still to be prefilled.
 	pendingParts int
-	tokens       int // tokens is the memory that the run takes at its first engine.
-	emitted      int // written counts the events that were written.
-	events       int // events is how many it has to write.
+	tokens       int // tokens is the KV cache that the run takes on its first engine.
+	emitted      int // emitted counts the emitted events.
+	events       int // events is the number of events to emit.
 	running      bool
 	over         bool
-	// event and failed tell the box what becomes of the run, unhelped that a helper
-	// is dead, and news that there is word of a restart.
+	// event and failed tell the box of an event and of the failure of the run, helperFailed that a
+	// helper is dead, and engineRestarted that one of the engines has reported a restart.
 	event           func(p pass)
 	failed          func()
 	helperFailed    func()
 	engineRestarted func()
-	// down reports whether the box takes an engine to be down.
+	// believedDown reports whether the box believes that an engine is down.
 	believedDown func(e *engine) bool
 }
 
-// pass says what an engine did in one pass, to tell why streams paused.
+// pass describes one forward pass, to find out why streams paused.
 type pass struct {
 	took time.Duration
-	// parts, long and short are the time that reading parts, long prompts and short
-	// ones took of it.
+	// parts, long and short are the times that it spent on prefill of parts, of long prompts and of
+	// short ones.
 	parts time.Duration
 	long  time.Duration
 	short time.Duration
 }
 
-// start takes a run on, or lets it wait for a slot or for memory.
+// start queues a run until a slot and KV cache are free.
 func (e *engine) start(r *run) {
 	if e.dead {
 		e.timeline.After(dialTimeout, r.failed)
@@ -86,11 +86,11 @@
 	e.wake()
 }
 
-// deadStall is after how long a box learns that an engine is dead: its connection
-// is not taken.
+// dialTimeout is how long a box takes to learn that an engine is dead: the engine does not accept
+// the connection.
 const dialTimeout = 250 * time.Millisecond
 
-// help takes on a part of a prompt.
+// help accepts a part of a prompt.
 func (e *engine) help(r *run, tokens int, perToken time.Duration) {
 	if e.dead {
 		e.timeline.After(dialTimeout, r.helperFailed)
@@ -100,7 +100,7 @@
 	e.wake()
 }
 
-// wake begins a pass if there is something to do.
+// wake starts a pass if there is work.
 func (e *engine) wake() {
 	if e.busy || e.dead {
 		return
@@ -122,8 +122,8 @@
 	})
 }
 
-// admit takes on what waits, in the order in which it came, while there are slots
-// and memory. What fits passes what does not.
+// admit starts queued runs in order of arrival while slots and KV cache are free. A run that fits
+// may overtake one that does not.
 func (e *engine) admit() {
 	var left []*run
 	for _, r := range e.waiting {
@@ -138,12 +138,12 @@
 	e.waiting = left
 }
 
-// running counts the runs that hold a slot.
+// running returns the number of runs that hold a slot.
 func (e *engine) running() int {
 	return len(e.decoding) + len(e.prompts)
 }
 
-// read begins to read the run's prompt, with the run's helpers if it has any.
+// startPrefill starts the prefill of the run's prompt, on the run's helpers too if it has any.
 func (e *engine) startPrefill(r *run) {
 	prompt := r.request.prompt
 	if len(r.helpers) == 0 {
@@ -161,7 +161,7 @@
 	}
 }
 
-// plan decides what the next pass does, and returns what is to be done at its end.
+// plan determines the work of the next pass and returns what is to be done at its end.
 func (e *engine) plan() (p pass, end func(p pass)) {
 	steps := 1
 	decoding := slices.Clone(e.decoding)
@@ -203,7 +203,7 @@
 
 const perThousand = 1000
 
-// take reads tokens and returns how long that takes.
+// take prefills tokens and returns how long that takes.
 func (r *prefill) take(tokens int, cost *fleet.CostModel) time.Duration {
 	before := r.remaining
 	r.remaining -= tokens
@@ -252,7 +252,7 @@
 	e.prompts = slices.DeleteFunc(e.prompts, same)
 }
 
-// stop ends a run wherever it stands, and its parts.
+// stop removes a run from its engines, whatever its state.
 func (r *run) stop() {
 	if r.over {
 		return
@@ -275,14 +275,14 @@
 	e.prompts = slices.DeleteFunc(e.prompts, mine)
 }
 
-// die ends the engine; what depends on it fails after a stall.
+// crash kills the engine. The runs that depend on it fail after dialTimeout.
 func (e *engine) crash() {
 	for _, r := range e.kill() {
 		e.timeline.After(dialTimeout, r.failureFunc(e))
 	}
 }
 
-// fails returns what tells the run's box that an engine of it is dead.
+// failureFunc returns the function that tells the run's box that the engine is dead.
 func (r *run) failureFunc(e *engine) func() {
 	if r.first == e {
 		return r.failed
@@ -290,7 +290,7 @@
 	return r.helperFailed
 }
 
-// kill ends the engine and returns the runs that depend on it.
+// kill kills the engine and returns the runs that depended on it.
 func (e *engine) kill() (lost []*run) {
 	e.dead, e.busy = true, false
 	e.incarnation++
@@ -309,5 +309,5 @@
 	return lost
 }
 
-// id returns the engine's name.
+// id returns the engine's id.
 func (e *engine) id() barleystep.TargetID { return e.target.ID }
--- a/internal/lab/engine_internal_test.go
+++ b/internal/lab/engine_internal_test.go
@@ -10,14 +10,14 @@
 	"github.com/barleystep/barleystep/internal/timeline"
 )
 
-// testCost has round figures: a chunk is read in 10 ms, a pass with a writer takes
-// 40 ms.
+// testCost has round figures: a chunk is prefilled in 10 ms, and a pass with a decoding stream
+// takes 40 ms.
 var testCost = &fleet.CostModel{
 	Slots: 2, KVTokens: 100_000, Stride: 20, Step: 2 * time.Millisecond,
 	PrefillRate: 200_000, PrefillChunk: 2000,
 }
 
-// bench is some engines and the runs at them.
+// bench is a set of engines and the runs on them.
 type bench struct {
 	timeline *timeline.Timeline
 	engines  []*engine
@@ -32,7 +32,7 @@
 	return b
 }
 
-// run starts a prompt at the first engine, helped by others.
+// run starts a prompt on the first engine, with the given helpers.
 func (b *bench) run(prompt, events int, helpers ...*engine) *run {
 	r := &run{
 		request: &request{prompt: prompt, tightestPause: 200 * time.Millisecond},
@@ -52,33 +52,33 @@
 	return out
 }
 
-// TestEngine checks the times of events against the cost model by hand.
+// TestEngine checks the times of events against the cost model, computed by hand.
 func TestEngine(t *testing.T) {
 	cases := map[string]struct {
 		start func(b *bench) *run
 		want  []time.Duration
 	}{
-		"alone: two steps of reading, then a pass for each event": {
+		"alone: two steps of prefill, then a pass for each event": {
 			func(b *bench) *run { return b.run(4000, 3) }, ms(64, 104, 144),
 		},
-		"a long prompt comes while it writes: one pass reads 40,000 tokens": {
+		"a long prompt arrives during decoding: one pass prefills 40,000 tokens": {
 			func(b *bench) *run {
 				r := b.run(4000, 3)
 				b.timeline.After(30*time.Millisecond, func() { b.run(60_000, 1) })
 				return r
 			}, ms(64, 304, 444),
 		},
-		"two engines read half each": {
+		"two engines prefill half each": {
 			func(b *bench) *run { return b.run(8000, 1, b.engines[1]) }, ms(64),
 		},
-		"no slot is free until one of the two before it has ended": {
+		"no slot is free until one of two earlier runs has ended": {
 			func(b *bench) *run {
 				b.run(2000, 1)
 				b.run(2000, 1)
 				return b.run(2000, 1)
 			}, ms(152),
 		},
-		"no memory is free until the other has ended": {
+		"no KV cache is free until the earlier run has ended": {
 			func(b *bench) *run {
 				b.run(60_000, 1)
 				return b.run(60_000, 1)
@@ -95,7 +95,7 @@
 	}
 }
 
-// TestDeath checks that what an engine had fails, and nothing of it is left.
+// TestCrash checks that all runs of a crashed engine fail and that none of their state remains.
 func TestCrash(t *testing.T) {
 	c := quicktest.New(t)
 	b := newBench(2)
@@ -124,14 +124,14 @@
 	c.Check(p.fit(0, 9, 3), quicktest.Equals, 1.0)
 }
 
-// TestRebirth checks that an engine that starts anew has nothing of before, and that a pass
-// which was under way ends with the lifetime that began it.
+// TestEngineRestart checks that a restarted engine has no state of its earlier incarnation, and
+// that a pass that was in progress ends with the incarnation that started it.
 func TestEngineRestart(t *testing.T) {
 	c := quicktest.New(t)
 	b := newBench(1)
 	e := b.engines[0]
 	old := b.run(2000, 100)
-	b.timeline.After(95*time.Millisecond, func() { // It is in the middle of a pass.
+	b.timeline.After(95*time.Millisecond, func() { // The engine is in the middle of a pass.
 		lost := e.kill()
 		c.Check(len(lost) == 1 && lost[0] == old, quicktest.IsTrue)
 		e.dead = false
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -13,7 +13,7 @@
 	"github.com/barleystep/barleystep/internal/lab"
 )
 
-// short draws a day of the family and makes it short.
+// short draws a scenario of the family and shortens it to 8 s.
 func short(f lab.Family) lab.Scenario {
 	load := f.Draw(rand.New(rand.NewPCG(1, 0)))
 	load.Length = 8 * time.Second
@@ -21,7 +21,7 @@
 	return load
 }
 
-// TestSameSeed checks that a day depends on its seed alone.
+// TestSameSeed checks that a day is determined by its seed.
 func TestSameSeed(t *testing.T) {
 	for _, f := range lab.Families {
 		t.Run(f.Name, func(t *testing.T) {
@@ -33,8 +33,7 @@
 	}
 }
 
-// TestBound checks that no policy earns more than the bound, and that every prompt
-// is counted once.
+// TestBound checks that no policy exceeds the bound, and that every prompt is counted once.
 func TestBound(t *testing.T) {
 	for _, f := range lab.Families {
 		t.Run(f.Name, func(t *testing.T) {
@@ -57,7 +56,7 @@
 	}
 }
 
-// TestTables checks that the tables name each family.
+// TestTables checks that the tables contain the selected family.
 func TestTables(t *testing.T) {
 	c := quicktest.New(t)
 	var out strings.Builder
@@ -65,11 +64,10 @@
 	c.Check(strings.Count(out.String(), "| one engine |"), quicktest.Equals, 6)
 }
 
-// TestHundredsOfBoxes checks that short prompts are in time where hundreds of boxes ask
-// before engines of which callers need a quarter, and half in bursts: engines read one
-// prompt in about 20 ms and write in passes of 70, so that two prompts in one pass are
-// late. Where each box chose by news of 100 to 150 ms ago, 76 of 100 of their worth were
-// earned.
+// TestHundredsOfBoxes checks that short prompts are in time where hundreds of boxes share engines
+// of which callers need a quarter, and half in bursts. Engines prefill one prompt in about 20 ms
+// and decode in passes of 70 ms, so that two prompts in one pass are late. When each box chose
+// engines by reports that were 100 to 150 ms old, only 76 of 100 of their worth were served.
 func TestHundredsOfBoxes(t *testing.T) {
 	for _, f := range lab.Families {
 		if f.Name != "three hundred boxes" {
@@ -80,10 +78,10 @@
 	}
 }
 
-// family draws a day of the family.
+// family draws a scenario of the family.
 func family(t *testing.T, name string) lab.Scenario { return drawn(t, name, 1) }
 
-// drawn draws a day of the family by a seed.
+// drawn draws a scenario of the family with a seed.
 func drawn(t *testing.T, name string, seed uint64) lab.Scenario {
 	for _, f := range lab.Families {
 		if f.Name == name {
@@ -94,28 +92,29 @@
 	return lab.Scenario{}
 }
 
-// TestHallCutAtFullLoad checks how many short streams a hall that is cut off would stop, in
-// turns of short and of long prompts over three halls: those that an engine of another hall
-// answers. Where halls were not looked at, two of three were.
+// TestHallCutAtFullLoad checks how many short streams would break if a hall were cut off, that is,
+// how many are served by an engine of another hall, with alternating bursts of short and of long
+// prompts over three halls. It was two of three when placement ignored halls.
 func TestHallCutAtFullLoad(t *testing.T) {
 	load := family(t, "a fifth over memory")
 	short := lab.Run(load, lab.Balancer, 3).Kinds[0]
-	abroad := float64(short.OtherHall) / float64(short.Count)
-	quicktest.Check(t, abroad < 0.25, quicktest.IsTrue, quicktest.Commentf("%.3f", abroad))
+	otherHall := float64(short.OtherHall) / float64(short.Count)
+	quicktest.Check(t, otherHall < 0.25, quicktest.IsTrue, quicktest.Commentf("%.3f", otherHall))
 }
 
-// TestEnginesLeaveInOutage checks that long prompts are served where a quarter of the engines
-// ends at once while the list goes on naming them. Where helpers were named unasked, 29 of
-// 100 middling prompts were refused or given up, and 61 of 100 long ones.
+// TestEnginesLeaveInOutage checks that long prompts are served when a quarter of the engines exits
+// at once and the list of targets still contains them. When helpers were chosen without
+// first asking whether they respond, 29 of 100 middling prompts and 61 of 100 long ones were
+// refused or abandoned.
 func TestEnginesLeaveInOutage(t *testing.T) {
 	kinds := lab.Run(family(t, "engines leave in an outage"), lab.Balancer, 3).Kinds
 	quicktest.Check(t, kinds[1].UnservedRate() < 0.05, quicktest.IsTrue, quicktest.Commentf("middling: %.3f", kinds[1].UnservedRate()))
 	quicktest.Check(t, kinds[2].UnservedRate() < 0.4, quicktest.IsTrue, quicktest.Commentf("long: %.3f", kinds[2].UnservedRate()))
 }
 
-// TestOverMemory checks how much of the worth of long prompts is served of which a fifth is
-// over an engine's memory, in turns with short ones: 75 of 100. Where those were refused at
-// once unless engines idled just then, it was 70.
+// TestOverMemory checks the worth that is served of long prompts, a fifth of which exceed an
+// engine's KV cache, in alternation with short ones: 75 of 100. It was 70 when those were refused
+// immediately unless engines happened to be idle.
 func TestOverMemory(t *testing.T) {
 	var long lab.KindResult
 	for seed := range uint64(4) {
@@ -125,25 +124,24 @@
 	quicktest.Check(t, worth > 0.725, quicktest.IsTrue, quicktest.Commentf("%.3f", worth))
 }
 
-// TestEnginesStartAnew checks that what is known of an engine's earlier lifetime does not
-// stand in the way of the next: of the worth of prompts on days on which each of 18 engines
-// falls silent twice for 0.6 s, 66 of 100 are earned where engines say when they started, and
-// 58 where they do not.
+// TestEnginesStartAnew checks that knowledge of an engine's earlier incarnation does not delay work
+// for the next one. On days on which each of 18 engines stops responding twice for 0.6 s, 66 of 100
+// of the worth are served if engines report their start time, and 58 if they do not.
 func TestEnginesStartAnew(t *testing.T) {
-	var said, unsaid lab.Result
+	var reported, unreported lab.Result
 	for seed := range uint64(4) {
-		said.Add(lab.Run(family(t, "engines start anew"), lab.Balancer, seed))
-		unsaid.Add(lab.Run(family(t, "engines start anew, unsaid"), lab.Balancer, seed))
+		reported.Add(lab.Run(family(t, "engines start anew"), lab.Balancer, seed))
+		unreported.Add(lab.Run(family(t, "engines start anew, unsaid"), lab.Balancer, seed))
 	}
-	more := said.WorthRatio() - unsaid.WorthRatio()
-	quicktest.Check(t, more > 0.04, quicktest.IsTrue, quicktest.Commentf("%.3f and %.3f", said.WorthRatio(), unsaid.WorthRatio()))
+	more := reported.WorthRatio() - unreported.WorthRatio()
+	quicktest.Check(t, more > 0.04, quicktest.IsTrue, quicktest.Commentf("%.3f and %.3f", reported.WorthRatio(), unreported.WorthRatio()))
 }
 
-// TestSizes checks that prompts over an engine's memory are served about as often as the
-// rest of their kind while callers ask for more than there is: the longest tenth, and the
-// fifth just below it, at half the kind's rate at least. Operators of the largest deployment
-// saw them below it. In bursts some long prompt waits at any time, shorter than these, and
-// was given the next engines before any over memory was tried.
+// TestSizes checks that prompts larger than an engine's KV cache are served about as often as the
+// rest of their kind under overload: the longest tenth and the next fifth at no less than half the
+// kind's rate. Operators of the largest deployment saw them below it. In bursts a shorter long
+// prompt is waiting at any time, and it got the next free engines before any oversized prompt was
+// tried.
 func TestSizes(t *testing.T) {
 	load := family(t, "engines go while long prompts come")
 	var days [3]lab.KindResult
@@ -163,8 +161,8 @@
 	}
 }
 
-// TestSizesOnOtherDays checks on days of other turns and callers, one by one, that the longest
-// prompts are served at half the rate of their kind at least, as TestSizes does on three days.
+// TestSizesOnOtherDays checks on single days with other bursts and callers that the longest prompts
+// are served at no less than half the rate of their kind, as TestSizes does over three days.
 func TestSizesOnOtherDays(t *testing.T) {
 	for _, draw := range []uint64{11, 12, 13, 14} {
 		t.Run(fmt.Sprint(draw), func(t *testing.T) {
@@ -174,8 +172,8 @@
 	}
 }
 
-// TestSizesOnMoreDays checks the same over twelve days: a size that is given engines just often
-// enough by its tries may be served less often by its callers.
+// TestSizesOnMoreDays checks the same over twelve days: a class of length that gets engines just
+// often enough by its tries may still be served too rarely by its callers.
 func TestSizesOnMoreDays(t *testing.T) {
 	var long lab.KindResult
 	var wait sync.WaitGroup
@@ -194,15 +192,16 @@
 	checkSizes(t, long)
 }
 
-// lossDay plays a day on which engines go while long prompts come, and returns what became of
+// lossDay simulates a day of engine loss under bursts of long prompts and returns the results of
 // these.
 func lossDay(t *testing.T, draw, seed uint64) lab.KindResult {
 	load := drawn(t, "engines go while long prompts come", draw)
-	load.Boxes = 40 // One of them places all prompts.
+	load.Boxes = 40 // The lead places all prompts.
 	return lab.Run(load, lab.Balancer, seed).Kinds[2]
 }
 
-// checkSizes checks that the longest prompts are served at half the rate of their kind at least.
+// checkSizes checks that the longest prompts are served at no less than half the rate of their
+// kind.
 func checkSizes(t *testing.T, long lab.KindResult) {
 	kind := long.ServedRate()
 	for name, size := range map[string]int{"longest tenth": lab.SizeLongestTenth, "fifth below": lab.SizeNextFifth} {
--- a/internal/lab/limit.go
+++ b/internal/lab/limit.go
@@ -6,8 +6,8 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Limit is a time in which an engine names how many requests a second it takes from all
-// boxes.
+// RateLimit is a period in which an engine states how many requests per second it accepts from all
+// boxes together.
 type RateLimit struct {
 	Engine    int
 	PerSecond float64
@@ -16,47 +16,49 @@
 }
 
 const (
-	// limitWindow is the time in which the requests to an engine are counted, and
-	// limitFactor and limitSlack are what it may get in it: so many times what its limit
-	// allows, and so many requests besides.
+	// limitWindow is the window in which the requests to an engine are counted. In it the engine
+	// may get limitFactor times what its limit allows, plus limitSlack requests.
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// limitContact is after how long from the first naming on it counts, and limitTold how
-	// long before it a box must have been told whose requests do.
+	// limitGrace is how long after its first statement of the limit requests to the engine start to
+	// count. informedDelay is how long before a request its box must have been informed for it to
+	// count as informed.
 	limitGrace    = 3 * time.Second
 	informedDelay = 500 * time.Millisecond
 )
 
-// LimitResult is what an engine got while it named a limit.
+// LimitResult is what an engine received while it stated a limit.
 type LimitResult struct {
-	// Allowed is how many requests, or parts of prompts, it may get in the window, Told the most that it got in
-	// one from boxes that it had told, and Most the most from any box.
+	// Allowed is how many requests or parts of prompts it may get in a window. PeakInformed is the
+	// highest number in any window from boxes that it had informed, Peak the highest from all
+	// boxes.
 	Allowed      float64
 	PeakInformed int
 	Peak         int
-	// Sent is how many it got in all from when it counts on, and Takes how many it would
-	// have taken.
+	// Received is the total number that it got after limitGrace, Acceptable the number that it
+	// would have accepted in that time.
 	Received   int
 	Acceptable float64
 }
 
-// arrival is a request that reached an engine while it named a limit.
+// arrival is a request that reached an engine while it stated a limit. informed is set if the
+// engine had informed the box.
 type arrival struct {
 	at       time.Duration
 	informed bool
 }
 
-// naming is a limit that an engine names, and what it has got meanwhile.
+// statedLimit is a limit that an engine states, with the requests received meanwhile.
 type statedLimit struct {
 	RateLimit
 	informed map[*box]time.Duration
 	arrivals []arrival
-	// first is when it first told a box, zero if it has told none.
+	// first is when it first informed a box, or zero if it has informed none.
 	first time.Duration
 }
 
-// limits plans the limits of the engines.
+// scheduleLimits schedules the limits that engines state.
 func (d *day) scheduleLimits() {
 	for _, l := range d.load.Limits {
 		n := &statedLimit{RateLimit: l, informed: make(map[*box]time.Duration)}
@@ -67,7 +69,7 @@
 	}
 }
 
-// limit returns what the engine names now.
+// limit returns the limit that the engine states now.
 func (e *engine) limit() barleystep.RateLimit {
 	if e.statedLimit == nil {
 		return barleystep.RateLimit{}
@@ -75,7 +77,7 @@
 	return barleystep.NewRateLimit(e.statedLimit.PerSecond)
 }
 
-// count notes a request of a box that reaches the engine.
+// count records a request of a box that reaches the engine.
 func (e *engine) count(b *box) {
 	n := e.statedLimit
 	if n == nil {
@@ -86,7 +88,8 @@
 	n.arrivals = append(n.arrivals, arrival{at: now, informed: informed && now-at >= informedDelay})
 }
 
-// count notes a request of a box that reaches its engines. A part of a prompt counts as one.
+// count records a request of a box that reaches its engines. Each part of a prompt counts as a
+// request.
 func (c *choice) count(b *box) {
 	c.first.count(b)
 	for _, h := range c.helpers {
@@ -94,7 +97,7 @@
 	}
 }
 
-// tell has a box read the head of an answer.
+// reportLimit delivers the header of an answer, with the engine's statement, to the box.
 func (a *attempt) reportLimit() {
 	e := a.choice.first
 	if n := e.statedLimit; n != nil {
@@ -108,7 +111,7 @@
 	}
 }
 
-// result counts what the engine got.
+// result returns the counts of requests that the engine received.
 func (n *statedLimit) result() LimitResult {
 	r := LimitResult{Allowed: limitFactor*n.PerSecond*limitWindow.Seconds() + limitSlack}
 	if n.first == 0 {
--- a/internal/lab/limit_test.go
+++ b/internal/lab/limit_test.go
@@ -9,10 +9,10 @@
 	"github.com/barleystep/barleystep/internal/lab"
 )
 
-// limited returns a day on which each so many-th of the engines names how much it takes.
+// limited returns a scenario in which every each-th engine states a rate limit.
 func limited(t *testing.T, name string, each int, perSecond float64) lab.Scenario {
 	load := family(t, name)
-	load.Length = 12 * time.Second // Days of hundreds of boxes take long.
+	load.Length = 12 * time.Second // Days with hundreds of boxes take long to simulate.
 	load.Halls = 3
 	if load.Engines == 18 {
 		load.Length = 24 * time.Second
@@ -24,25 +24,25 @@
 	return load
 }
 
-// leastUsed is the part of what limited engines take that they are to get while callers ask
-// for more than the others have.
+// leastUsed is the minimum fraction of their limits that engines must get when callers need all
+// that the engines accept.
 const leastUsed = 0.8
 
-// TestLimits checks that engines that name how many requests a second they take get no more
-// from all boxes together, in four seconds one and a half times that, and five requests; and
-// that they get what they take.
+// TestLimits checks that engines that state how many requests per second they accept get no more
+// from all boxes together: in four seconds one and a half times that plus five requests. It also
+// checks that they get what they accept when callers need it.
 //
-// Operators saw two engines of 18 that had named one a second get 12 and 13 in four seconds
-// from boxes that they had told. Boxes choose by what an engine has to do; nothing looked at
-// what it says that it takes, so that it got what any other got, before and after it said
-// so. That was proved by the figures of the day, which are the same for engines that named
-// no limit, and by the logs, in which there are no resends and no parts of long prompts.
+// Operators saw two of 18 engines that had stated one per second get 12 and 13 in four seconds from
+// boxes that they had informed. Boxes chose by an engine's work in progress and ignored its
+// statement, so that it got the same as engines without a limit, before and after the statement.
+// The figures of the day are the same for engines without a limit, and the logs show no retries and
+// no parts of long prompts, which rules these out.
 func TestLimits(t *testing.T) {
 	cases := map[string]struct {
 		family    string
-		each      int // each so many-th engine has a limit.
+		each      int // every each-th engine has a limit.
 		perSecond float64
-		usedUp    bool // usedUp is set where callers need all that the engines take.
+		usedUp    bool // usedUp is set where callers need all that the engines accept.
 	}{
 		"one a second":                   {"turns of 8 to 11 s", 3, 1, false},
 		"one in four seconds":            {"turns of 8 to 11 s", 3, 0.25, false},
--- a/internal/lab/restart.go
+++ b/internal/lab/restart.go
@@ -7,18 +7,19 @@
 )
 
 const (
-	// rebirth is how long an engine is down that starts anew under its id, and newsDelay how
-	// long after its start the boxes have read of it.
+	// engineRestartTime is how long an engine is down that restarts under its id,
+	// restartNoticeDelay how long after that the boxes have read its new start time.
 	engineRestartTime  = 600 * time.Millisecond
 	restartNoticeDelay = 100 * time.Millisecond
-	// downSilence and leastSilence are after how long a box gives up a silent engine: one
-	// that seems to be down, and any other. silenceLook is how often it looks.
+	// downTimeout and silenceTimeout are how long a box waits for an engine that does not respond:
+	// one that it believes to be down, and any other. silencePollInterval is the time between two
+	// checks.
 	downTimeout         = 500 * time.Millisecond
 	silenceTimeout      = 1500 * time.Millisecond
 	silencePollInterval = 100 * time.Millisecond
 )
 
-// fallSilent ends the engine without a word, and has it start anew.
+// crashSilently kills the engine without failing its connections, and restarts it.
 func (d *day) crashSilently(e *engine) {
 	lost := e.kill()
 	for _, r := range lost {
@@ -28,7 +29,8 @@
 	d.timeline.After(engineRestartTime+restartNoticeDelay, func() { d.announceRestart(e, lost) })
 }
 
-// silent gives the run up if its box takes the engine to be down, or has waited for long.
+// checkSilence fails the run if its box believes the engine to be down or has waited for
+// silenceTimeout. Otherwise it checks again later.
 func (r *run) checkSilence(e *engine, waited time.Duration) {
 	if waited >= silenceTimeout || r.believedDown(e) {
 		r.failureFunc(e)()
@@ -37,7 +39,7 @@
 	e.timeline.After(silencePollInterval, func() { r.checkSilence(e, waited+silencePollInterval) })
 }
 
-// tellRebirth lets all boxes read of the engine's start, if it says it.
+// announceRestart makes all boxes read the engine's new start time, if engines report it.
 func (d *day) announceRestart(e *engine, lost []*run) {
 	if !d.load.ReportsStart {
 		return
@@ -52,7 +54,7 @@
 	}
 }
 
-// leave sends the request to other engines if its placement is lost.
+// retryIfLost sends the request to other engines if its placement is lost.
 func (a *attempt) retryIfLost() {
 	if a.choice.placement == nil {
 		return
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// Result is what became of the prompts of one day, or of several.
+// Result is the outcome of the prompts of one day, or of several.
 type Result struct {
-	// Owed, Earned and Bound are the worth of all prompts, of those that were served,
-	// and of those that the bound serves.
+	// OfferedWorth, ServedWorth and BoundWorth are the worth of all prompts, of those served, and
+	// of those that the upper bound serves.
 	OfferedWorth float64
 	ServedWorth  float64
 	BoundWorth   float64
-	// Kinds has the same by kind, and the causes of late streams.
+	// Kinds has the results of each kind.
 	Kinds [kinds]KindResult
-	// Limits has what engines got while they named a limit, in the load's order.
+	// Limits has the results of the engines that stated limits, in the scenario's order.
 	Limits []LimitResult
 }
 
-// KindResult is what became of the prompts of one kind.
+// KindResult is the outcome of the prompts of one kind.
 type KindResult struct {
 	Count        int
 	OfferedWorth float64
 	ServedWorth  float64
 	Causes       [causes]int
-	// Abroad counts those that an engine of another hall answered.
+	// OtherHall counts the prompts whose last engine is in another hall than their box.
 	OtherHall int
-	// Sizes has what became of its prompts by their length.
+	// Sizes has the results by the length of the prompts.
 	Sizes [sizes]SizeResult
 }
 
 const kinds = 3
 
-// The parts of a kind by the length of its prompts: the longest tenth, the fifth just below
-// it, and the rest.
+// The classes of a kind by the length of its prompts: the longest tenth, the next fifth and the
+// rest.
 const (
 	SizeLongestTenth = iota
 	SizeNextFifth
@@ -42,14 +42,14 @@
 	sizes
 )
 
-// SizeResult is what became of the prompts of one kind that are about as long.
+// SizeResult is the outcome of the prompts of one kind and class of length.
 type SizeResult struct {
 	Count  int
 	Served int
 	InTime int
 }
 
-// ServedRate returns the part of the kind's prompts that got a whole answer.
+// ServedRate returns the fraction of the kind's prompts that got a complete answer.
 func (k KindResult) ServedRate() float64 {
 	var sum SizeResult
 	for _, s := range k.Sizes {
@@ -59,7 +59,7 @@
 	return sum.Rate()
 }
 
-// Rate returns the part of the prompts that got a whole answer.
+// Rate returns the fraction of the prompts that got a complete answer.
 func (s SizeResult) Rate() float64 { return float64(s.Served) / float64(max(s.Count, 1)) }
 
 // add counts a prompt.
@@ -74,10 +74,10 @@
 	}
 }
 
-// Worth returns the part of what was owed that was earned.
+// WorthRatio returns the served worth divided by the offered worth.
 func (r Result) WorthRatio() float64 { return r.ServedWorth / max(r.OfferedWorth, 1) }
 
-// Possible returns the part of what was owed that the bound earns.
+// BoundRatio returns the worth of the upper bound divided by the offered worth.
 func (r Result) BoundRatio() float64 { return r.BoundWorth / max(r.OfferedWorth, 1) }
 
 func (d *day) measure() Result {
@@ -124,8 +124,9 @@
 	}
 }
 
-// earned returns what the request was worth to its caller: all of it in time, the mean of
-// that and of late where the caller was soon told to come back, and then served in time.
+// servedWorth returns what the answer was worth to its caller: the full worth if it was in time,
+// the mean of full and late worth if the caller was refused early enough to retry and the retry was
+// in time, and the late worth otherwise.
 func (r *request) servedWorth(k Kind) float64 {
 	switch {
 	case r.received < r.events:
@@ -140,7 +141,7 @@
 	return k.LateWorth * r.size
 }
 
-// Add takes in another day.
+// Add adds the results of another day.
 func (r *Result) Add(o Result) {
 	r.OfferedWorth += o.OfferedWorth
 	r.ServedWorth += o.ServedWorth
@@ -150,7 +151,7 @@
 	}
 }
 
-// Add takes in another day.
+// Add adds the results of another day.
 func (k *KindResult) Add(o KindResult) {
 	k.Count += o.Count
 	k.OfferedWorth += o.OfferedWorth
@@ -166,21 +167,21 @@
 	}
 }
 
-// Unserved returns the part of the prompts that got no whole answer.
+// UnservedRate returns the fraction of the prompts that got no complete answer.
 func (k KindResult) UnservedRate() float64 {
 	n := k.Causes[causeRefused] + k.Causes[causeGone] + k.Causes[causeCut]
 	return float64(n) / float64(max(k.Count, 1))
 }
 
-// slot is the length of the intervals into which the bound divides a day.
+// slotLength is the length of the intervals into which the bound divides a day.
 const slotLength = 200 * time.Millisecond
 
-// bound returns a worth that no policy exceeds: that of a planner who knows all
-// prompts in advance, may divide reading among all engines at will and stop it at
-// any time, gets worth for parts of a prompt, and has writing, slots, pauses and
-// memory for nothing. Late worth is taken as earned. Then the prompts that are worth
-// most for each second of reading come first, each as late as its objective allows:
-// sets of prompts that can be read in time form a matroid, so that this is best.
+// bound returns a worth that no policy exceeds: that of a planner that knows all prompts in
+// advance, may distribute prefill over all engines and preempt it at any time, earns worth for
+// parts of a prompt, and for whom decoding, slots, pauses and memory cost nothing. Late worth
+// counts as earned. The optimum is then greedy: prompts in order of the worth that being in time
+// adds per second of prefill, each as late as its objective allows. This is optimal because the
+// sets of prompts that can be prefilled in time form a matroid.
 func (d *day) bound() float64 {
 	total := 0.0
 	order := slices.Clone(d.allRequests)
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -10,21 +10,21 @@
 	"github.com/barleystep/barleystep/internal/fleet"
 )
 
-// Kind is one kind of streams of a load.
+// Kind is one kind of stream of a scenario.
 type Kind struct {
 	Name string
-	// Rate is how many come in a second, as a mean.
+	// Rate is the mean number of arrivals per second.
 	Rate float64
-	// Prompt and Events are the mean prompt length in tokens and the mean number of
-	// events of an answer; Spread is the standard deviation of both over the mean.
+	// MeanPrompt is the mean prompt length in tokens, MeanEvents the mean number of events of an
+	// answer. Spread is the standard deviation of both divided by the mean.
 	MeanPrompt float64
 	MeanEvents float64
 	Spread     float64
 	Objective  time.Duration
 	MaxPause   time.Duration
 	Deadline   time.Duration
-	// Worth is that of a stream of mean size in time, and Late that of one that is
-	// late but whole.
+	// Worth is the worth of a stream of mean size that is in time, LateWorth that of one that is
+	// late but complete.
 	Worth     float64
 	LateWorth float64
 }
@@ -36,48 +36,48 @@
 	kindLong     = "long"
 )
 
-// Load is a day: engines, boxes and what callers send.
+// Scenario describes a day: engines, boxes and what callers send.
 type Scenario struct {
 	Name    string
 	Cost    fleet.CostModel
 	Engines int
 	Boxes   int
-	// Halls is over how many halls engines and boxes are spread; zero is one.
+	// Halls is the number of halls over which engines and boxes are distributed. Zero means one.
 	Halls int
 	Kinds []Kind
-	// Turns is how long bursts of short and of long prompts last that come by
-	// turns; zero is a steady day.
+	// BurstLength is the length of the alternating bursts of short and of long prompts. Zero means
+	// a steady load.
 	BurstLength time.Duration
-	// Span is how long prompts come.
+	// Length is how long prompts arrive.
 	Length time.Duration
-	// Deaths is how many engines die, one after the other.
+	// Crashes is how many engines crash, one after the other.
 	Crashes int
-	// Slow is how many engines take twice their time.
+	// SlowEngines is how many engines take twice the time.
 	SlowEngines int
-	// Rebirths is how many times an engine falls silent and starts anew under its id, one
-	// after the other; Births is set if engines say when they started.
+	// EngineRestarts is how often an engine stops responding and restarts under its id, one engine
+	// after the other. ReportsStart is set if engines report their start time.
 	EngineRestarts int
 	ReportsStart   bool
-	// Leave is the part of the engines that ends all at once in the middle of the day,
-	// while boxes cannot read of it: the list goes on naming them.
+	// OutageLoss is the fraction of the engines that exit all at once in the middle of the day
+	// while boxes cannot read the list of targets, which still contains them.
 	OutageLoss float64
-	// Restart is when all boxes are started anew, knowing nothing; zero is never.
+	// BoxRestartAt is when all boxes restart and lose their state. Zero means never.
 	BoxRestartAt time.Duration
-	// Told is the time between what a box is told of the others' work, and Delay how
-	// old that is at least; zero is 50 ms each.
+	// GossipInterval is the time between two reports of the peers' work to a box, GossipDelay the
+	// minimum age of a report. Zero means 50 ms for each.
 	GossipInterval time.Duration
 	GossipDelay    time.Duration
-	// Limits are the times in which engines name how much they take.
+	// Limits are the periods in which engines state rate limits.
 	Limits []RateLimit
 }
 
-// Family is a way to draw loads.
+// Family is a way of drawing scenarios.
 type Family struct {
 	Name string
 	Draw func(rng *rand.Rand) Scenario
 }
 
-// Families are the ways of drawing loads that are measured.
+// Families are the measured families of scenarios.
 var Families = []Family{
 	{"steady", func(rng *rand.Rand) Scenario { return draw(rng, 18) }},
 	{"turns of 8 to 11 s", func(rng *rand.Rand) Scenario { return bursts(rng, 18, 8, 11) }},
@@ -116,15 +116,15 @@
 
 const (
 	defaultLength = 32 * time.Second
-	// boxesOf is how many engines there are for each box.
+	// enginesPerBox is the number of engines for each box.
 	enginesPerBox = 2
 )
 
-// between draws a number from a range.
+// uniform draws a number from the range.
 func uniform(rng *rand.Rand, low, high float64) float64 { return low + (high-low)*rng.Float64() }
 
-// draw draws a steady day: the speed of the engines, three kinds of prompts, and how
-// much of the engines they need.
+// draw draws a steady scenario: the speed of the engines, three kinds of prompts, and the fraction
+// of the engines' capacity that they need.
 func draw(rng *rand.Rand, engines int) Scenario {
 	l := Scenario{Engines: engines, Boxes: max(engines/enginesPerBox, 1), Length: defaultLength}
 	l.Cost = fleet.CostModel{
@@ -144,8 +144,8 @@
 		{Name: kindMiddling, MeanPrompt: uniform(rng, 30e3, 60e3), MeanEvents: uniform(rng, 18, 26), Spread: 0.5, Objective: 1500 * time.Millisecond, MaxPause: millis(uniform(rng, 450, 650)), Deadline: 10 * time.Second, Worth: 3.5, LateWorth: 0.9},
 		{Name: kindLong, MeanPrompt: uniform(rng, 150e3, 240e3), MeanEvents: uniform(rng, 15, 22), Spread: 0.55, Objective: 3 * time.Second, MaxPause: millis(uniform(rng, 750, 1050)), Deadline: 15 * time.Second, Worth: 23, LateWorth: 5.7},
 	}
-	// Each kind needs so much of the engines: short streams of the slots, the others
-	// of the time.
+	// The fraction of capacity that each kind needs: short streams of the slots, the others of the
+	// time.
 	needs := []float64{uniform(rng, 0.15, 0.3), uniform(rng, 0.03, 0.07), uniform(rng, 0.18, 0.3)}
 	for i := range l.Kinds {
 		l.Kinds[i].Rate = needs[i] * float64(engines) / l.Kinds[i].need(&l.Cost)
@@ -160,18 +160,17 @@
 	return l
 }
 
-// rebirths draws a day on which each engine starts anew twice.
+// engineRestarts draws a scenario in which each engine restarts twice.
 func engineRestarts(rng *rand.Rand, reported bool) Scenario {
 	l := bursts(rng, 18, 8, 11)
 	l.EngineRestarts, l.ReportsStart = 36, reported
 	return l
 }
 
-// hundreds draws a day of many small boxes before engines of few slots, of which
-// callers ask for a quarter in the mean and for half in bursts: the largest
-// deployment met so far. Its boxes are told of the others every 100 ms, of work that
-// is 50 to 150 ms old, as plane.TestHundreds measures; before roles held, it was
-// 250 ms and more.
+// manyBoxes draws a scenario of the largest known deployment: many small boxes in front of engines
+// with few slots, of which callers need a quarter in the mean and half in bursts. Boxes get reports
+// of their peers every 100 ms, on work that is 50 to 150 ms old, as plane.TestHundreds measures.
+// With roles that do not hold the interval is 250 ms and more.
 func manyBoxes(rng *rand.Rand, gossipInterval, gossipDelay time.Duration) Scenario {
 	l := bursts(rng, 150, 8, 11)
 	l.Boxes, l.GossipInterval, l.GossipDelay = 295, gossipInterval, gossipDelay
@@ -183,10 +182,10 @@
 	return l
 }
 
-// overMemory draws a day of engines that read slowly and have memory for 344,250 tokens:
-// of the long prompts, 260,000 tokens in the mean, a fifth are longer, and take half of
-// the reading. Bursts of short and of long prompts come by turns. It is the sheet of the
-// deployment whose long prompts are the longest for its engines.
+// overMemory draws a scenario of engines with slow prefill and KV cache for 344,250 tokens. Long
+// prompts have 260,000 tokens in the mean. A fifth of them exceed the KV cache and take half of the
+// prefill time. Bursts of short and of long prompts alternate. The figures are those of the
+// deployment whose prompts are the longest relative to its engines.
 func overMemory(rng *rand.Rand) Scenario {
 	l := bursts(rng, 60, 8, 11)
 	l.Boxes, l.Halls = 85, 3
@@ -203,9 +202,9 @@
 	return l
 }
 
-// engineLoss draws a day of hundreds of boxes before engines of which a fifth goes while
-// long prompts, of which a fifth is over an engine's memory, come in bursts: callers then
-// ask for more than there is. It is the largest deployment on its worst days.
+// engineLoss draws a scenario of the largest known deployment on its worst days: hundreds of boxes
+// in front of engines of which a fifth crash while bursts of long prompts arrive. A fifth of the
+// long prompts exceed an engine's KV cache. Callers then ask for more than the capacity.
 func engineLoss(rng *rand.Rand) Scenario {
 	l := bursts(rng, 150, 8, 11)
 	l.Boxes, l.Halls, l.GossipInterval, l.GossipDelay = 295, 5, 100*time.Millisecond, 50*time.Millisecond
@@ -225,11 +224,11 @@
 
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// need returns the engines that one prompt a second takes: the more of what its
-// slot and its reading need.
+// need returns the number of engines that one prompt per second occupies: the larger of what its
+// slot and its prefill need.
 func (k Kind) need(c *fleet.CostModel) float64 {
 	stream := k.MeanEvents * 1.2 * c.Pass().Seconds() / float64(c.Slots)
-	// The square of the length counts, which varies more than the length.
+	// Prefill time grows with the square of the length, whose mean exceeds the square of the mean.
 	read := c.Prefill(int(k.MeanPrompt * math.Sqrt(1+k.Spread*k.Spread))).Seconds()
 	return max(stream, read)
 }
@@ -243,7 +242,7 @@
 	return int(tokens / rate)
 }
 
-// The factors of bursts by kind, for turns of long prompts and of short ones.
+// burstFactors are the rate factors of each kind in bursts of long prompts and of short ones.
 var burstFactors = [2][3]float64{{0.33, 1.3, 2.7}, {2.3, 0.5, 0.06}}
 
 // request is one prompt of a day.
@@ -258,14 +257,14 @@
 	size float64
 	box  int
 
-	// tries counts the caller's own, sends those to engines.
+	// tries counts the caller's tries, sends those of its box to engines.
 	tries    int
 	sends    int
-	replans  int           // dials counts the choices of engines that could not be reached.
-	received int           // got counts the events that came.
-	last     time.Duration // last is when the caller was last answered something.
-	// toldSoon is set if the first try was refused within a quarter of the objective, and
-	// back is how long after it the second one came.
+	replans  int           // replans counts the placements of this try whose engines were unreachable.
+	received int           // received counts the events that the caller received.
+	last     time.Duration // last is when the caller last received an event or started a try.
+	// refusedEarly is set if the last refusal came within a quarter of the objective, before any
+	// engine was tried. tryOffset is how long after the arrival the last try started.
 	refusedEarly bool
 	tryOffset    time.Duration
 	first        time.Duration
@@ -274,8 +273,8 @@
 	cause        cause
 	run          *run
 	abandon      func() // abandon ends its try at the box.
-	moved        bool   // moved is set while another engine takes it up.
-	otherHall    bool   // abroad is set if its engine is in another hall than its box.
+	moved        bool   // moved is set once another engine resumes its stream.
+	otherHall    bool   // otherHall is set if its engine is in another hall than its box.
 }
 
 // requests draws the day's prompts.
@@ -306,7 +305,7 @@
 	return list
 }
 
-// size returns the factor of a prompt's worth: it grows with its tokens.
+// size returns the factor of a prompt's worth, which grows with its tokens.
 func (l Scenario) size(k Kind, r *request) float64 {
 	const outputWeight, base, most = 10, 0.3, 4.0
 	stride := float64(l.Cost.Stride)
@@ -335,7 +334,7 @@
 	return math.Exp(rng.NormFloat64()*math.Sqrt(variance) - variance/2)
 }
 
-// String returns the load in a few words.
+// String returns a short description of the scenario.
 func (l Scenario) String() string {
 	return fmt.Sprintf("%d engines, %d boxes, turns %v", l.Engines, l.Boxes, l.BurstLength)
 }
--- a/internal/lab/schedule.go
+++ b/internal/lab/schedule.go
@@ -1,12 +1,12 @@
 package lab
 
-// schedule says how much of the engines' time is taken, by the windows in which the
-// work may be done. Work with windows can be done if, for each interval, the work
-// whose windows lie inside it does not exceed the engines' time in it.
+// schedule tracks how much of the engines' time is taken, by the windows in which the work may be
+// done. Work with windows is feasible if, for each interval, the work whose windows lie inside it
+// does not exceed the engines' time in it.
 type schedule struct {
 	slots    int
 	capacity float64 // capacity is the engines' time in one slot, in seconds.
-	// taken is the work whose windows lie inside an interval, by its first and last
+	// taken is the work whose windows lie inside an interval, by the interval's first and last
 	// slot.
 	taken [][]float64
 }
@@ -19,8 +19,8 @@
 	return s
 }
 
-// fit takes as much of the work as can be done between two slots, both included,
-// and returns how much that is.
+// fit schedules as much of the work as is feasible between two slots, both included, and returns
+// that amount in seconds.
 func (s *schedule) fit(from, until int, work float64) float64 {
 	until = min(until, s.slots-1)
 	for first := 0; first <= from; first++ {
--- a/internal/lab/table.go
+++ b/internal/lab/table.go
@@ -11,13 +11,13 @@
 
 // Plan says what is measured.
 type Plan struct {
-	// Seeds is how many days are drawn of each family.
+	// Seeds is the number of days drawn of each family.
 	Seeds int
-	// Workers is how many days run at a time.
+	// Workers is the number of days simulated at the same time.
 	Workers int
-	// Family, if not empty, is the start of the names of the families that run.
+	// Family is a prefix of the names of the families to run. Empty means all.
 	Family string
-	// Alone leaves the simple policies out.
+	// BalancerOnly skips the simple policies.
 	BalancerOnly bool
 }
 
@@ -29,7 +29,7 @@
 	worths []float64
 }
 
-// policies returns the rows of each family.
+// policies returns the policies measured for each family.
 func (p Plan) policies() []Policy {
 	if p.BalancerOnly {
 		return []Policy{Balancer}
@@ -86,7 +86,7 @@
 	return Run(load, r.policy, seed)
 }
 
-// spread returns the mean of the days' worths and the standard error of that mean.
+// spread returns the mean worth ratio of the days and the standard error of that mean.
 func (r *row) spread() (mean, err float64) {
 	for _, w := range r.worths {
 		mean += w / float64(len(r.worths))
@@ -113,8 +113,7 @@
 	return err
 }
 
-// writeCauses writes, of a hundred streams of each kind, how many were late for each
-// cause.
+// writeCauses writes how many of a hundred streams of each kind were late, by cause.
 func writeCauses(w io.Writer, rows []*row) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "\n| load | of 100 |")
