--- a/internal/soak/check_statement.go
+++ b/internal/soak/check_statement.go
@@ -24,7 +24,7 @@
 	byProcess := make(map[string][]platformtest.Arrival)
 	for _, a := range c.history.arrivals {
 		if calls[a.Request] != nil {
-			process := a.Target + "@" + strconv.FormatInt(a.Born, 10) // Another process of the target has made no statement yet.
+			process := a.Target + "@" + strconv.FormatInt(a.Born, 10) // A new process has made no statement yet.
 			byProcess[process] = append(byProcess[process], a)
 		}
 	}
