--- a/internal/lab/attempt.go
+++ b/internal/lab/attempt.go
@@ -48,7 +48,7 @@
 
 // watchPatience ends the request once its caller has waited too long for the next event.
 func (d *day) watchPatience(r *request, try int) {
-	kind := d.load.Kinds[r.kind]
+	kind := d.scenario.Kinds[r.kind]
 	patience := max(2*time.Second, 4*kind.Objective)
 	if r.received > 0 {
 		patience = max(patience, 8*kind.MaxPause)
@@ -83,7 +83,7 @@
 // retry makes the caller retry after the wait, but after at most a third of the time that is left.
 // It ends the request if no try or no time is left.
 func (d *day) retry(r *request, wait time.Duration, c cause) {
-	kind := d.load.Kinds[r.kind]
+	kind := d.scenario.Kinds[r.kind]
 	left := r.at + kind.Deadline - d.timeline.Elapsed()
 	if r.tries >= maxTries || left <= 0 {
 		r.end(c)
@@ -101,14 +101,14 @@
 }
 
 func (d *day) job(r *request) balance.Job {
-	kind := d.load.Kinds[r.kind]
+	kind := d.scenario.Kinds[r.kind]
 	first := d.timeline.Now().Add(r.at - d.timeline.Elapsed())
 	return balance.Job{
 		Service:            service,
 		PromptTokens:       r.prompt,
-		OutputTokens:       r.events * d.load.Cost.Stride,
+		OutputTokens:       r.events * d.scenario.Cost.Stride,
 		Objective:          kind.Objective,
-		Cost:               &d.load.Cost,
+		Cost:               &d.scenario.Cost,
 		MaxPause:           r.tightestPause,
 		FirstArrival:       first,
 		CallerRetry:        r.tries > 1,
@@ -154,7 +154,7 @@
 
 func (d *day) refuse(r *request, err error) {
 	wait := noTargetRetryDelay
-	kind := d.load.Kinds[r.kind]
+	kind := d.scenario.Kinds[r.kind]
 	if eris.Is(err, balance.ErrFull) {
 		wait = kind.Deadline // retry shortens it to a third of the time left.
 	}
@@ -242,8 +242,7 @@
 	return c
 }
 
-// replan places a prompt again whose memory cannot be distributed as planned since helpers are
-// dead.
+// replan places a request again if its placement does not work without the dead helpers.
 func (d *day) replan(b *box, r *request, avoid []barleystep.TargetID, c *choice) {
 	c.placement.Done(balance.Report{})
 	r.sends--
@@ -291,7 +290,7 @@
 func (d *day) send(b *box, r *request, avoid []barleystep.TargetID, c *choice) {
 	r.sends++
 	r.otherHall = c.first.target.Hall != b.balancer.Hall
-	tokens := r.prompt + r.events*d.load.Cost.Stride
+	tokens := r.prompt + r.events*d.scenario.Cost.Stride
 	if c.memory == 0 {
 		tokens = 0
 	}
@@ -329,7 +328,7 @@
 	if a.run.emitted == 1 {
 		a.reportLimit()
 	}
-	a.day.event(r, a.day.load.Kinds[r.kind], p)
+	a.day.event(r, a.day.scenario.Kinds[r.kind], p)
 	if a.choice.placement != nil {
 		a.choice.placement.NoteFirstEvent()
 	}
@@ -416,8 +415,8 @@
 	return d.engines[d.rng.IntN(len(d.engines))]
 }
 
-// pickLeastLoaded returns an engine with the fewest running and waiting requests, at random among
-// equals.
+// pickLeastLoaded returns the live engine with the fewest running and waiting requests, at random
+// among equals.
 func pickLeastLoaded(d *day, _ *request, _ []barleystep.TargetID) *engine {
 	order := rand.New(rand.NewPCG(d.rng.Uint64(), 0)).Perm(len(d.engines))
 	best := d.engines[order[0]]
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -63,7 +63,7 @@
 
 // day is one simulated run of a scenario.
 type day struct {
-	load         Scenario
+	scenario     Scenario
 	timeline     *timeline.Timeline
 	rng          *rand.Rand
 	engines      []*engine
@@ -97,14 +97,14 @@
 }
 
 func newDay(l Scenario, p Policy, seed uint64) *day {
-	d := &day{load: l, timeline: &timeline.Timeline{}, byID: make(map[barleystep.TargetID]*engine), policy: p}
+	d := &day{scenario: l, timeline: &timeline.Timeline{}, byID: make(map[barleystep.TargetID]*engine), policy: p}
 	d.allRequests = l.requests(rand.New(rand.NewPCG(seed, 1)))
 	d.rng = rand.New(rand.NewPCG(seed, 2))
 	for i := range l.Engines {
 		id := barleystep.TargetID(fmt.Sprintf("e%03d", i))
 		e := &engine{
 			target:   fleet.Target{ID: id, Service: service, Addr: string(id), Hall: l.hall(i), Slots: l.Cost.Slots},
-			cost:     &d.load.Cost,
+			cost:     &d.scenario.Cost,
 			timeline: d.timeline,
 			slowness: 1,
 		}
@@ -139,18 +139,18 @@
 func (d *day) startBoxes(seed uint64) {
 	d.starts++
 	d.boxes = nil
-	for i := range d.load.Boxes {
+	for i := range d.scenario.Boxes {
 		b := &box{waits: make(map[*request]queuedRequest), snapshot: balance.NewSnapshot(), up: true}
 		b.balancer = &balance.Balancer{
 			Clock:   simClock{d.timeline},
-			Hall:    d.load.hall(i),
+			Hall:    d.scenario.hall(i),
 			Targets: d.targets,
 			Rand:    rand.New(rand.NewPCG(seed, uint64(100*d.starts+i))),
 		}
 		if i > 0 {
 			b.balancer.Lead = lead{d, d.boxes[0].balancer}
 		}
-		b.balancer.SetRole(balance.Role{IsLead: i == 0, Boxes: d.load.Boxes, Reachable: d.load.Boxes})
+		b.balancer.SetRole(balance.Role{IsLead: i == 0, Boxes: d.scenario.Boxes, Reachable: d.scenario.Boxes})
 		d.boxes = append(d.boxes, b)
 	}
 }
@@ -185,23 +185,23 @@
 // scheduleFaults schedules crashes and restarts of engines and the restart of the boxes, and slows
 // engines down.
 func (d *day) scheduleFaults() {
-	for i := range d.load.Crashes {
-		at := d.load.Length * time.Duration(i+1) / time.Duration(d.load.Crashes+1)
+	for i := range d.scenario.Crashes {
+		at := d.scenario.Length * time.Duration(i+1) / time.Duration(d.scenario.Crashes+1)
 		d.timeline.After(at, d.engines[i].crash)
 	}
-	for _, e := range d.engines[:int(d.load.OutageLoss*float64(len(d.engines)))] {
-		d.timeline.After(d.load.Length/2, e.crash)
+	for _, e := range d.engines[:int(d.scenario.OutageLoss*float64(len(d.engines)))] {
+		d.timeline.After(d.scenario.Length/2, e.crash)
 	}
-	for i := range d.load.EngineRestarts {
-		at := d.load.Length * time.Duration(i+1) / time.Duration(d.load.EngineRestarts+1)
+	for i := range d.scenario.EngineRestarts {
+		at := d.scenario.Length * time.Duration(i+1) / time.Duration(d.scenario.EngineRestarts+1)
 		e := d.engines[i%len(d.engines)]
 		d.timeline.After(at, func() { d.crashSilently(e) })
 	}
-	for i := range d.load.SlowEngines {
+	for i := range d.scenario.SlowEngines {
 		d.engines[len(d.engines)-1-i].slowness = 2
 	}
-	if d.load.BoxRestartAt > 0 {
-		d.timeline.After(d.load.BoxRestartAt, d.restartBoxes)
+	if d.scenario.BoxRestartAt > 0 {
+		d.timeline.After(d.scenario.BoxRestartAt, d.restartBoxes)
 	}
 }
 
@@ -233,7 +233,7 @@
 		others.Add(sum)
 		others.Remove(b.snapshot)
 		b.snapshot = b.balancer.Snapshot()
-		d.timeline.After(orDefault(d.load.GossipDelay, gossipDelay), func() {
+		d.timeline.After(orDefault(d.scenario.GossipDelay, gossipDelay), func() {
 			b.balancer.SetOthers(others)
 			d.poll(b)
 		})
--- a/internal/lab/engine.go
+++ b/internal/lab/engine.go
@@ -25,12 +25,12 @@
 
 	// parts are prefilled before prompts, the latest part first. The first engine's own part of a
 	// prompt is among the prompts.
-	parts    []*prefill
-	prompts  []*prefill
-	decoding []*run
-	waiting  []*run
-	memory   int
-	busy     bool
+	parts      []*prefill
+	prompts    []*prefill
+	decoding   []*run
+	waiting    []*run
+	usedTokens int
+	busy       bool
 }
 
 // prefill is what an engine has to prefill of a prompt: all of it, or a part.
@@ -127,11 +127,11 @@
 func (e *engine) admit() {
 	var left []*run
 	for _, r := range e.waiting {
-		if e.running() >= e.cost.Slots || e.memory+r.tokens > e.cost.KVTokens {
+		if e.running() >= e.cost.Slots || e.usedTokens+r.tokens > e.cost.KVTokens {
 			left = append(left, r)
 			continue
 		}
-		e.memory += r.tokens
+		e.usedTokens += r.tokens
 		r.running = true
 		e.startPrefill(r)
 	}
@@ -171,22 +171,22 @@
 	p.took = time.Duration(steps) * e.stepTime()
 	budget := steps * e.cost.PrefillChunk
 	var done []*prefill
-	read := func(r *prefill) {
+	prefillNext := func(r *prefill) {
 		tokens := min(budget, r.remaining)
 		if tokens == 0 && r.remaining > 0 {
 			return
 		}
 		budget -= tokens
-		p.note(r, e.cost, r.take(tokens, e.cost))
+		p.addTime(r, e.cost, r.take(tokens, e.cost))
 		if r.remaining == 0 {
 			done = append(done, r)
 		}
 	}
 	for i := len(e.parts) - 1; i >= 0; i-- {
-		read(e.parts[i])
+		prefillNext(e.parts[i])
 	}
 	for _, r := range e.prompts {
-		read(r)
+		prefillNext(r)
 	}
 	p.took = time.Duration(float64(p.took+p.parts+p.long+p.short) * e.slowness)
 	return p, func(p pass) { e.end(p, decoding, done) }
@@ -214,7 +214,9 @@
 	return cost.Prefill(prompt-r.remaining) - cost.Prefill(prompt-before)
 }
 
-func (p *pass) note(r *prefill, cost *fleet.CostModel, took time.Duration) {
+// addTime adds the prefill time of r to the sum of its class. A long prompt is one whose prefill
+// takes more than half of the tightest pause limit.
+func (p *pass) addTime(r *prefill, cost *fleet.CostModel, took time.Duration) {
 	switch {
 	case !r.whole:
 		p.parts += took
@@ -259,7 +261,7 @@
 	}
 	r.over = true
 	if r.running {
-		r.first.memory -= r.tokens
+		r.first.usedTokens -= r.tokens
 	}
 	for _, e := range append([]*engine{r.first}, r.helpers...) {
 		e.forget(r)
@@ -305,7 +307,7 @@
 		r.stop()
 		lost = append(lost, r)
 	}
-	e.memory = 0
+	e.usedTokens = 0
 	return lost
 }
 
--- a/internal/lab/engine_internal_test.go
+++ b/internal/lab/engine_internal_test.go
@@ -17,15 +17,15 @@
 	PrefillRate: 200_000, PrefillChunk: 2000,
 }
 
-// bench is a set of engines and the runs on them.
-type bench struct {
+// fixture is a set of engines and the runs on them.
+type fixture struct {
 	timeline *timeline.Timeline
 	engines  []*engine
 	events   map[*run][]time.Duration
 }
 
-func newBench(engines int) *bench {
-	b := &bench{timeline: &timeline.Timeline{}, events: make(map[*run][]time.Duration)}
+func newFixture(engines int) *fixture {
+	b := &fixture{timeline: &timeline.Timeline{}, events: make(map[*run][]time.Duration)}
 	for range engines {
 		b.engines = append(b.engines, &engine{cost: testCost, timeline: b.timeline, slowness: 1})
 	}
@@ -33,7 +33,7 @@
 }
 
 // run starts a prompt on the first engine, with the given helpers.
-func (b *bench) run(prompt, events int, helpers ...*engine) *run {
+func (b *fixture) run(prompt, events int, helpers ...*engine) *run {
 	r := &run{
 		request: &request{prompt: prompt, tightestPause: 200 * time.Millisecond},
 		first:   b.engines[0], helpers: helpers, tokens: prompt, events: events,
@@ -55,31 +55,31 @@
 // TestEngine checks the times of events against the cost model, computed by hand.
 func TestEngine(t *testing.T) {
 	cases := map[string]struct {
-		start func(b *bench) *run
+		start func(b *fixture) *run
 		want  []time.Duration
 	}{
 		"alone: two steps of prefill, then a pass for each event": {
-			func(b *bench) *run { return b.run(4000, 3) }, ms(64, 104, 144),
+			func(b *fixture) *run { return b.run(4000, 3) }, ms(64, 104, 144),
 		},
 		"a long prompt arrives during decoding: one pass prefills 40,000 tokens": {
-			func(b *bench) *run {
+			func(b *fixture) *run {
 				r := b.run(4000, 3)
 				b.timeline.After(30*time.Millisecond, func() { b.run(60_000, 1) })
 				return r
 			}, ms(64, 304, 444),
 		},
 		"two engines prefill half each": {
-			func(b *bench) *run { return b.run(8000, 1, b.engines[1]) }, ms(64),
+			func(b *fixture) *run { return b.run(8000, 1, b.engines[1]) }, ms(64),
 		},
 		"no slot is free until one of two earlier runs has ended": {
-			func(b *bench) *run {
+			func(b *fixture) *run {
 				b.run(2000, 1)
 				b.run(2000, 1)
 				return b.run(2000, 1)
 			}, ms(152),
 		},
 		"no KV cache is free until the earlier run has ended": {
-			func(b *bench) *run {
+			func(b *fixture) *run {
 				b.run(60_000, 1)
 				return b.run(60_000, 1)
 			}, ms(800),
@@ -87,7 +87,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(2)
+			b := newFixture(2)
 			r := tc.start(b)
 			b.timeline.RunUntil(5 * time.Second)
 			quicktest.Check(t, b.events[r], quicktest.DeepEquals, tc.want)
@@ -98,7 +98,7 @@
 // TestCrash checks that all runs of a crashed engine fail and that none of their state remains.
 func TestCrash(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(2)
+	b := newFixture(2)
 	failed := 0
 	for range 3 {
 		r := b.run(4000, 100, b.engines[1])
@@ -109,7 +109,7 @@
 	b.timeline.RunUntil(5 * time.Second)
 	c.Check(failed, quicktest.Equals, 3)
 	for _, e := range b.engines {
-		c.Check(len(e.parts)+len(e.prompts)+len(e.decoding)+len(e.waiting)+e.memory, quicktest.Equals, 0)
+		c.Check(len(e.parts)+len(e.prompts)+len(e.decoding)+len(e.waiting)+e.usedTokens, quicktest.Equals, 0)
 	}
 }
 
@@ -128,7 +128,7 @@
 // that a pass that was in progress ends with the incarnation that started it.
 func TestEngineRestart(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(1)
+	b := newFixture(1)
 	e := b.engines[0]
 	old := b.run(2000, 100)
 	b.timeline.After(95*time.Millisecond, func() { // The engine is in the middle of a pass.
@@ -141,5 +141,5 @@
 	b.timeline.RunUntil(time.Second)
 	c.Check(b.events[old], quicktest.DeepEquals, ms(52, 92))
 	c.Check(b.events[fresh], quicktest.DeepEquals, ms(152, 192))
-	c.Check(e.memory, quicktest.Equals, 0)
+	c.Check(e.usedTokens, quicktest.Equals, 0)
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -13,12 +13,12 @@
 	"github.com/barleystep/barleystep/internal/lab"
 )
 
-// short draws a scenario of the family and shortens it to 8 s.
-func short(f lab.Family) lab.Scenario {
-	load := f.Draw(rand.New(rand.NewPCG(1, 0)))
-	load.Length = 8 * time.Second
-	load.BoxRestartAt = min(load.BoxRestartAt, load.Length/2)
-	return load
+// shortScenario draws a scenario of the family and shortens it to 8 s.
+func shortScenario(f lab.Family) lab.Scenario {
+	scenario := f.Draw(rand.New(rand.NewPCG(1, 0)))
+	scenario.Length = 8 * time.Second
+	scenario.BoxRestartAt = min(scenario.BoxRestartAt, scenario.Length/2)
+	return scenario
 }
 
 // TestSameSeed checks that a day is determined by its seed.
@@ -26,8 +26,8 @@
 	for _, f := range lab.Families {
 		t.Run(f.Name, func(t *testing.T) {
 			t.Parallel()
-			load := short(f)
-			first, second := lab.Run(load, lab.Balancer, 7), lab.Run(load, lab.Balancer, 7)
+			scenario := shortScenario(f)
+			first, second := lab.Run(scenario, lab.Balancer, 7), lab.Run(scenario, lab.Balancer, 7)
 			quicktest.Check(t, first, quicktest.DeepEquals, second)
 		})
 	}
@@ -40,8 +40,8 @@
 			t.Parallel()
 			c := quicktest.New(t)
 			for _, policy := range []lab.Policy{lab.Random, lab.LeastLoaded, lab.Balancer} {
-				load := short(f)
-				r := lab.Run(load, policy, 2)
+				scenario := shortScenario(f)
+				r := lab.Run(scenario, policy, 2)
 				c.Check(r.ServedWorth <= r.BoundWorth, quicktest.IsTrue)
 				c.Check(r.BoundWorth <= r.OfferedWorth*1.000001, quicktest.IsTrue)
 				for _, k := range r.Kinds {
@@ -73,16 +73,16 @@
 		if f.Name != "three hundred boxes" {
 			continue
 		}
-		k := lab.Run(short(f), lab.Balancer, 3).Kinds[0]
+		k := lab.Run(shortScenario(f), lab.Balancer, 3).Kinds[0]
 		quicktest.Check(t, k.ServedWorth/k.OfferedWorth > 0.88, quicktest.IsTrue, quicktest.Commentf("%.3f", k.ServedWorth/k.OfferedWorth))
 	}
 }
 
-// family draws a scenario of the family.
-func family(t *testing.T, name string) lab.Scenario { return drawn(t, name, 1) }
+// drawFamily draws a scenario of the family.
+func drawFamily(t *testing.T, name string) lab.Scenario { return drawFamilySeed(t, name, 1) }
 
-// drawn draws a scenario of the family with a seed.
-func drawn(t *testing.T, name string, seed uint64) lab.Scenario {
+// drawFamilySeed draws a scenario of the family with a seed.
+func drawFamilySeed(t *testing.T, name string, seed uint64) lab.Scenario {
 	for _, f := range lab.Families {
 		if f.Name == name {
 			return f.Draw(rand.New(rand.NewPCG(seed, 0)))
@@ -96,8 +96,8 @@
 // how many are served by an engine of another hall, with alternating bursts of short and of long
 // prompts over three halls. It was two of three when placement ignored halls.
 func TestHallCutAtFullLoad(t *testing.T) {
-	load := family(t, "a fifth over memory")
-	short := lab.Run(load, lab.Balancer, 3).Kinds[0]
+	scenario := drawFamily(t, "a fifth over memory")
+	short := lab.Run(scenario, lab.Balancer, 3).Kinds[0]
 	otherHall := float64(short.OtherHall) / float64(short.Count)
 	quicktest.Check(t, otherHall < 0.25, quicktest.IsTrue, quicktest.Commentf("%.3f", otherHall))
 }
@@ -107,7 +107,7 @@
 // first asking whether they respond, 29 of 100 middling prompts and 61 of 100 long ones were
 // refused or abandoned.
 func TestEnginesLeaveInOutage(t *testing.T) {
-	kinds := lab.Run(family(t, "engines leave in an outage"), lab.Balancer, 3).Kinds
+	kinds := lab.Run(drawFamily(t, "engines leave in an outage"), lab.Balancer, 3).Kinds
 	quicktest.Check(t, kinds[1].UnservedRate() < 0.05, quicktest.IsTrue, quicktest.Commentf("middling: %.3f", kinds[1].UnservedRate()))
 	quicktest.Check(t, kinds[2].UnservedRate() < 0.4, quicktest.IsTrue, quicktest.Commentf("long: %.3f", kinds[2].UnservedRate()))
 }
@@ -118,20 +118,20 @@
 func TestOverMemory(t *testing.T) {
 	var long lab.KindResult
 	for seed := range uint64(4) {
-		long.Add(lab.Run(family(t, "a fifth over memory"), lab.Balancer, seed).Kinds[2])
+		long.Add(lab.Run(drawFamily(t, "a fifth over memory"), lab.Balancer, seed).Kinds[2])
 	}
 	worth := long.ServedWorth / long.OfferedWorth
 	quicktest.Check(t, worth > 0.725, quicktest.IsTrue, quicktest.Commentf("%.3f", worth))
 }
 
-// TestEnginesStartAnew checks that knowledge of an engine's earlier incarnation does not delay work
+// TestRestartedEngines checks that knowledge of an engine's earlier incarnation does not delay work
 // for the next one. On days on which each of 18 engines stops responding twice for 0.6 s, 66 of 100
 // of the worth are served if engines report their start time, and 58 if they do not.
-func TestEnginesStartAnew(t *testing.T) {
+func TestRestartedEngines(t *testing.T) {
 	var reported, unreported lab.Result
 	for seed := range uint64(4) {
-		reported.Add(lab.Run(family(t, "engines start anew"), lab.Balancer, seed))
-		unreported.Add(lab.Run(family(t, "engines start anew, unsaid"), lab.Balancer, seed))
+		reported.Add(lab.Run(drawFamily(t, "engines start anew"), lab.Balancer, seed))
+		unreported.Add(lab.Run(drawFamily(t, "engines start anew, unsaid"), lab.Balancer, seed))
 	}
 	more := reported.WorthRatio() - unreported.WorthRatio()
 	quicktest.Check(t, more > 0.04, quicktest.IsTrue, quicktest.Commentf("%.3f and %.3f", reported.WorthRatio(), unreported.WorthRatio()))
@@ -143,11 +143,11 @@
 // prompt is waiting at any time, and it got the next free engines before any oversized prompt was
 // tried.
 func TestSizes(t *testing.T) {
-	load := family(t, "engines go while long prompts come")
+	scenario := drawFamily(t, "engines go while long prompts come")
 	var days [3]lab.KindResult
 	var wait sync.WaitGroup
 	for seed := range days {
-		wait.Go(func() { days[seed] = lab.Run(load, lab.Balancer, uint64(seed)).Kinds[2] })
+		wait.Go(func() { days[seed] = lab.Run(scenario, lab.Balancer, uint64(seed)).Kinds[2] })
 	}
 	wait.Wait()
 	var long lab.KindResult
@@ -195,9 +195,9 @@
 // lossDay simulates a day of engine loss under bursts of long prompts and returns the results of
 // these.
 func lossDay(t *testing.T, draw, seed uint64) lab.KindResult {
-	load := drawn(t, "engines go while long prompts come", draw)
-	load.Boxes = 40 // The lead places all prompts.
-	return lab.Run(load, lab.Balancer, seed).Kinds[2]
+	scenario := drawFamilySeed(t, "engines go while long prompts come", draw)
+	scenario.Boxes = 40 // Few are enough: the lead places all prompts.
+	return lab.Run(scenario, lab.Balancer, seed).Kinds[2]
 }
 
 // checkSizes checks that the longest prompts are served at no less than half the rate of their
--- a/internal/lab/limit.go
+++ b/internal/lab/limit.go
@@ -60,7 +60,7 @@
 
 // scheduleLimits schedules the limits that engines state.
 func (d *day) scheduleLimits() {
-	for _, l := range d.load.Limits {
+	for _, l := range d.scenario.Limits {
 		n := &statedLimit{RateLimit: l, informed: make(map[*box]time.Duration)}
 		d.statedLimits = append(d.statedLimits, n)
 		e := d.engines[l.Engine]
--- a/internal/lab/limit_test.go
+++ b/internal/lab/limit_test.go
@@ -9,19 +9,19 @@
 	"github.com/barleystep/barleystep/internal/lab"
 )
 
-// limited returns a scenario in which every each-th engine states a rate limit.
-func limited(t *testing.T, name string, each int, perSecond float64) lab.Scenario {
-	load := family(t, name)
-	load.Length = 12 * time.Second // Days with hundreds of boxes take long to simulate.
-	load.Halls = 3
-	if load.Engines == 18 {
-		load.Length = 24 * time.Second
-		load.Kinds[0].Rate, load.Kinds[1].Rate, load.Kinds[2].Rate = 39.5, 2.9, 1.2
+// limitedScenario returns a scenario in which each n-th engine states a rate limit, n being every.
+func limitedScenario(t *testing.T, name string, every int, perSecond float64) lab.Scenario {
+	scenario := drawFamily(t, name)
+	scenario.Length = 12 * time.Second // Days with hundreds of boxes take long to simulate.
+	scenario.Halls = 3
+	if scenario.Engines == 18 {
+		scenario.Length = 24 * time.Second
+		scenario.Kinds[0].Rate, scenario.Kinds[1].Rate, scenario.Kinds[2].Rate = 39.5, 2.9, 1.2
 	}
-	for engine := 0; engine < load.Engines; engine += each {
-		load.Limits = append(load.Limits, lab.RateLimit{Engine: engine, PerSecond: perSecond, From: time.Second, Until: load.Length - time.Second})
+	for engine := 0; engine < scenario.Engines; engine += every {
+		scenario.Limits = append(scenario.Limits, lab.RateLimit{Engine: engine, PerSecond: perSecond, From: time.Second, Until: scenario.Length - time.Second})
 	}
-	return load
+	return scenario
 }
 
 // leastUsed is the minimum fraction of their limits that engines must get when callers need all
@@ -40,7 +40,7 @@
 func TestLimits(t *testing.T) {
 	cases := map[string]struct {
 		family    string
-		each      int // every each-th engine has a limit.
+		each      int // each is n where each n-th engine has a limit.
 		perSecond float64
 		usedUp    bool // usedUp is set where callers need all that the engines accept.
 	}{
@@ -57,7 +57,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var sum lab.LimitResult
-			for _, l := range lab.Run(limited(t, tc.family, tc.each, tc.perSecond), lab.Balancer, 1).Limits {
+			for _, l := range lab.Run(limitedScenario(t, tc.family, tc.each, tc.perSecond), lab.Balancer, 1).Limits {
 				quicktest.Check(t, float64(l.PeakInformed) <= l.Allowed, quicktest.IsTrue, quicktest.Commentf("%+v", l))
 				quicktest.Check(t, float64(l.Peak) <= l.Allowed, quicktest.IsTrue, quicktest.Commentf("%+v", l))
 				sum.Received, sum.Acceptable = sum.Received+l.Received, sum.Acceptable+l.Acceptable
--- a/internal/lab/restart.go
+++ b/internal/lab/restart.go
@@ -41,7 +41,7 @@
 
 // announceRestart makes all boxes read the engine's new start time, if engines report it.
 func (d *day) announceRestart(e *engine, lost []*run) {
-	if !d.load.ReportsStart {
+	if !d.scenario.ReportsStart {
 		return
 	}
 	e.target.StartMS = d.timeline.Elapsed().Milliseconds()
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -83,7 +83,7 @@
 func (d *day) measure() Result {
 	var res Result
 	for _, r := range d.allRequests {
-		kind := d.load.Kinds[r.kind]
+		kind := d.scenario.Kinds[r.kind]
 		k := &res.Kinds[r.kind]
 		offeredWorth, servedWorth := kind.Worth*r.size, r.servedWorth(kind)
 		k.Count++
@@ -120,7 +120,7 @@
 			size = SizeNextFifth
 		}
 		seen[r.kind]++
-		k.Sizes[size].add(r, d.load.Kinds[r.kind])
+		k.Sizes[size].add(r, d.scenario.Kinds[r.kind])
 	}
 }
 
@@ -186,14 +186,14 @@
 	total := 0.0
 	order := slices.Clone(d.allRequests)
 	density := func(r *request) float64 {
-		k := d.load.Kinds[r.kind]
-		return (k.Worth - k.LateWorth) * r.size / d.load.Cost.Prefill(r.prompt).Seconds()
+		k := d.scenario.Kinds[r.kind]
+		return (k.Worth - k.LateWorth) * r.size / d.scenario.Cost.Prefill(r.prompt).Seconds()
 	}
 	slices.SortStableFunc(order, func(a, b *request) int { return cmp.Compare(density(b), density(a)) })
-	p := newSchedule(int((d.load.Length+drainTime)/slotLength)+1, float64(d.load.Engines)*slotLength.Seconds())
+	p := newSchedule(int((d.scenario.Length+drainTime)/slotLength)+1, float64(d.scenario.Engines)*slotLength.Seconds())
 	for _, r := range order {
-		k := d.load.Kinds[r.kind]
-		read := d.load.Cost.Prefill(r.prompt).Seconds()
+		k := d.scenario.Kinds[r.kind]
+		read := d.scenario.Cost.Prefill(r.prompt).Seconds()
 		from := int(r.at / slotLength)
 		until := int((r.at + k.Objective) / slotLength)
 		part := p.fit(from, until, read) / read
--- a/internal/lab/table.go
+++ b/internal/lab/table.go
@@ -82,8 +82,8 @@
 }
 
 func (r *row) runDay(seed uint64) Result {
-	load := r.family.Draw(rand.New(rand.NewPCG(seed, 0)))
-	return Run(load, r.policy, seed)
+	scenario := r.family.Draw(rand.New(rand.NewPCG(seed, 0)))
+	return Run(scenario, r.policy, seed)
 }
 
 // spread returns the mean worth ratio of the days and the standard error of that mean.
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -187,22 +187,22 @@
 
 // checkRetryBudget checks the retries of all boxes together in every window.
 func (c *check) checkRetryBudget(calls map[string]*Call) {
-	var requests, repeats []time.Time
+	var requests, retries []time.Time
 	for _, x := range calls {
 		requests = append(requests, x.Started)
 	}
 	for _, list := range c.arrivals {
 		sort.Slice(list, func(i, k int) bool { return list[i].At.Before(list[k].At) })
 		for _, a := range list[1:] {
-			repeats = append(repeats, a.At)
+			retries = append(retries, a.At)
 		}
 	}
 	byTime := func(list []time.Time) { sort.Slice(list, func(i, k int) bool { return list[i].Before(list[k]) }) }
 	byTime(requests)
-	byTime(repeats)
-	for i, start := range repeats {
+	byTime(retries)
+	for i, start := range retries {
 		end := start.Add(retryWindow)
-		n := sort.Search(len(repeats), func(k int) bool { return !repeats[k].Before(end) }) - i
+		n := sort.Search(len(retries), func(k int) bool { return !retries[k].Before(end) }) - i
 		sent := sort.Search(len(requests), func(k int) bool { return !requests[k].Before(end) }) -
 			sort.Search(len(requests), func(k int) bool { return !requests[k].Before(start.Add(-retryWindow)) })
 		if float64(n) > retryRatio*float64(sent)+retryExtra {
--- a/internal/soak/check_deadly.go
+++ b/internal/soak/check_deadly.go
@@ -20,31 +20,32 @@
 )
 
 // checkDeadly checks that a request during which targets have exited is sent to no other target by
-// boxes that have run since, or have been running again for deadlyBound.
+// boxes whose process has run since the third exit. Boxes are given deadlyBound to learn of it, from
+// the end of a freeze if they were frozen.
 func (c *check) checkDeadly(calls map[string]*Call) {
-	var ends []platformtest.Arrival
+	var exits []platformtest.Arrival
 	for _, a := range c.history.arrivals {
 		if a.Body == platformtest.CrashBody && a.Run > 0 {
-			ends = append(ends, a)
+			exits = append(exits, a)
 		}
 	}
-	slices.SortFunc(ends, func(a, b platformtest.Arrival) int { return a.At.Compare(b.At) })
+	slices.SortFunc(exits, func(a, b platformtest.Arrival) int { return a.At.Compare(b.At) })
 	for _, at := range c.massKills() {
-		from, _ := slices.BinarySearchFunc(ends, at.Add(massKillWindow), func(a platformtest.Arrival, t time.Time) int { return a.At.Compare(t) })
-		c.checkLateExits(ends[:from], calls)
-		ends = ends[from:]
+		from, _ := slices.BinarySearchFunc(exits, at.Add(massKillWindow), func(a platformtest.Arrival, t time.Time) int { return a.At.Compare(t) })
+		c.checkLateExits(exits[:from], calls)
+		exits = exits[from:]
 	}
-	c.checkLateExits(ends, calls)
+	c.checkLateExits(exits, calls)
 }
 
 // checkLateExits checks exits of targets between which the boxes were not all killed at once. Boxes
 // keep what they know of fewer than three exits in memory only.
-func (c *check) checkLateExits(ends []platformtest.Arrival, calls map[string]*Call) {
-	if len(ends) <= maxTargetExits {
+func (c *check) checkLateExits(exits []platformtest.Arrival, calls map[string]*Call) {
+	if len(exits) <= maxTargetExits {
 		return
 	}
-	third, late := ends[maxTargetExits-1].At, 0
-	for _, a := range ends[maxTargetExits:] {
+	third, late := exits[maxTargetExits-1].At, 0
+	for _, a := range exits[maxTargetExits:] {
 		x := calls[a.Request]
 		if x == nil || !c.startedBefore(x, third) || !x.Started.After(c.informedBy(third, x)) {
 			continue
--- a/internal/soak/check_statement.go
+++ b/internal/soak/check_statement.go
@@ -42,12 +42,12 @@
 	for _, a := range list {
 		x := calls[a.Request]
 		incarnation := incarnationID(x.Box, x.Incarnation)
-		at, told := passed[incarnation]
-		if told && x.Started.After(at.Add(leaveBound)) && !c.frozenBetween(x, at) {
+		at, informed := passed[incarnation]
+		if informed && x.Started.After(at.Add(leaveBound)) && !c.frozenBetween(x, at) {
 			c.addViolation("leaving targets", a.Request, "%s got it, sent %s after its word was passed on", a.Target, x.Started.Sub(at))
 		}
 		digest, hasDigest := platformtest.ReadDigest(x.Header)
-		if a.Leaving && !told && x.Status == http.StatusOK && hasDigest && digest.Target == a.Target {
+		if a.Leaving && !informed && x.Status == http.StatusOK && hasDigest && digest.Target == a.Target {
 			passed[incarnation] = x.Ended
 		}
 	}
--- a/internal/soak/target_slot.go
+++ b/internal/soak/target_slot.go
@@ -98,7 +98,7 @@
 // inject injects a fault at the slot's target.
 func (t *targetSlot) inject(ctx context.Context, e Event) {
 	t.mu.Lock()
-	l := t.proxy
+	p := t.proxy
 	t.mu.Unlock()
 	switch e.Action {
 	case ActionCrash:
@@ -118,15 +118,15 @@
 		t.runner.sleep(ctx, e.Duration)
 		t.addFault(platformtest.TargetFault(e.Detail), -e.Share)
 	case ActionReset:
-		l.resetAll()
+		p.resetAll()
 	case ActionSilence:
-		l.adjust(1, 0)
+		p.adjust(1, 0)
 		t.runner.sleep(ctx, e.Duration)
-		l.adjust(-1, 0)
+		p.adjust(-1, 0)
 	case ActionSlow:
-		l.adjust(0, 1)
+		p.adjust(0, 1)
 		t.runner.sleep(ctx, e.Duration)
-		l.adjust(0, -1)
+		p.adjust(0, -1)
 	}
 }
 
@@ -206,9 +206,9 @@
 }
 
 // addFault adds to the share of answers that have this fault.
-func (t *targetSlot) addFault(way platformtest.TargetFault, share float64) {
+func (t *targetSlot) addFault(fault platformtest.TargetFault, share float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.faults[way] = max(t.faults[way]+share, 0)
+	t.faults[fault] = max(t.faults[fault]+share, 0)
 	t.child.execute(command{TargetFaults: maps.Clone(t.faults)})
 }
