--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -193,10 +193,10 @@
 	p := newSchedule(int((d.scenario.Length+drainTime)/slotLength)+1, float64(d.scenario.Engines)*slotLength.Seconds())
 	for _, r := range order {
 		k := d.scenario.Kinds[r.kind]
-		read := d.scenario.Cost.Prefill(r.prompt).Seconds()
+		prefill := d.scenario.Cost.Prefill(r.prompt).Seconds()
 		from := int(r.at / slotLength)
 		until := int((r.at + k.Objective) / slotLength)
-		part := p.fit(from, until, read) / read
+		part := p.fit(from, until, prefill) / prefill
 		total += r.size * (k.LateWorth + (k.Worth-k.LateWorth)*part)
 	}
 	return total
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -150,7 +150,7 @@
 	for i := range l.Kinds {
 		l.Kinds[i].Rate = needs[i] * float64(engines) / l.Kinds[i].need(&l.Cost)
 	}
-	l.Cost.MeanPromptTokens = l.usualPrompt()
+	l.Cost.MeanPromptTokens = l.meanPrompt()
 	return l
 }
 
@@ -178,7 +178,7 @@
 	l.Kinds[1].MeanPrompt, l.Kinds[2].MeanPrompt = 45e3, 300e3
 	l.Kinds[2].Objective = 4 * time.Second
 	l.Kinds[0].Rate, l.Kinds[1].Rate, l.Kinds[2].Rate = 217, 23, 5.3
-	l.Cost.MeanPromptTokens = l.usualPrompt()
+	l.Cost.MeanPromptTokens = l.meanPrompt()
 	return l
 }
 
@@ -198,7 +198,7 @@
 		{Name: kindMiddling, Rate: 8.67, MeanPrompt: 45e3, MeanEvents: 21, Spread: 0.5, Objective: 1500 * time.Millisecond, MaxPause: millis(600), Deadline: 10 * time.Second, Worth: 3.3, LateWorth: 0.82},
 		{Name: kindLong, Rate: 1.62, MeanPrompt: 260e3, MeanEvents: 18, Spread: 0.55, Objective: 4 * time.Second, MaxPause: millis(1000), Deadline: 15 * time.Second, Worth: 34, LateWorth: 8.6},
 	}
-	l.Cost.MeanPromptTokens = l.usualPrompt()
+	l.Cost.MeanPromptTokens = l.meanPrompt()
 	return l
 }
 
@@ -218,7 +218,7 @@
 		{Name: kindLong, Rate: 5.32, MeanPrompt: 300e3, MeanEvents: 12, Spread: 0.55, Objective: 4 * time.Second, MaxPause: millis(1000), Deadline: 15 * time.Second, Worth: 26, LateWorth: 6.6},
 	}
 	l.Crashes = 30
-	l.Cost.MeanPromptTokens = l.usualPrompt()
+	l.Cost.MeanPromptTokens = l.meanPrompt()
 	return l
 }
 
@@ -229,11 +229,11 @@
 func (k Kind) need(c *fleet.CostModel) float64 {
 	stream := k.MeanEvents * 1.2 * c.Pass().Seconds() / float64(c.Slots)
 	// Prefill time grows with the square of the length, whose mean exceeds the square of the mean.
-	read := c.Prefill(int(k.MeanPrompt * math.Sqrt(1+k.Spread*k.Spread))).Seconds()
-	return max(stream, read)
+	prefill := c.Prefill(int(k.MeanPrompt * math.Sqrt(1+k.Spread*k.Spread))).Seconds()
+	return max(stream, prefill)
 }
 
-func (l Scenario) usualPrompt() int {
+func (l Scenario) meanPrompt() int {
 	tokens, rate := 0.0, 0.0
 	for _, k := range l.Kinds {
 		tokens += k.MeanPrompt * k.Rate
@@ -309,9 +309,9 @@
 func (l Scenario) size(k Kind, r *request) float64 {
 	const outputWeight, base, most = 10, 0.3, 4.0
 	stride := float64(l.Cost.Stride)
-	usual := k.MeanPrompt + outputWeight*k.MeanEvents*stride
+	mean := k.MeanPrompt + outputWeight*k.MeanEvents*stride
 	own := float64(r.prompt) + outputWeight*float64(r.events)*stride
-	return min(base+(1-base)*own/usual, most)
+	return min(base+(1-base)*own/mean, most)
 }
 
 func (l Scenario) rateFactor(kind int, at time.Duration) float64 {
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -104,7 +104,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), x.TimeLimit)
 	defer cancel()
 	connected := false
-	var sent atomic.Pointer[time.Time] // The trace runs on another goroutine, possibly after the request has ended.
+	var sent atomic.Pointer[time.Time] // Set by another goroutine, possibly after the call has ended.
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(i httptrace.GotConnInfo) {
 			connected, x.Reused = true, i.Reused
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -107,7 +107,7 @@
 	}
 	digest, hasDigest := platformtest.ReadDigest(x.Header)
 	switch {
-	case x.Truncated && c.killed(x): // The box was killed during the answer, and the caller can see the truncation.
+	case x.Truncated && c.killed(x): // The box was killed during the answer.
 	case !hasDigest && x.Status < http.StatusBadRequest:
 		c.addViolation("own answer", x.ID, "a %d without a digest", x.Status)
 	case !hasDigest:
--- a/internal/soak/check_statement.go
+++ b/internal/soak/check_statement.go
@@ -38,17 +38,17 @@
 // checkLeaving checks that a target gets no request from an incarnation of a box that has forwarded
 // its statement that it is leaving.
 func (c *check) checkLeaving(list []platformtest.Arrival, calls map[string]*Call) {
-	passed := make(map[string]time.Time)
+	forwardedAt := make(map[string]time.Time)
 	for _, a := range list {
 		x := calls[a.Request]
 		incarnation := incarnationID(x.Box, x.Incarnation)
-		at, informed := passed[incarnation]
+		at, informed := forwardedAt[incarnation]
 		if informed && x.Started.After(at.Add(leaveBound)) && !c.frozenBetween(x, at) {
 			c.addViolation("leaving targets", a.Request, "%s got it, sent %s after its word was passed on", a.Target, x.Started.Sub(at))
 		}
 		digest, hasDigest := platformtest.ReadDigest(x.Header)
 		if a.Leaving && !informed && x.Status == http.StatusOK && hasDigest && digest.Target == a.Target {
-			passed[incarnation] = x.Ended
+			forwardedAt[incarnation] = x.Ended
 		}
 	}
 }
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// injectStoreFault makes the store fail for the event's duration. While several faults overlap the
-// newest is active.
+// injectStoreFault makes the store fail for the event's duration. If several faults overlap, the
+// newest stays active until the last of them has ended.
 func (s *Runner) injectStoreFault(ctx context.Context, e Event) {
 	s.storeMu.Lock()
 	s.storeFaults = append(s.storeFaults, e.Detail)
