--- a/internal/clock/suspension.go
+++ b/internal/clock/suspension.go
@@ -14,7 +14,7 @@
 	// read returns how far the steady clock and the time of day have moved on since the start,
 	// both as of one moment, and boot the same of the clock that counts suspensions too.
 	readClocks func() (steady, day time.Duration)
-	readBoot   func() time.Duration
+	boot       func() time.Duration
 
 	// lead is by how much the time of day was ahead when it was last looked, and total the time
 	// for which the machine was suspended, both in nanoseconds. total only rises.
@@ -39,7 +39,7 @@
 			now := time.Now()
 			return now.Sub(start), now.Round(0).Sub(start.Round(0))
 		},
-		readBoot: func() time.Duration { return bootTime() - first },
+		boot: func() time.Duration { return bootTime() - first },
 	}
 }
 
@@ -66,7 +66,7 @@
 
 // look looks whether the machine was suspended, and returns the whole time for which it was.
 func (s *suspension) measure() time.Duration {
-	boot := s.readBoot()
+	boot := s.boot()
 	steady, _ := s.readClocks()
 	// This process may have been held up between the two: the difference is no more than
 	// the time of suspension, and another look finds more.
--- a/internal/clock/suspension_internal_test.go
+++ b/internal/clock/suspension_internal_test.go
@@ -19,7 +19,7 @@
 	return &suspension{
 		start:      time.Unix(1000, 0),
 		readClocks: func() (steady, day time.Duration) { return r.steady, r.day },
-		readBoot:   func() time.Duration { return r.boot },
+		boot:       func() time.Duration { return r.boot },
 	}
 }
 
@@ -74,8 +74,8 @@
 func TestAlarms(t *testing.T) {
 	c := quicktest.New(t)
 	simulate.Do(func() {
-		boot := processClock.readBoot
-		processClock.readBoot = func() time.Duration { return boot() + time.Duration(simulated.Load()) }
+		boot := processClock.boot
+		processClock.boot = func() time.Duration { return boot() + time.Duration(simulated.Load()) }
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
--- a/internal/suspect/archive.go
+++ b/internal/suspect/archive.go
@@ -76,7 +76,7 @@
 		return err
 	}
 	now := a.clockReading()
-	kept := make(map[Digest]uint64)
+	stored := make(map[Digest]uint64)
 	known := make(map[Digest]Evidence)
 	for _, r := range batch.Records() {
 		d, e, err := decodeRecord(r, now)
@@ -85,10 +85,10 @@
 				Msg(logPrefix + "A record of the archive names no request.")
 			continue
 		}
-		known[d], kept[d] = e, e.checksum()
+		known[d], stored[d] = e, e.checksum()
 	}
 	a.Registry.Merge(known)
-	a.stored = kept
+	a.stored = stored
 	if len(known) > 0 {
 		a.Log.Info().Int("requests", len(known)).Msg(logPrefix + "The archive was read.")
 	}
--- a/internal/suspect/evidence.go
+++ b/internal/suspect/evidence.go
@@ -116,13 +116,13 @@
 
 // last returns when something was last learnt.
 func (e Evidence) lastUpdate() time.Time {
-	last := e.lastSuccess
+	lastUpdate := e.lastSuccess
 	for _, end := range e.ends {
-		if end.at.After(last) {
-			last = end.at
+		if end.at.After(lastUpdate) {
+			lastUpdate = end.at
 		}
 	}
-	return last
+	return lastUpdate
 }
 
 // lone returns how many targets have ended while the request ran alone.
@@ -137,14 +137,14 @@
 }
 
 // proven reports whether the request is refused, or was, and is tried alone.
-func (e Evidence) isProven() bool { return len(e.ends) >= refusedEnds && e.ranAlone() > 0 }
+func (e Evidence) proven() bool { return len(e.ends) >= refusedEnds && e.ranAlone() > 0 }
 
 // sum returns a number that changes whenever an end is added.
-func (e Evidence) checksum() (sum uint64) {
+func (e Evidence) checksum() (checksum uint64) {
 	for _, end := range e.ends {
-		sum += uint64(end.key) + 1
+		checksum += uint64(end.key) + 1
 	}
-	return sum
+	return checksum
 }
 
 // memory returns for how long what was learnt last refuses the request.
@@ -164,7 +164,7 @@
 	unread := func(end End) bool { return end.Has(BeforeFirstEvent) && end.at.After(e.lastAnswerStart) }
 	young := now.Sub(e.lastUpdate()) < e.refusalPeriod()
 	switch {
-	case e.isProven() && young:
+	case e.proven() && young:
 		return Refused
 	case len(e.ends) >= isolatedEnds, slices.ContainsFunc(e.ends, unread):
 		return Isolated
--- a/internal/suspect/registry.go
+++ b/internal/suspect/registry.go
@@ -20,8 +20,8 @@
 	Clock barleystep.Clock
 	Log   *log.Logger
 
-	mu       sync.Mutex
-	evidence map[Digest]Evidence
+	mu    sync.Mutex
+	known map[Digest]Evidence
 	// refused is told of each request that is refused from then on.
 	onRefused func(d Digest, size int)
 	// toldAll is when the others were last told of all, and not just of what is new.
@@ -40,14 +40,14 @@
 }
 
 // Concerns reports whether anything is known of a request with a body of the size.
-func (b *Registry) HasBodySize(size int) bool {
+func (b *Registry) HasBodySize(bodySize int) bool {
 	if b == nil {
 		return false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, e := range b.evidence {
-		if e.bodySize == size {
+	for _, e := range b.known {
+		if e.bodySize == bodySize {
 			return true
 		}
 	}
@@ -62,7 +62,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Clock.Now()
-	e := b.evidence[d]
+	e := b.known[d]
 	return e.status(now), max(e.lastUpdate().Add(e.refusalPeriod()).Sub(now), 0)
 }
 
@@ -73,25 +73,25 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.evidence[d]
+	return b.known[d]
 }
 
 // Ended notes that a target's lifetime has ended while it had the request.
-func (b *Registry) RecordEnd(d Digest, size int, end End) {
-	b.merge(d, Evidence{bodySize: size, ends: []End{end}})
+func (b *Registry) RecordEnd(d Digest, bodySize int, end End) {
+	b.merge(d, Evidence{bodySize: bodySize, ends: []End{end}})
 }
 
 // Clear notes that a run of the request was whole.
-func (b *Registry) RecordSuccess(d Digest, size int) {
-	if b != nil && b.HasBodySize(size) {
-		b.merge(d, Evidence{bodySize: size, lastSuccess: b.Clock.Now()})
+func (b *Registry) RecordSuccess(d Digest, bodySize int) {
+	if b != nil && b.HasBodySize(bodySize) {
+		b.merge(d, Evidence{bodySize: bodySize, lastSuccess: b.Clock.Now()})
 	}
 }
 
 // Begin notes that an answer to the request has begun.
-func (b *Registry) RecordAnswerStart(d Digest, size int) {
-	if b != nil && b.HasBodySize(size) {
-		b.merge(d, Evidence{bodySize: size, lastAnswerStart: b.Clock.Now()})
+func (b *Registry) RecordAnswerStart(d Digest, bodySize int) {
+	if b != nil && b.HasBodySize(bodySize) {
+		b.merge(d, Evidence{bodySize: bodySize, lastAnswerStart: b.Clock.Now()})
 	}
 }
 
@@ -108,15 +108,15 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	before, known := b.evidence[d]
+	before, known := b.known[d]
 	if !known && len(e.ends) == 0 {
 		return // Nothing was ever held against it here.
 	}
 	after := before.merge(e)
-	if b.evidence == nil {
-		b.evidence = make(map[Digest]Evidence)
+	if b.known == nil {
+		b.known = make(map[Digest]Evidence)
 	}
-	b.evidence[d] = after
+	b.known[d] = after
 	b.prune()
 	now := b.Clock.Now()
 	from, to := before.status(now), after.status(now)
@@ -132,13 +132,13 @@
 // forget drops what is too old to count, and what exceeds the bound.
 func (b *Registry) prune() {
 	now := b.Clock.Now()
-	maps.DeleteFunc(b.evidence, func(_ Digest, e Evidence) bool { return now.Sub(e.lastUpdate()) > 2*e.refusalPeriod() })
-	for len(b.evidence) > maxRequests {
-		least := slices.MinFunc(slices.Collect(maps.Keys(b.evidence)), func(x, y Digest) int {
-			e, o := b.evidence[x], b.evidence[y]
+	maps.DeleteFunc(b.known, func(_ Digest, e Evidence) bool { return now.Sub(e.lastUpdate()) > 2*e.refusalPeriod() })
+	for len(b.known) > maxRequests {
+		least := slices.MinFunc(slices.Collect(maps.Keys(b.known)), func(x, y Digest) int {
+			e, o := b.known[x], b.known[y]
 			return cmp.Or(cmp.Compare(len(e.ends), len(o.ends)), e.lastUpdate().Compare(o.lastUpdate()))
 		})
-		delete(b.evidence, least)
+		delete(b.known, least)
 	}
 }
 
@@ -150,12 +150,12 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.evidence) == 0 {
+	if len(b.known) == 0 {
 		return nil
 	}
 	b.prune()
-	latest := slices.SortedFunc(maps.Keys(b.evidence), func(x, y Digest) int {
-		return b.evidence[y].lastUpdate().Compare(b.evidence[x].lastUpdate())
+	latest := slices.SortedFunc(maps.Keys(b.known), func(x, y Digest) int {
+		return b.known[y].lastUpdate().Compare(b.known[x].lastUpdate())
 	})
 	now := b.Clock.Now()
 	all := now.Sub(b.lastFullUpdate) >= fullUpdateInterval
@@ -164,7 +164,7 @@
 	}
 	update := make(map[Digest]Evidence)
 	for _, d := range latest[:min(maxGossiped, len(latest))] {
-		e := b.evidence[d]
+		e := b.known[d]
 		if !all && now.Sub(e.lastUpdate()) >= recentPeriod {
 			continue
 		}
@@ -187,8 +187,8 @@
 	defer b.mu.Unlock()
 	b.prune()
 	list := make(map[Digest]Evidence)
-	for d, e := range b.evidence {
-		if e.isProven() {
+	for d, e := range b.known {
+		if e.proven() {
 			list[d] = e
 		}
 	}
@@ -204,7 +204,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Clock.Now()
-	for _, e := range b.evidence {
+	for _, e := range b.known {
 		counts[e.status(now)]++
 	}
 	return counts
