--- a/internal/balance/assignment.go
+++ b/internal/balance/assignment.go
@@ -104,10 +104,10 @@
 		}
 	}
 	prefill := j.Cost.Prefill(j.PromptTokens) / time.Duration(len(helpers)+1)
-	g.transientStallCost = b.cost(j, first, prefill)
+	g.transientStallCost = b.stallCost(j, first, prefill)
 	g.stallCost = g.transientStallCost
 	for i, t := range helpers {
-		stallCost := b.cost(j, t, prefill)
+		stallCost := b.stallCost(j, t, prefill)
 		if risks[i] == 0 {
 			g.transientStallCost += stallCost
 		}
@@ -123,8 +123,8 @@
 // an equal part. Each helper sets so much memory aside; without any, the first
 // engine holds all of it.
 func (b *Balancer) longPlacement(j Job, first fleet.Target, helpers []fleet.Target, kvTokens int, expectedTTFT time.Duration) *Placement {
-	read := j.Cost.Prefill(j.PromptTokens)
-	prefill := read / time.Duration(len(helpers)+1)
+	total := j.Cost.Prefill(j.PromptTokens)
+	prefill := total / time.Duration(len(helpers)+1)
 	p := &Placement{Target: first, expectedTTFT: expectedTTFT}
 	own := Work{Long: 1, PendingPrefills: 1}
 	if kvTokens == 0 {
--- a/internal/balance/cost.go
+++ b/internal/balance/cost.go
@@ -44,12 +44,12 @@
 // partCost is what it counts for that the engine reads a part: the streams that it
 // holds up, and the lateness of the prompt.
 func (b *Balancer) partCost(j Job, t fleet.Target, prefill time.Duration) float64 {
-	return b.cost(j, t, prefill) + latenessCost(j, b.totalWork(t.ID).Backlog+prefill+j.Cost.Pass())
+	return b.stallCost(j, t, prefill) + latenessCost(j, b.totalWork(t.ID).Backlog+prefill+j.Cost.Pass())
 }
 
 // harm is how many streams of the engine would be held up for longer than they
 // may pause if it reads a part, weighted by what they are worth.
-func (b *Balancer) cost(j Job, t fleet.Target, prefill time.Duration) float64 {
+func (b *Balancer) stallCost(j Job, t fleet.Target, prefill time.Duration) float64 {
 	w := b.totalWork(t.ID)
 	pass := w.Backlog + prefill + j.Cost.Pass()
 	cost := 0.0
--- a/internal/suspect/registry.go
+++ b/internal/suspect/registry.go
@@ -78,31 +78,31 @@
 
 // Ended notes that a target's lifetime has ended while it had the request.
 func (b *Registry) RecordEnd(d Digest, bodySize int, end End) {
-	b.merge(d, Evidence{bodySize: bodySize, ends: []End{end}})
+	b.add(d, Evidence{bodySize: bodySize, ends: []End{end}})
 }
 
 // Clear notes that a run of the request was whole.
 func (b *Registry) RecordSuccess(d Digest, bodySize int) {
 	if b != nil && b.HasBodySize(bodySize) {
-		b.merge(d, Evidence{bodySize: bodySize, lastSuccess: b.Clock.Now()})
+		b.add(d, Evidence{bodySize: bodySize, lastSuccess: b.Clock.Now()})
 	}
 }
 
 // Begin notes that an answer to the request has begun.
 func (b *Registry) RecordAnswerStart(d Digest, bodySize int) {
 	if b != nil && b.HasBodySize(bodySize) {
-		b.merge(d, Evidence{bodySize: bodySize, lastAnswerStart: b.Clock.Now()})
+		b.add(d, Evidence{bodySize: bodySize, lastAnswerStart: b.Clock.Now()})
 	}
 }
 
 // Hear takes in what other boxes know.
 func (b *Registry) Merge(peers map[Digest]Evidence) {
 	for d, e := range peers {
-		b.merge(d, e)
+		b.add(d, e)
 	}
 }
 
-func (b *Registry) merge(d Digest, e Evidence) {
+func (b *Registry) add(d Digest, e Evidence) {
 	if b == nil {
 		return
 	}
