--- a/internal/balance/assignment.go
+++ b/internal/balance/assignment.go
@@ -10,46 +10,45 @@
 )
 
 const (
-	// maxHelpers is the most engines that may help one prompt.
+	// maxHelpers is the largest number of helpers for one prompt.
 	maxHelpers = 16
-	// leastPart is the smallest part that a prompt is divided into: smaller ones
-	// cost more passes than they save.
+	// minPart is the shortest prefill time of one part of a divided prompt. Smaller parts cost more
+	// in extra passes than they save.
 	minPart = 15 * time.Millisecond
 )
 
-// assignment is a choice of engines that read a long prompt.
+// assignment is a choice of engines for the prefill of a long prompt.
 type assignment struct {
 	first   fleet.Target
 	helpers []fleet.Target
-	// memory is what each helper of a giant sets aside.
+	// kvTokens is the KV cache, in tokens, that each helper of an oversized prompt reserves.
 	kvTokens int
-	// wait is how long the engines still read something else, and expected when the
-	// first event comes.
+	// wait is how long the engines still prefill other prompts, and expectedTTFT the expected time
+	// to the first event.
 	wait         time.Duration
 	expectedTTFT time.Duration
-	// harm is how many streams are held up for too long, by what they are worth.
+	// stallCost is the number of streams that are stalled for too long, weighted by their worth.
 	stallCost float64
-	// passing is the part of harm that passes: engines for long prompts get no new
-	// short streams.
+	// transientStallCost is the part of stallCost that shrinks with time, because engines for long
+	// prompts get no new short streams.
 	transientStallCost float64
-	// cost is what all of this costs callers.
+	// cost is the total cost of the choice to callers.
 	cost float64
-	// short and long are the engines that are meant for short and for long prompts.
+	// shortEngines and longEngines are the sizes of the regions for short and for long prompts.
 	shortEngines int
 	longEngines  int
 }
 
-// assign returns the placement of a prompt at the engines that were chosen for it, and
-// tells how they were.
+// placeAssignment returns the placement for the assignment and logs it.
 func (b *Balancer) placeAssignment(j Job, g assignment) *Placement {
 	b.logAssignment(j, g)
 	return b.longPlacement(j, g.first, g.helpers, g.kvTokens, g.expectedTTFT)
 }
 
-// waited returns for how long a job's caller has waited since it first tried.
+// waited returns the time since the job's caller first tried.
 func (b *Balancer) waited(j Job) time.Duration { return b.Clock.Now().Sub(j.firstArrival()) }
 
-// first returns when the job's caller first tried.
+// firstArrival returns when the job's caller first tried.
 func (j Job) firstArrival() time.Time {
 	if j.FirstArrival.IsZero() {
 		return j.Arrival
@@ -69,7 +68,7 @@
 		Msg(logPrefix + "The engines of a long prompt were chosen.")
 }
 
-// bestAssignment returns the choice that costs callers the least.
+// bestAssignment returns the assignment with the lowest cost to callers.
 func (b *Balancer) bestAssignment(j Job, engines []fleet.Target) assignment {
 	prefill := j.Cost.Prefill(j.PromptTokens)
 	r := b.divideRegions(j, engines)
@@ -94,8 +93,8 @@
 	return best
 }
 
-// evaluate returns what it costs to have the prompt read by these engines; ok is false
-// if they lack the memory for a giant.
+// evaluate returns the assignment of the prompt to these engines with its cost. ok is false if the
+// helpers lack the KV cache for an oversized prompt.
 func (b *Balancer) evaluate(j Job, first fleet.Target, helpers []fleet.Target, risks []float64) (g assignment, ok bool) {
 	g = assignment{first: first, helpers: helpers, wait: b.totalWork(first.ID).Backlog}
 	if isOversized(j) {
@@ -119,9 +118,9 @@
 	return g, true
 }
 
-// placement returns the placement of a prompt at an engine with helpers that each read
-// an equal part. Each helper sets so much memory aside; without any, the first
-// engine holds all of it.
+// longPlacement returns the placement of a long prompt at an engine and helpers, each of which
+// prefills an equal part. Each helper reserves kvTokens of KV cache; with zero, the first engine
+// holds the whole prompt.
 func (b *Balancer) longPlacement(j Job, first fleet.Target, helpers []fleet.Target, kvTokens int, expectedTTFT time.Duration) *Placement {
 	total := j.Cost.Prefill(j.PromptTokens)
 	prefill := total / time.Duration(len(helpers)+1)
@@ -138,8 +137,8 @@
 	return p
 }
 
-// helpers returns the engines that may help, best first: those where a part of
-// usual size costs the least; and what each one risks besides.
+// helperCandidates returns the engines that may help, in ascending order of the cost of a part of
+// usual size, and the additional risk of each.
 func (b *Balancer) helperCandidates(j Job, first fleet.Target, r regions, prefill time.Duration) (targets []fleet.Target, risks []float64) {
 	usual := prefill / (maxHelpers / 2)
 	type candidate struct {
@@ -159,7 +158,7 @@
 	add(r.prefillers, 0)
 	add(r.short, shortRegionRisk)
 	if isOversized(j) {
-		add(r.decoders, 0) // Its memory may need all engines.
+		add(r.decoders, 0) // The KV cache of all engines may be needed.
 	}
 	available := slices.DeleteFunc(slices.Clone(list), func(c candidate) bool { return b.inHelperBackoff(c.target) })
 	if !isOversized(j) || fitsEngines(j, len(available)+1) {
@@ -174,13 +173,12 @@
 	return targets, risks
 }
 
-// helps reports whether an engine may be given a part of a prompt: not while it
-// has a long prompt of its own to read. It reads parts first, so that its own prompt
-// would wait for as long as new parts come.
+// canHelp reports whether an engine may be given a part of a prompt. An engine prefills parts
+// first, so a long prompt of its own would wait for as long as new parts arrive.
 func (b *Balancer) canHelp(t fleet.Target) bool { return b.totalWork(t.ID).PendingPrefills == 0 }
 
-// roomiest returns the engine of the pool with memory for the prompt that has
-// the least to do, or, if it fits none, the one with the most memory free.
+// chooseDecoder returns the least loaded engine of the pool with KV cache for the prompt, or, if
+// none has enough, the one with the most free.
 func (b *Balancer) chooseDecoder(j Job, pool []fleet.Target) fleet.Target {
 	need := j.PromptTokens + j.OutputTokens
 	best, least := -1, math.Inf(1)
@@ -198,11 +196,11 @@
 }
 
 const (
-	// writerCost and lightHarm are what a long and a short stream in progress
-	// count for, in reading time, when an engine for a long prompt is chosen.
+	// longStreamCost and shortStreamCost are what a long and a short stream in progress count for,
+	// in prefill time, when an engine for a long prompt is chosen.
 	longStreamCost  = 100 * time.Millisecond
 	shortStreamCost = 40 * time.Millisecond
-	// noRoom is the score from which on an engine lacks memory.
+	// noRoomScore is added to the score of an engine that lacks KV cache for the prompt.
 	noRoomScore = 1e6
 	perMilli    = 1000
 )
--- a/internal/balance/assignment_test.go
+++ b/internal/balance/assignment_test.go
@@ -13,9 +13,9 @@
 	"github.com/barleystep/barleystep/internal/balance"
 )
 
-// TestLongAway checks that several engines read a long prompt, that these have no
-// short streams, and that one which has a long prompt of its own to read does not
-// help others.
+// TestLongPromptsAvoidShortStreams checks that several engines prefill a long prompt, that these
+// have no short streams, and that an engine with a long prompt of its own to prefill does not help
+// others.
 func TestLongPromptsAvoidShortStreams(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(18)
@@ -28,7 +28,7 @@
 		p := f.place(t, engineJob(longPrompt))
 		c.Check(len(p.Helpers) > 0, quicktest.IsTrue)
 		for _, h := range p.Helpers {
-			c.Check(unread[h.Addr], quicktest.IsFalse, quicktest.Commentf("%s has a long prompt to read", h.Addr))
+			c.Check(unread[h.Addr], quicktest.IsFalse, quicktest.Commentf("%s has a long prompt to prefill", h.Addr))
 			c.Check(short[h.Addr], quicktest.IsFalse, quicktest.Commentf("%s has a short stream", h.Addr))
 		}
 		unread[p.Target.Addr] = true
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestNear checks that a prompt gets helpers of one hall only when another one is cut
-// off from it.
+// TestLocalHelpers checks that a job with LocalHelpers gets helpers of one hall only, as after a
+// network partition between halls.
 func TestLocalHelpers(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(12)
@@ -53,7 +53,7 @@
 	}
 }
 
-// TestAlone checks that a prompt gets no helpers when these have been refused.
+// TestNoHelpers checks that a job with NoHelpers gets none.
 func TestNoHelpers(t *testing.T) {
 	f := newFixture(18)
 	j := engineJob(longPrompt)
@@ -61,8 +61,8 @@
 	quicktest.Assert(t, f.place(t, j).Helpers, quicktest.HasLen, 0)
 }
 
-// TestFewEngines checks that there is a choice however few engines there are, but for
-// prompts that do not fit the memory of all.
+// TestFewEngines checks that a placement exists however few engines there are, except for prompts
+// that exceed the KV cache of all of them.
 func TestFewEngines(t *testing.T) {
 	const giantPrompt = 600_000
 	for engines := 1; engines <= 6; engines++ {
@@ -82,10 +82,10 @@
 	}
 }
 
-// TestGiant checks that a prompt that is longer than an engine's memory is placed
-// where it holds up little, with its memory on its helpers, waits for a part of its
-// objective where the streams that it would hold up are worth more, or where it would come
-// late, and is sent away at once where it has no place on idle engines either.
+// TestOversizedPrompt checks that a prompt that exceeds an engine's KV cache is placed where it
+// stalls few streams, with its KV cache on its helpers. It waits for a part of its objective where
+// the streams that it would stall are worth more or where it would be late, and is refused at once
+// where it does not fit on idle engines either.
 func TestOversizedPrompt(t *testing.T) {
 	const giantPrompt = 500_000
 	cases := map[string]struct {
@@ -99,7 +99,7 @@
 		"most are idle":        {18, 6, 3 * time.Second, true, false},
 		"a few are idle":       {18, 14, 3 * time.Second, true, false},
 		"too few are idle":     {18, 17, 3 * time.Second, false, true},
-		"its caller is hasty":  {18, 14, 300 * time.Millisecond, false, true},
+		"short objective":      {18, 14, 300 * time.Millisecond, false, true},
 		"too few for a prompt": {2, 0, 3 * time.Second, false, false},
 	}
 	for name, tc := range cases {
@@ -107,7 +107,7 @@
 			c := quicktest.New(t)
 			f := newFixture(tc.engines)
 			busy := balance.NewSnapshot()
-			// The demand says that other reading needs most engines.
+			// The demand says that other prefill needs most engines.
 			busy.Demands[balance.KeyOf("s")] = balance.Demand{Long: float64(tc.engines)}
 			isBusy := make(map[barleystep.TargetID]bool)
 			for _, target := range f.targets[:tc.busy] {
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestIdleHelps checks that engines with little to do help before those that have
-// much to read, also where the former are for short prompts.
+// TestIdleEnginesHelpFirst checks that idle engines help before those with a prefill backlog, even
+// if the former are for short prompts.
 func TestIdleEnginesHelpFirst(t *testing.T) {
 	const engines, idle, prompt = 18, 3, 45_000
 	for from := range engines {
@@ -169,7 +169,7 @@
 		c.Check(busy[p.Target.ID], quicktest.IsFalse)
 		c.Check(len(p.Helpers) > 0, quicktest.IsTrue)
 		for _, h := range p.Helpers {
-			c.Check(busy[h.ID], quicktest.IsFalse, quicktest.Commentf("%s has much to read", h.ID))
+			c.Check(busy[h.ID], quicktest.IsFalse, quicktest.Commentf("%s has a prefill backlog", h.ID))
 		}
 	}
 }
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -63,7 +63,7 @@
 	return p
 }
 
-// queued waits until a job is in the queue.
+// waitUntilQueued waits until a job is in the queue.
 func (f *fixture) waitUntilQueued() {
 	for f.clock.PendingTimers() == 0 {
 		runtime.Gosched()
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestPlainSpreads checks that plain services get their requests evenly, and
-// that a target that fails gets few.
+// TestPlainRequestsSpread checks that requests to plain services are spread evenly, and that a
+// failing target gets few.
 func TestPlainRequestsSpread(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(3)
@@ -146,7 +146,7 @@
 	c.Check(failed < 30, quicktest.IsTrue, quicktest.Commentf("%d requests went to the failing target", failed))
 }
 
-// TestOthers checks that the work of other boxes counts.
+// TestPeerWorkCounts checks that the work of other boxes counts.
 func TestPeerWorkCounts(t *testing.T) {
 	f := newFixture(2)
 	s := balance.NewSnapshot()
@@ -157,8 +157,8 @@
 	}
 }
 
-// TestBooks checks that nothing is left in the books once all tries have ended,
-// whatever they were and in whatever order they ended.
+// TestWorkIsReleased checks that no work is left once all tries have ended, whatever they were and
+// in whatever order they ended.
 func TestWorkIsReleased(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFixture(rapid.IntRange(1, 12).Draw(rt, "engines"))
@@ -168,7 +168,7 @@
 			case len(open) < 4*len(f.targets)/2 && rapid.Bool().Draw(rt, "place"):
 				prompt := rapid.SampledFrom([]int{0, shortPrompt, 45_000, longPrompt, 500_000}).Draw(rt, "prompt")
 				ctx, cancel := context.WithCancel(context.Background())
-				cancel() // Whatever would have to wait is given up.
+				cancel() // Jobs that would have to wait are abandoned.
 				if p, err := f.Place(ctx, engineJob(prompt)); err == nil {
 					open = append(open, p)
 				}
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -1,6 +1,6 @@
-// Package balance chooses the targets of requests. On services of model engines
-// it keeps long prompts, whose reading holds up the streams of an engine, away
-// from short ones, and spreads the reading of a long prompt over many engines.
+// Package balance chooses the targets of requests. On services of model engines it keeps long
+// prompts, whose prefill stalls the streams of an engine, away from short ones, and spreads the
+// prefill of a long prompt over many engines.
 package balance
 
 import (
@@ -19,190 +19,190 @@
 )
 
 // ErrNoTarget is returned when no target of the service may take a request.
-var ErrNoTarget = eris.New("balance: no target")
+var ErrNoTarget = eris.New("balance: no target of the service is available")
 
-// ErrFull is returned when a request has waited for a place so long that its
-// caller would not wait for the answer, or is better told to come back later.
+// ErrFull is returned when a request has waited for a target until its caller would no longer wait
+// for the answer, or when the caller should retry later.
 var ErrFull = eris.New("balance: all targets are full")
 
-// ErrInVain is returned when the caller would be gone before the first event could come.
-var ErrCannotMeetDeadline = eris.New("balance: the caller would be gone before an answer")
+// ErrCannotMeetDeadline is returned when the caller would give up before the first event.
+var ErrCannotMeetDeadline = eris.New("balance: the caller's deadline cannot be met")
 
-// ErrRefused is returned for a request under which so many targets have ended that it is sent
-// to no other.
-var ErrSuspectRefused = eris.New("balance: the request ends targets")
+// ErrSuspectRefused is returned for a request under which so many targets have ended that it is
+// sent to no other one.
+var ErrSuspectRefused = eris.New("balance: the request is refused since targets have ended under it")
 
-// ErrWaiting is returned when a prompt has waited for its engines for as long as the
-// question was to be held. It is to be asked again.
-var ErrStillWaiting = eris.New("balance: no place yet")
+// ErrStillWaiting is returned when a job has waited for its engines for as long as one call to the
+// lead may take. The caller should ask again.
+var ErrStillWaiting = eris.New("balance: still waiting for engines")
 
-// Job is what the choice needs to know of a request.
+// Job describes a request to be placed.
 type Job struct {
-	// Request is the request's id, for the logs.
+	// RequestID is the request's id, for logs.
 	RequestID    string
 	Service      string
 	PromptTokens int
 	OutputTokens int
 	Objective    time.Duration
-	// Rank is the priority, 0 first.
+	// Priority ranks jobs; 0 goes first.
 	Priority int
-	// Cost is how the service's engines spend their time; nil for plain
-	// services.
+	// Cost is the cost model of the service's engines; nil for plain services.
 	Cost *fleet.CostModel
-	// Tightest is the shortest pause that any stream of the service may have.
+	// MaxPause is the shortest of the maximum pauses between events that the service's streams
+	// allow.
 	MaxPause time.Duration
-	// Since is when the caller asked; zero is now.
+	// Arrival is when the request arrived; zero means now.
 	Arrival time.Time
-	// First is when the caller first tried, by which its answer is late; zero is Since.
+	// FirstArrival is when the caller first tried; the objective counts from then. Zero means
+	// Arrival.
 	FirstArrival time.Time
-	// Returned is set if the caller has come back after a refusal, so that it has no further try.
+	// CallerRetry is set if the caller has come back after a refusal, and so will not retry again.
 	CallerRetry bool
-	// Until is when the caller stops waiting for the first event; zero is not known.
+	// FirstEventDeadline is when the caller stops waiting for the first event; zero if unknown.
 	FirstEventDeadline time.Time
 	// Avoid lists targets that have already failed the request.
 	Avoid []barleystep.TargetID
-	// Alone asks for no helpers: a target has refused the request with some, and has
-	// not said which of them it cannot reach.
+	// NoHelpers asks for no helpers: a target has refused the request with some, without naming the
+	// one it could not reach.
 	NoHelpers bool
-	// Near asks for helpers of the target's own hall only: a target could not reach one
-	// in another hall, from which its own may be cut off.
+	// LocalHelpers asks for helpers in the target's own hall only: a target could not reach one in
+	// another hall, from which its own may be partitioned.
 	LocalHelpers bool
 
-	// Hall is that of the box which serves the caller; empty is the balancer's own.
+	// Hall is the hall of the box that serves the caller; empty means the balancer's own.
 	Hall barleystep.HallID
-	// Granted is set while the job is placed for another box.
+	// ForPeer is set while the job is placed for another box.
 	ForPeer bool
 
-	// Suspect is the digest of a request that is to run alone, since targets have ended under
-	// it; zero for any other. Ended is how many.
+	// Suspect is the digest of a request that must run alone because targets have ended under it;
+	// zero for any other. EndedTargets is how many have.
 	Suspect      suspect.Digest
 	EndedTargets int
 
-	// spare is how many slots the job must leave free.
+	// reservedSlots is the number of slots that the job must leave free.
 	reservedSlots int
 }
 
-// Report is what a try taught about its target.
+// Report is the outcome of a try, as far as it concerns the target.
 type Report struct {
-	// Unreachable is set when no connection to the target could be had.
+	// Unreachable is set when no connection to the target could be made.
 	Unreachable bool
-	// Failed is set when no whole answer came although nobody gave it up.
+	// Failed is set when the answer was incomplete although nobody cancelled the request.
 	Failed bool
-	// Error is set when the target answered with a failure of its own.
+	// Error is set when the target answered with an error of its own.
 	Error bool
-	// Full is set when the target did not take the request.
+	// Full is set when the target refused the request.
 	Full bool
 	// Moved is set when another target has the address.
 	Moved bool
-	// Helper is a helper that the target could not reach, if it named one.
+	// UnreachableHelper is the helper that the target could not reach, if it named one.
 	UnreachableHelper barleystep.TargetID
 }
 
-// Balancer chooses targets. Its exported fields are set before use; it is safe
-// for concurrent use.
+// Balancer chooses targets. Its exported fields are set before use; it is safe for concurrent use.
 type Balancer struct {
 	Clock barleystep.Clock
 	Hall  barleystep.HallID
 	// Targets lists the targets that may get work.
 	Targets func() []fleet.Target
-	// LongestRest bounds the rest that a target may ask for; zero is a default.
+	// MaxRest bounds the rest that a target may ask for; zero means a default.
 	MaxRest time.Duration
-	// Lead is asked for the engines of long prompts; nil places them here.
+	// Lead plans the placement of prompts; nil places them here.
 	Lead Lead
-	// Rand is drawn from where a choice is left to chance; nil draws from the
-	// runtime's. It is used under the balancer's lock only.
+	// Rand is the source of random choices; nil uses the runtime's. It is used under the balancer's
+	// lock only.
 	Rand *rand.Rand
-	// Suspects is what is known of requests under which targets have ended; it may be nil.
+	// Suspects records the requests under which targets have ended; it may be nil.
 	Suspects *suspect.Registry
 	Log      *log.Logger
 
 	mu     sync.Mutex
 	states map[barleystep.TargetID]*targetState
-	// declined holds the targets that may leave or rest, so that a question to the lead does not
-	// go through all states.
+	// declined holds the targets that may be leaving or resting, so that a plan request to the lead
+	// does not scan all states.
 	declined map[barleystep.TargetID]bool
 	demands  map[string]*demand
-	// turns has how often long prompts of each size are given engines, by service.
+	// sizeStats counts, by service, how often long prompts of each size are placed.
 	sizeStats map[string]*sizeStats
-	// lightQueue and heavyQueue hold the jobs that wait for a place, limitQueue those whose
-	// targets have all named a limit that is used up.
+	// shortQueue and longQueue hold the jobs that wait for a slot or for engines; limitQueue holds
+	// those whose targets have all used up their rate limits.
 	shortQueue []*QueuedJob
 	longQueue  []*QueuedJob
 	limitQueue []*QueuedJob
-	// role is this box's part among all boxes.
+	// role is this box's role among all boxes.
 	role Role
-	// trialQueue holds the suspects that wait for their trial, and trials has the last one of
-	// each.
+	// trialQueue holds the suspects that wait for their trial, and trials the last trial of each.
 	trialQueue []*QueuedJob
 	trials     map[suspect.Digest]trial
-	// grants are the placements that were made for other boxes, by their numbers, of
-	// which granted is the last. This box is the lead until leadUntil, as far as it
-	// knows.
+	// peerPlacements are the placements made for other boxes by plan id, of which lastPlanID is the
+	// latest. This box acts as the lead until leadUntil, as far as it knows.
 	peerPlacements map[uint64]*peerPlacement
 	lastPlanID     uint64
 	leadUntil      time.Time
-	// seen keeps the sums of work during one choice.
+	// workCache holds the work totals by target during one choice.
 	workCache map[barleystep.TargetID]Work
-	// others is the work and demand of all other boxes, as last heard.
+	// peers is the latest sum of the work and demand of all other boxes.
 	peers Snapshot
 }
 
-// state is what a box knows of one lifetime of a target by itself.
+// targetState is what a box knows first-hand of one incarnation of a target.
 type targetState struct {
-	// key names the lifetime between boxes. It is that of said, the start which the target's
-	// record says now, zero if it says none; born is the last start that one said.
+	// key identifies the incarnation between boxes. It belongs to recordStart, the start time in
+	// the target's current record, zero if it has none. lastStart is the last start time that any
+	// record had.
 	key         Key
 	recordStart int64
 	lastStart   int64
-	// parts are the own tries at the target that have not ended.
+	// parts are the box's own tries at the target that have not ended.
 	parts []*part
-	// failures counts tries in a row that could not reach the target at its address.
+	// unreachableTries counts consecutive tries that could not reach the target at its address.
 	unreachableTries int
-	// heard is when the target last sent something here.
+	// lastEvent is when the target last sent something to this box.
 	lastEvent time.Time
-	// suspect is set while the target is left alone since it seems to be down.
+	// loggedDown is set while the target is logged as down.
 	loggedDown bool
-	// shunned is until when the target gets no work while others can take it.
+	// backoffUntil is the end of the target's backoff: until then it gets no work while others can
+	// take it.
 	backoffUntil time.Time
-	// errors is the recent part of answers that were failures, 0 to 1.
+	// errorRate is the moving average of the share of answers that were failures, from 0 to 1.
 	errorRate float64
-	// believed is what the target says of itself, as far as is known, and heardHere what it has
-	// said to this box.
+	// statement is the latest known statement of the target, and heardLocally the part that it made
+	// to this box.
 	statement    TimedStatement
 	heardLocally TimedStatement
-	// allowance is what this box may send of the target's limit.
+	// rateLimiter tracks what this box may send within the target's limit.
 	rateLimiter rateLimiter
-	// returning is set from a rest on until the target has run something, and probe is what it
-	// was sent since its end.
+	// afterRest is set from a rest until the target has answered something, and probe is the
+	// request that it was sent after its end.
 	afterRest bool
 	probe     *part
-	// absent is since when no record names the target, zero while one does.
+	// absentSince is since when no record names the target; zero while one does.
 	absentSince time.Time
 }
 
 const (
-	// firstShun is how long a target is left alone that could not be reached; it
-	// doubles with each further failure up to longestShun.
+	// minBackoff is the backoff of an unreachable target. It doubles with each further failure up
+	// to maxBackoff.
 	minBackoff = 500 * time.Millisecond
 	maxBackoff = 4 * time.Second
-	// fullShun is how long a target is left alone that had no room.
+	// fullBackoff is the backoff of a target that refused a request because it was full.
 	fullBackoff = 60 * time.Millisecond
-	// movedShun is how long a target is left alone whose address belongs to
-	// another one: its record will be gone by then.
+	// movedBackoff is the backoff of a target whose address belongs to another one. Its record is
+	// expected to be gone by then.
 	movedBackoff = 10 * time.Second
-	// errorWeight is the weight of a new answer in a target's part of failures.
+	// errorWeight is the weight of a new answer in a target's error rate.
 	errorWeight = 0.15
-	// errorPenalty is how many requests in progress a target that always fails
-	// counts for, when plain services are compared, and errorWait how long a wait
-	// when engines are. Both leave such a target some requests, so that its
-	// recovery is noticed, and do not crowd the others when many targets fail.
+	// errorPenalty is the number of requests in progress that a target with an error rate of 1
+	// counts for on plain services, and errorWait the wait that it counts for on engines. Both
+	// leave such a target some requests, so that its recovery is noticed, and do not overload the
+	// others when many targets fail.
 	errorPenalty = 8
 	errorWait    = 600 * time.Millisecond
 )
 
-// Place chooses a target. Where all engines for short prompts are full it waits
-// for a place. It returns ErrNoTarget, ErrFull when there was none, ErrInVain when the
-// caller would not wait for the answer, or the context's error.
+// Place chooses a target and waits for one where all engines for short prompts are full. It returns
+// ErrNoTarget, ErrFull when no target became free in time, ErrCannotMeetDeadline when the caller
+// would give up before the first event, or the context's error.
 func (b *Balancer) Place(ctx context.Context, j Job) (p *Placement, err error) {
 	p, w, err := b.TryPlace(ctx, j)
 	if p != nil || err != nil {
@@ -211,8 +211,7 @@
 	return b.await(ctx, w)
 }
 
-// Ask is Place for callers that do not want to be held up: where the job has to
-// wait for a place it returns the wait.
+// TryPlace is Place without blocking: where the job has to wait, it returns the queued job.
 func (b *Balancer) TryPlace(ctx context.Context, j Job) (p *Placement, w *QueuedJob, err error) {
 	first := j.Arrival.IsZero()
 	if first {
@@ -243,7 +242,8 @@
 	return b.enqueue(j, h)
 }
 
-// tryNew is try for a job that has just come: a long prompt takes its turn among those that wait.
+// placeNew is placeNow for a job that has just arrived: a long prompt does not overtake those that
+// wait.
 func (b *Balancer) placeNew(j Job) (p *Placement, h holdReason, err error) {
 	candidates, h, err := b.usableTargets(j)
 	switch {
@@ -255,7 +255,7 @@
 	return b.chooseTarget(j, candidates)
 }
 
-// try chooses a target; it returns no placement, and why, if the job has to wait.
+// placeNow chooses a target. If the job has to wait, it returns no placement and the reason.
 func (b *Balancer) placeNow(j Job) (p *Placement, h holdReason, err error) {
 	candidates, h, err := b.usableTargets(j)
 	if h != holdNone || err != nil {
@@ -264,7 +264,7 @@
 	return b.chooseTarget(j, candidates)
 }
 
-// usable returns the targets that may take the job now.
+// usableTargets returns the targets that may take the job now.
 func (b *Balancer) usableTargets(j Job) (candidates []fleet.Target, h holdReason, err error) {
 	clear(b.workCache)
 	candidates = b.candidates(j)
@@ -272,7 +272,7 @@
 		return nil, holdNone, ErrNoTarget
 	}
 	if isOversized(j) && !fitsEngines(j, len(candidates)) {
-		return nil, holdMemory, ErrFull // Waiting here would not help.
+		return nil, holdMemory, ErrFull // Waiting would not help.
 	}
 	candidates = b.accepting(j, candidates)
 	if len(candidates) == 0 {
@@ -281,7 +281,7 @@
 	return candidates, holdNone, nil
 }
 
-// choose chooses among the targets that may take the job.
+// chooseTarget chooses among the targets that may take the job.
 func (b *Balancer) chooseTarget(j Job, candidates []fleet.Target) (p *Placement, h holdReason, err error) {
 	switch {
 	case j.isSuspect():
@@ -307,7 +307,7 @@
 	return p, holdNone, nil
 }
 
-// book enters a placement in the books of its targets.
+// record adds a placement to the work of its targets.
 func (b *Balancer) record(p *Placement) {
 	p.balancer, p.sent, p.lost = b, b.Clock.Now(), make(chan struct{})
 	for _, part := range p.parts {
@@ -318,7 +318,7 @@
 	}
 }
 
-// strike takes a placement out of the books of its targets.
+// release removes a placement from the work of its targets.
 func (b *Balancer) release(p *Placement) {
 	for _, own := range p.parts {
 		b.releasePart(own)
@@ -326,7 +326,7 @@
 	p.notifyLead()
 }
 
-// strikePart takes a part out of the books of the lifetime that it was placed on.
+// releasePart removes a part from the work of the incarnation that it was placed on.
 func (b *Balancer) releasePart(p *part) {
 	p.state.parts = slices.DeleteFunc(p.state.parts, func(o *part) bool { return o == p })
 	if p.state.probe == p {
@@ -347,8 +347,8 @@
 	return s
 }
 
-// placePlain takes the target with the fewest requests in progress, one of the
-// caller's hall where there is little between them.
+// placePlain takes the target with the fewest requests in progress and prefers the caller's hall if
+// the difference is small.
 func (b *Balancer) placePlain(j Job, candidates []fleet.Target) *Placement {
 	best, least := 0, 0.0
 	for i, t := range candidates {
@@ -375,7 +375,7 @@
 	switch {
 	case r.Moved:
 		s.backoffUntil = now.Add(movedBackoff)
-		s.unreachableTries++ // The others are told: each of them would be refused once.
+		s.unreachableTries++ // Reported to peers: each of them would be refused once.
 	case r.Unreachable:
 		s.backoffUntil = now.Add(min(minBackoff<<min(s.unreachableTries, 8), maxBackoff))
 		s.unreachableTries++
@@ -394,8 +394,7 @@
 	s.errorRate += errorWeight * (bad - s.errorRate)
 }
 
-// Forget drops what is known of targets that are gone. It is called now and
-// then.
+// Prune drops the state of targets that are gone. It is called periodically.
 func (b *Balancer) Prune() {
 	present := make(map[barleystep.TargetID]bool)
 	for _, t := range b.Targets() {
--- a/internal/balance/bench_test.go
+++ b/internal/balance/bench_test.go
@@ -9,12 +9,11 @@
 	"github.com/barleystep/barleystep/internal/balance"
 )
 
-// BenchmarkCapacityPlaceLong measures how long the lead takes to choose the engines of
-// a long prompt: what it costs it each time that it looks whether a prompt can go.
+// BenchmarkCapacityPlaceLong measures how long the lead takes to choose the engines of a long
+// prompt, which it does each time that it tries to place one.
 func BenchmarkCapacityPlaceLong(b *testing.B) { benchmarkPlace(b, longPrompt) }
 
-// BenchmarkCapacityPlaceShort measures how long it takes to choose the engine of a short
-// prompt.
+// BenchmarkCapacityPlaceShort measures how long it takes to choose the engine of a short prompt.
 func BenchmarkCapacityPlaceShort(b *testing.B) { benchmarkPlace(b, shortPrompt) }
 
 func benchmarkPlace(b *testing.B, prompt int) {
@@ -44,8 +43,8 @@
 	}
 }
 
-// BenchmarkCapacityAskLead measures a question to the lead of a box that knows many targets, of
-// which a few leave.
+// BenchmarkCapacityAskLead measures a plan request to the lead by a box that knows many targets, a
+// few of which are leaving.
 func BenchmarkCapacityAskLead(b *testing.B) {
 	for _, targets := range []int{100, 1000} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
@@ -66,13 +65,13 @@
 	}
 }
 
-// fullLead is a lead without a place.
+// fullLead is a lead that has no target for any job.
 type fullLead struct{}
 
-// Place returns that there is none.
+// Place returns ErrFull.
 func (fullLead) Place(context.Context, balance.Job) (balance.Plan, error) {
 	return balance.Plan{}, balance.ErrFull
 }
 
-// Read does nothing.
+// PrefillDone does nothing.
 func (fullLead) PrefillDone(uint64) {}
--- a/internal/balance/candidates.go
+++ b/internal/balance/candidates.go
@@ -8,8 +8,8 @@
 	"github.com/barleystep/barleystep/internal/fleet"
 )
 
-// candidates returns the service's targets that may take the job: the best of those that
-// neither leave, by their record or their own word, nor have failed the request.
+// candidates returns the service's targets of the best tier that may take the job. Targets that are
+// leaving, by their record or their own statement, or that have failed the request are left out.
 func (b *Balancer) candidates(j Job) []fleet.Target {
 	now, trialTargets := b.Clock.Now(), b.trialTargets()
 	var by [tierResting + 1][]fleet.Target
@@ -19,7 +19,7 @@
 		}
 		s, _ := b.observe(t)
 		if s.isLeaving() {
-			continue // Its word is newer than its record, which it may not be able to write.
+			continue // Its statement is newer than its record, which it may be unable to write.
 		}
 		g := b.tierOf(t.ID, s, j, now)
 		if g == tierNormal && slices.Contains(trialTargets, t.ID) {
@@ -35,23 +35,22 @@
 	return nil
 }
 
-// grade is how gladly a target is given work. Those of one grade get it where there is none of a
-// better one.
+// tier ranks targets by preference. Targets of a tier get the job only where there is none of a
+// better tier.
 type tier uint8
 
 const (
 	tierNormal tier = iota
-	// gradeShunned targets are left alone for a moment, run a suspect, or have asked another box
-	// for rest.
+	// tierBackoff targets are in backoff, run a suspect, or have asked another box for rest.
 	tierBackoff
-	// gradeResting targets have asked this box for rest: they are what is waited for.
+	// tierResting targets have asked this box for rest: the job waits for them.
 	tierResting
 )
 
-// gradeOf returns how gladly the target is given the job. One that runs a suspect is not told
-// apart here.
+// tierOf returns the target's tier for the job. It does not consider whether the target runs a
+// suspect.
 func (b *Balancer) tierOf(id barleystep.TargetID, s *targetState, j Job, now time.Time) tier {
-	inBackoff := b.checkBackoff(id, s, now) // It logs a change of belief.
+	inBackoff := b.checkBackoff(id, s, now) // This logs a change.
 	switch {
 	case s.isRestingOrProbing(now) && !j.ForPeer:
 		return tierResting
@@ -62,7 +61,7 @@
 	}
 }
 
-// Staying returns those of the targets that are listed and not about to leave.
+// NotLeaving returns the targets among ids that are listed and not about to leave.
 func (b *Balancer) NotLeaving(ids []barleystep.TargetID) []fleet.Target {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/balance/demand.go
+++ b/internal/balance/demand.go
@@ -5,23 +5,22 @@
 	"time"
 )
 
-// Demand is what callers ask of a service, in engines: 1 is what keeps one
-// engine busy.
+// Demand is the prefill that callers ask of a service, in engines: 1 keeps one engine busy.
 type Demand struct {
-	// Light is the reading of short prompts and Heavy that of long ones.
+	// Short is the prefill of short prompts and Long that of long ones.
 	Short float64
 	Long  float64
 }
 
-// demand is a decaying sum of the reading that one box was asked for.
+// demand is a decaying sum of the prefill seconds that one box was asked for.
 type demand struct {
 	short float64
 	long  float64
 	at    time.Time
 }
 
-// demandLife is the mean age of the reading that counts. Bursts of short and of
-// long prompts come by turns, every ten seconds or so.
+// demandDecay is the mean age of the prefill that counts. Bursts of short and of long prompts
+// alternate about every 10 s.
 const demandDecay = 2 * time.Second
 
 func (d *demand) decay(now time.Time) {
@@ -42,7 +41,7 @@
 	}
 }
 
-// negligible is a demand that is not worth telling others.
+// minDemand is the demand below which nothing is sent to peers.
 const minDemand = 0.001
 
 func (d *demand) rate(now time.Time) Demand {
@@ -54,7 +53,7 @@
 	return r
 }
 
-// note counts a job's reading as demand.
+// noteDemand adds a job's prefill time to the demand.
 func (b *Balancer) noteDemand(j Job, prefill time.Duration, long bool) {
 	if b.demands == nil {
 		b.demands = make(map[string]*demand)
@@ -67,8 +66,8 @@
 	d.add(b.Clock.Now(), prefill, long)
 }
 
-// noteHeavy counts a long prompt as demand when it is asked for the first time. One
-// that is longer than an engine's memory only counts once it is placed.
+// noteLongDemand adds a long prompt to the demand when it first arrives. An oversized prompt counts
+// only once it is placed.
 func (b *Balancer) noteLongDemand(j Job) {
 	if !IsLongPrompt(j) || isOversized(j) {
 		return
--- a/internal/balance/fairness_test.go
+++ b/internal/balance/fairness_test.go
@@ -9,12 +9,13 @@
 	"github.com/barleystep/barleystep/internal/balance"
 )
 
-// TestLaggingSize checks that a long prompt goes before a shorter one that waits too once its size
-// is given engines less often: prompts that need the most engine time waited behind all others.
+// TestLaggingSizeGoesFirst checks that a long prompt goes before a shorter one that waits too once
+// its size class is placed less often. It guards against prompts that need the most engine time
+// starving behind all others.
 func TestLaggingSizeGoesFirst(t *testing.T) {
 	const small, large = 50_000, 200_000
 	cases := map[string]struct {
-		refused int // refused is how many large prompts have been given up before.
+		refused int // refused is how many large prompts have timed out before.
 		want    int
 	}{
 		"as often": {0, small},
--- a/internal/balance/hall_test.go
+++ b/internal/balance/hall_test.go
@@ -14,15 +14,16 @@
 	"github.com/barleystep/barleystep/internal/fleet"
 )
 
-// TestOwnHall checks that short prompts go to engines of their caller's hall, from which
-// that is not cut off, unless those of another hall are better by more than a margin.
+// TestShortPromptsStayInHall checks that short prompts go to engines in their caller's hall, from
+// which the caller is not partitioned, unless those of another hall are better by more than a
+// margin.
 func TestShortPromptsStayInHall(t *testing.T) {
 	cases := map[string]struct {
-		// near and far are what engines of the own and of another hall have to read.
+		// near and far are the prefill backlogs of engines in the own and in another hall.
 		near time.Duration
 		far  time.Duration
 		asks barleystep.HallID
-		want barleystep.HallID // want is empty where any will do.
+		want barleystep.HallID // want is empty if any hall is right.
 	}{
 		"all idle":                       {0, 0, "", "h"},
 		"a little better elsewhere":      {40 * time.Millisecond, 0, "", "h"},
@@ -56,9 +57,9 @@
 	}
 }
 
-// TestHallsBeforeRegions checks that a short prompt stays with the engines for short prompts
-// while one of these in any hall is nearly as good as an idle one for long prompts, and is
-// then answered in its caller's hall.
+// TestHallScoreKeepsRegions checks that a short prompt stays with the engines for short prompts
+// while one of these in any hall is nearly as good as an idle one for long prompts, and is then
+// served in its caller's hall.
 func TestHallScoreKeepsRegions(t *testing.T) {
 	const engines = 20
 	const near, far = 90 * time.Millisecond, 40 * time.Millisecond
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// heardLife is for how long a target that sent something here is taken for up
-	// whatever other boxes say: some of them may merely be cut off from it. Engines
-	// with streams send events several times in this time.
+	// eventFreshness is how long a target that sent something to this box counts as up, whatever
+	// peers report: some of them may be partitioned from it. Engines with streams send events
+	// several times in this period.
 	eventFreshness = 400 * time.Millisecond
 	logPrefix      = "balance: "
 )
 
-// down reports whether this box could not reach the target a moment ago.
+// isUnreachable reports whether this box has recently failed to reach the target.
 func (s *targetState) isUnreachable(now time.Time) bool {
 	return s.unreachableTries > 0 && now.Before(s.backoffUntil)
 }
 
-// Down reports whether the target seems to be down: this box could not reach it a
-// moment ago, or another one could not, and nothing has come from it here since.
+// IsDown reports whether the target seems to be down: this box has recently failed to reach it, or
+// a peer has and nothing has come from it here since.
 func (b *Balancer) IsDown(id barleystep.TargetID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -34,8 +34,8 @@
 	return b.peers.Work[s.key].DownReports > 0 && now.Sub(s.lastEvent) > eventFreshness
 }
 
-// leaves reports whether the target is left alone while others can take the work,
-// and logs when it begins or ceases to seem down.
+// checkBackoff reports whether the target is in backoff or seems to be down, and logs when the
+// latter changes.
 func (b *Balancer) checkBackoff(id barleystep.TargetID, s *targetState, now time.Time) bool {
 	isDown := b.seemsDown(s, now)
 	if isDown != s.loggedDown {
@@ -49,9 +49,9 @@
 	if b.Log == nil {
 		return
 	}
-	e, text := b.Log.Info(), "A target takes work again."
+	e, text := b.Log.Info(), "A target is no longer considered down."
 	if s.loggedDown {
-		e, text = b.Log.Warn(), "A target seems to be down. It is left alone."
+		e, text = b.Log.Warn(), "A target seems to be down. It gets no work while others can take it."
 	}
 	e.Str("target", string(id)).Int("own_failures", s.unreachableTries).
 		Int("other_boxes", b.peers.Work[s.key].DownReports).
--- a/internal/balance/health_test.go
+++ b/internal/balance/health_test.go
@@ -10,8 +10,8 @@
 	"github.com/barleystep/barleystep/internal/balance"
 )
 
-// TestDown checks when a target is taken to be down: by what this box found, or by
-// what others found while nothing came from the target here.
+// TestIsDown checks when a target is considered down: by this box's own failures, or by reports of
+// peers while nothing came from the target here.
 func TestIsDown(t *testing.T) {
 	told := balance.NewSnapshot()
 	told.Work[balance.KeyOf("i-00")] = balance.Work{DownReports: 1}
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestTellsDown checks that other boxes are told of a target that was not reached, or whose
-// address is another's now, for as long as it is left alone.
+// TestDownReported checks that peers are told of a target that was unreachable, or whose address
+// belongs to another one now, for the length of its backoff.
 func TestDownReported(t *testing.T) {
 	cases := map[string]struct {
 		report balance.Report
--- a/internal/balance/helperbackoff_test.go
+++ b/internal/balance/helperbackoff_test.go
@@ -32,9 +32,9 @@
 	return seen
 }
 
-// TestBlamedHelper checks that a helper because of which a target has refused a prompt is not
-// asked to help for a while, by this box and by those that it tells, and that it takes requests
-// of its own meanwhile.
+// TestHelperBackoff checks that a helper because of which a target has refused a prompt gets no
+// parts of prompts for a while, from this box or its peers, and that it still takes requests of its
+// own.
 func TestHelperBackoff(t *testing.T) {
 	c := quicktest.New(t)
 	first, second := newFixture(8), newFixture(8)
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestBlamedHelperNeeded checks that a prompt which needs the memory of all engines gets that of
-// the blamed one too.
+// TestHelperBackoffIgnoredWhenNeeded checks that a prompt which needs the KV cache of all engines
+// also gets that of a helper in backoff.
 func TestHelperBackoffIgnoredWhenNeeded(t *testing.T) {
 	const engines = 4
 	f := newFixture(engines)
--- a/internal/balance/holdreason.go
+++ b/internal/balance/holdreason.go
@@ -1,29 +1,29 @@
 package balance
 
-// hold says why a job was given no place the last time that it was tried.
+// holdReason is why a job could not be placed when it was last tried.
 type holdReason uint8
 
 const (
-	// holdNone is that of a job that was not tried yet, or that has a place.
+	// holdNone means that the job was not tried yet, or is placed.
 	holdNone holdReason = iota
-	// holdSlots is that all engines for short prompts are full.
+	// holdSlots means that all engines for short prompts are full.
 	holdSlots
-	// holdBehind is that another job before it found no place either.
+	// holdBehind means that a job ahead of it could not be placed either.
 	holdBehind
-	// holdReading is that its engines still read something else.
+	// holdPrefill means that its engines still prefill other prompts.
 	holdPrefill
-	// holdMemory is that its helpers lack the memory.
+	// holdMemory means that its helpers lack KV cache.
 	holdMemory
-	// holdStreams is that the streams that it would hold up are worth more, or end soon.
+	// holdStreams means that the streams that it would stall are worth more, or end soon.
 	holdStreams
-	// holdLimit is that all its targets have named a limit, which is used up, or rest.
+	// holdLimit means that all its targets rest or have used up their rate limits.
 	holdLimit
-	// holdTrial is that it is a suspect, which runs alone, and that another one does, or no
-	// engine is left for it.
+	// holdSuspect means that it is a suspect and must run alone, while another one runs or no
+	// engine is left.
 	holdSuspect
 )
 
-// String returns the cause in words.
+// String returns the reason in words.
 func (h holdReason) String() string {
 	return [...]string{"not tried", "slots are taken", "behind another", "engines read", "memory is lacking", "streams are worth more", "limits are used up or targets rest", "a suspect runs"}[h]
 }
--- a/internal/balance/incarnation.go
+++ b/internal/balance/incarnation.go
@@ -7,13 +7,13 @@
 	"github.com/barleystep/barleystep/internal/fleet"
 )
 
-// newsWindow is how long before the news of a restart the new lifetime may have been given
-// work: it is told of some tens of milliseconds after its start, and the old one took none
-// while it was down. A try that was sent, or heard of, within it is taken to run on the new
-// lifetime; should it not, its silence ends it.
+// restartNewsWindow is how long before the news of a restart the new incarnation may have been
+// given work: the news comes some tens of milliseconds after its start, and the old one took none
+// while it was down. A try that was sent, or had an event, within this window is taken to run on
+// the new incarnation; if it does not, the stall time-out ends it.
 const restartNewsWindow = 250 * time.Millisecond
 
-// Renew drops what is known of earlier lifetimes of the targets. It is called whenever the
+// DetectRestarts drops the state of earlier incarnations of the targets. It is called whenever the
 // targets have changed.
 func (b *Balancer) DetectRestarts() {
 	b.mu.Lock()
@@ -33,9 +33,8 @@
 	}
 }
 
-// meet takes note of the target's lifetime. It returns what is known of it, and whether it is
-// a new one under a known id: the books, failures and marks of the earlier one are dropped
-// then.
+// observe updates the target's incarnation and returns its state. renewed is true for a new
+// incarnation under a known id; the work, failures and backoff of the earlier one are dropped then.
 func (b *Balancer) observe(t fleet.Target) (s *targetState, renewed bool) {
 	s = b.targetState(t.ID)
 	renewed = t.Restarted(s.lastStart)
@@ -52,13 +51,13 @@
 	return s, renewed
 }
 
-// restart begins the books of a new lifetime with the tries that run there already. The
-// others were on the earlier one and are lost.
+// resetState starts the state of a new incarnation with the tries that already run there. All
+// others ran on the earlier one and are lost.
 func (b *Balancer) resetState(old *targetState, id barleystep.TargetID) *targetState {
 	now := b.Clock.Now()
 	s := &targetState{key: KeyOf(string(id))}
-	// News of a restart may be a second late: the new lifetime may have asked for rest already.
-	// What the earlier one has asked for ends by itself.
+	// News of a restart may be a second late: the new incarnation may have asked for rest already.
+	// A rest that the earlier one asked for expires by itself.
 	s.heardLocally.Rest, s.afterRest = old.heardLocally.Rest, old.afterRest
 	lost := 0
 	for _, p := range old.parts {
@@ -75,13 +74,13 @@
 	b.states[id] = s
 	if b.Log != nil {
 		b.Log.Info().Str("target", string(id)).Int("lost", lost).Int("kept", len(s.parts)).
-			Msg(logPrefix + "A target has started anew. What was known of it before is dropped.")
+			Msg(logPrefix + "A target has restarted. Its earlier state is dropped.")
 	}
 	return s
 }
 
-// recent reports whether the try was sent or heard of so lately that it runs on the lifetime
-// of which there is news now.
+// isRecent reports whether the try was sent, or had an event, so recently that it runs on the
+// incarnation that was just reported.
 func (p *Placement) isRecent(now time.Time) bool {
 	last := p.sent
 	if p.lastEvent.After(last) {
@@ -90,8 +89,8 @@
 	return now.Sub(last) < restartNewsWindow
 }
 
-// end notes that the lifetime is over on which the part was placed. The try is lost with it,
-// unless the part was a helper's that was read and set no memory aside.
+// markLost notes that the incarnation on which the part was placed is over. The try is lost with
+// it, unless the part was a helper's that is prefilled and reserved no KV cache.
 func (p *part) markLost() {
 	p.hasRestarted = true
 	own := p.placement
@@ -105,10 +104,10 @@
 	}
 }
 
-// Lost is closed when a target that the try needs has started anew: nothing more will come.
+// Lost is closed when a target that the try needs has restarted: nothing more will come.
 func (p *Placement) Lost() <-chan struct{} { return p.lost }
 
-// Over reports whether the target has started anew since the placement was made there.
+// HasRestarted reports whether the target has restarted since the placement was made there.
 func (p *Placement) HasRestarted(id barleystep.TargetID) bool {
 	b := p.balancer
 	b.mu.Lock()
--- a/internal/balance/incarnation_test.go
+++ b/internal/balance/incarnation_test.go
@@ -12,16 +12,16 @@
 	"github.com/barleystep/barleystep/internal/fleet"
 )
 
-// settled is longer than news of a restart takes.
+// pastRestartNews is longer than the news of a restart takes.
 const pastRestartNews = time.Second
 
-// say has a target say when it started.
+// announceStart sets the start time in a target's record.
 func (f *fixture) announceStart(i int, born int64) {
 	f.targets[i].StartMS = born
 	f.DetectRestarts()
 }
 
-// other returns what a box that takes a target to be of a lifetime tells of it.
+// peerSnapshot returns the gossip of a box that knows a target by the given start time.
 func peerSnapshot(t fleet.Target, born int64, w balance.Work) balance.Snapshot {
 	t.StartMS = born
 	s := balance.NewSnapshot()
@@ -50,7 +50,7 @@
 	}
 }
 
-// TestRestartDropsBooks checks what a box knows of a target after what it says of its start.
+// TestRestartDropsWork checks what a box knows of a target after a change of its start time.
 func TestRestartDropsWork(t *testing.T) {
 	cases := map[string]struct {
 		first, second int64
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestRestartOverSilence checks that a lifetime is told from the one before although an
-// entry between them did not say.
+// TestRestartAcrossUnknownStart checks that an incarnation is told from the one before although a
+// record without a start time came between them.
 func TestRestartAcrossUnknownStart(t *testing.T) {
 	f := newFixture(1)
 	f.targets[0].StartMS = 100
@@ -100,8 +100,8 @@
 	quicktest.Check(t, lost(p), quicktest.IsTrue)
 }
 
-// TestRestartDropsMarks checks that a new lifetime is not left alone for failures of the one
-// before, found here or by others, early or late.
+// TestRestartClearsBackoff checks that a new incarnation is not in backoff for failures of the one
+// before, found here or by peers, early or late.
 func TestRestartClearsBackoff(t *testing.T) {
 	unreachable := func(f *fixture, t *testing.T) {
 		f.place(t, only(0, f)).Done(balance.Report{Unreachable: true})
@@ -139,7 +139,7 @@
 	}
 }
 
-// TestRestartForgivesErrors checks that a new lifetime gets its share of the work at once.
+// TestRestartClearsErrorRate checks that a new incarnation gets its share of the work at once.
 func TestRestartClearsErrorRate(t *testing.T) {
 	f := newFixture(2)
 	f.targets[0].StartMS = 100
@@ -157,8 +157,8 @@
 	quicktest.Check(t, first, quicktest.Equals, 5)
 }
 
-// TestLateAnswer checks that a try of an old lifetime that ends late teaches nothing of the
-// new one.
+// TestLateReportOfOldIncarnation checks that a try on an old incarnation that ends late does not
+// affect the new one.
 func TestLateReportOfOldIncarnation(t *testing.T) {
 	f := newFixture(2)
 	f.targets[0].StartMS = 100
@@ -170,8 +170,8 @@
 	quicktest.Check(t, f.Snapshot().Work, quicktest.HasLen, 0)
 }
 
-// TestRestartOfHelper checks which restarts end a long prompt: those of the targets that it
-// still needs.
+// TestRestartOfHelper checks which restarts end a long prompt: those of the targets that it still
+// needs.
 func TestRestartOfHelper(t *testing.T) {
 	const giantPrompt = 500_000
 	cases := map[string]struct {
@@ -212,8 +212,8 @@
 	}
 }
 
-// TestRestartEndsGrants checks that the lead counts nothing of what it placed on a lifetime
-// that is over, and that the rest of the placement counts on.
+// TestRestartEndsPeerPlacements checks that the lead does not count what it placed on an
+// incarnation that is over, and that the rest of the placement still counts.
 func TestRestartEndsPeerPlacements(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(12)
@@ -234,7 +234,7 @@
 	}
 	f.clock.Advance(10 * time.Millisecond)
 	c.Assert(backlog(plan.Target) > 0, quicktest.IsTrue)
-	f.clock.Advance(300 * time.Millisecond) // It is late, and so still counts.
+	f.clock.Advance(300 * time.Millisecond) // It is overdue, and so still counts.
 	for i := range f.targets {
 		if f.targets[i].ID == plan.Target {
 			f.announceStart(i, 200)
@@ -247,7 +247,7 @@
 	c.Check(f.Snapshot().Work, quicktest.HasLen, 0)
 }
 
-// TestRestartFreesRoom checks that a job that waits for a place gets that of a lost try.
+// TestRestartFreesSlots checks that a queued job gets the slot of a lost try.
 func TestRestartFreesSlots(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(1)
--- a/internal/balance/lead.go
+++ b/internal/balance/lead.go
@@ -12,72 +12,71 @@
 	"github.com/barleystep/barleystep/internal/fleet"
 )
 
-// Lead is the one box that places the prompts of all, the requests to services with targets
-// that have named a limit, and suspects. Long ones take many engines at
-// once; short ones are late where two of them are read in one pass. Boxes that decide
-// at the same moment, each without knowing of the other, would take the same engines.
+// Lead is the one box that places prompts, requests to services with rate-limited targets, and
+// suspects for all boxes. Long prompts take many engines at once, and short ones are late where two
+// of them are prefilled in one pass: boxes that decide at the same moment, unaware of each other,
+// would choose the same engines.
 type Lead interface {
-	// Place returns the plan for a prompt, once its engines are ready for it. It
-	// returns ErrFull if the prompt should come back later, ErrInVain if its caller would
-	// be gone, and any other error if it is to be placed here.
+	// Place returns the plan for a job once its engines are ready for it. It returns ErrFull if the
+	// caller should retry later, ErrCannotMeetDeadline if it would be gone, and any other error if
+	// the job is to be placed here.
 	Place(ctx context.Context, j Job) (Plan, error)
-	// Read tells the lead that its plan's long prompt was read, or never will be, so
-	// that the engines are ready for the next one. It does not wait.
+	// PrefillDone tells the lead that the long prompt of its plan was prefilled, or never will be,
+	// so that the engines are ready for the next one. It does not block.
 	PrefillDone(plan uint64)
 }
 
-// ErrHere is returned by a lead that is this box.
-var ErrIsLead = eris.New("balance: this box decides itself")
+// ErrIsLead is returned by a Lead when this box is the lead.
+var ErrIsLead = eris.New("balance: this box is the lead")
 
-// Plan names the engines of a long prompt.
+// Plan names the engines of a prompt.
 type Plan struct {
-	// Number is the lead's number of the plan.
+	// ID is the lead's number of the plan.
 	ID           uint64
 	Target       barleystep.TargetID
 	Helpers      []PlannedHelper
 	ExpectedTTFT time.Duration
 }
 
-// PlannedHelper is an engine that is to read a part of the prompt, with the
-// memory, in tokens, to be set aside there.
+// PlannedHelper is an engine that prefills a part of the prompt, with the KV cache, in tokens, to
+// be reserved there.
 type PlannedHelper struct {
 	Target   barleystep.TargetID
 	KVTokens int
 }
 
-// grant is a placement that was made for another box.
+// peerPlacement is a placement that was made for another box.
 type peerPlacement struct {
 	placement *Placement
-	// counted is until when its requests and memory count here, and until when its
-	// reading counts if its box says nothing.
+	// countedUntil is until when its requests and KV cache count here, and prefillUntil until when
+	// its prefill does if its box reports nothing.
 	countedUntil time.Time
 	prefillUntil time.Time
 }
 
 const (
-	// grantLife is how long the requests and the memory of a placement for another
-	// box count here: until that box has told of them, which takes some ticks of the
-	// gossip.
+	// peerPlacementLife is how long the requests and the KV cache of a placement for another box
+	// count here: until that box's own report arrives, which takes some gossip rounds.
 	peerPlacementLife = 200 * time.Millisecond
-	// lightGrantLife is the same for short prompts, of which a few a second go to an
-	// engine: what counts twice for longer holds up long ones.
+	// shortPeerPlacementLife is the same for short prompts, of which a few a second go to an
+	// engine: double counting for longer holds up long ones.
 	shortPeerPlacementLife = 100 * time.Millisecond
-	// readLate is how long after its time a prompt counts as unread of which its box
-	// has said nothing: the box may be gone.
+	// prefillGrace is how long past its expected end a prefill still counts when its box reports
+	// nothing: the box may be gone.
 	prefillGrace = 2 * time.Second
-	// leadMemory is for how long a box counts as the lead that has placed a long prompt
-	// as such: they come a few a second, and none of them leaves nothing to know.
+	// leadRecency is how long a box counts as the lead after it has placed a job for a peer. Long
+	// prompts arrive a few a second; without any there is nothing to account for.
 	leadRecency = time.Second
 )
 
-// askLead has a prompt placed by the lead. It returns nothing if there is no
-// lead, or none that answers: the prompt is then placed here.
+// requestPlan has the lead place a job. It returns nothing if there is no lead or it does not
+// answer: the job is then placed here.
 func (b *Balancer) requestPlan(ctx context.Context, j Job) (p *Placement, err error) {
 	if b.Lead == nil || (j.Cost == nil && !j.isSuspect() && !b.hasLimitedTarget(j.Service)) {
 		return nil, nil
 	}
 	asked := j
-	asked.Avoid = slices.Concat(j.Avoid, b.declinedTargets()) // The lead may not have heard of them.
+	asked.Avoid = slices.Concat(j.Avoid, b.declinedTargets()) // The lead may not know of them yet.
 	plan, err := b.Lead.Place(ctx, asked)
 	if eris.Is(err, ErrIsLead) {
 		b.mu.Lock()
@@ -87,20 +86,20 @@
 	switch {
 	case err == nil:
 		if p = b.Adopt(j, plan); p == nil && IsLongPrompt(j) {
-			b.Lead.PrefillDone(plan.ID) // Nobody will read it there.
+			b.Lead.PrefillDone(plan.ID) // It will not be prefilled there.
 		}
 		return p, nil
 	case eris.Is(err, ErrFull), eris.Is(err, ErrCannotMeetDeadline), eris.Is(err, ErrSuspectRefused):
 		return nil, err
-	case ctx.Err() != nil: // Nobody would carry out what is placed here.
+	case ctx.Err() != nil: // Nobody would carry out a placement made here.
 		return nil, context.Cause(ctx)
 	default:
-		return nil, nil // The client has logged why; the prompt is placed here.
+		return nil, nil // The client has logged the error; the job is placed here.
 	}
 }
 
-// Adopt enters a plan in the books, or returns nothing if this box believes that
-// one of its targets takes no work.
+// Adopt records the placement of a plan. It returns nil if this box considers one of the needed
+// targets unavailable.
 func (b *Balancer) Adopt(j Job, plan Plan) *Placement {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -129,7 +128,7 @@
 			return nil
 		}
 		if !ok {
-			continue // The others read more.
+			continue // The other helpers take larger parts.
 		}
 		helpers = append(helpers, t)
 		memory = h.KVTokens
@@ -144,9 +143,9 @@
 	return p
 }
 
-// Grant places a request for another box. It waits until the given time and
-// then returns ErrWaiting. Where ctx has ended, it places nothing: the box asks no longer,
-// and nobody would carry it out.
+// PlaceForPeer places a request for another box. It waits until the given time and then returns
+// ErrStillWaiting. If ctx has ended it places nothing: the box no longer asks, and nobody would
+// carry the plan out.
 func (b *Balancer) PlaceForPeer(ctx context.Context, j Job, until time.Time) (plan Plan, err error) {
 	j.ForPeer = true
 	p, w, err := b.TryPlace(ctx, j)
@@ -166,14 +165,14 @@
 	return b.HandOver(p), nil
 }
 
-// HandOver makes a placement of this box one that another box carries out. It stays
-// in the books here until that box tells of it.
+// HandOver turns a placement of this box into a plan that another box carries out. It counts here
+// until that box reports it.
 func (b *Balancer) HandOver(p *Placement) Plan {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.peerPlacements == nil {
 		b.peerPlacements = make(map[uint64]*peerPlacement)
-		b.lastPlanID = uint64(b.randIntN(math.MaxInt)) // Leads that follow each other count apart.
+		b.lastPlanID = uint64(b.randIntN(math.MaxInt)) // Successive leads number their plans differently.
 	}
 	now := b.Clock.Now()
 	b.leadUntil = now.Add(leadRecency)
@@ -190,7 +189,7 @@
 	return plan
 }
 
-// EndRead notes that the prompt of a grant was read.
+// PrefillDone notes that the prompt of a peer's plan was prefilled.
 func (b *Balancer) PrefillDone(number uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -204,7 +203,7 @@
 	b.serveQueue(&b.longQueue, len(b.longQueue))
 }
 
-// endGrants strikes the grants that count no longer.
+// expirePeerPlacements releases the placements for peers that no longer count.
 func (b *Balancer) expirePeerPlacements() {
 	now := b.Clock.Now()
 	for number, g := range b.peerPlacements {
@@ -219,14 +218,14 @@
 	}
 }
 
-// uncount leaves only the reading of a placement in the books.
+// keepPrefillOnly drops all work of a placement but its prefill.
 func (p *Placement) keepPrefillOnly() {
 	for _, part := range p.parts {
 		part.work = Work{}
 	}
 }
 
-// tellLead tells the lead that the prompt was read, once.
+// notifyLead tells the lead, once, that the prompt was prefilled.
 func (p *Placement) notifyLead() {
 	if p.plan == 0 {
 		return
--- a/internal/balance/leaving.go
+++ b/internal/balance/leaving.go
@@ -7,12 +7,12 @@
 	"github.com/barleystep/barleystep"
 )
 
-// leavingMemory is for how long it is remembered that a target leaves whose record is gone.
-// Records lapse during an outage of the store and come back, of targets too that leave and
-// serve on for some seconds.
+// leavingRetention is how long a target's leaving is remembered after its record is gone. Records
+// expire during an outage of the store and come back, also those of targets that are leaving and
+// serve for some seconds more.
 const leavingRetention = time.Minute
 
-// note notes whether a record names the target.
+// notePresence notes whether a record names the target.
 func (s *targetState) notePresence(present bool, now time.Time) {
 	switch {
 	case present:
@@ -22,17 +22,17 @@
 	}
 }
 
-// remembers reports whether what is known of a target is kept that no record names.
+// isRetained reports whether the state of a target without a record is kept.
 func (s *targetState) isRetained(now time.Time) bool {
 	return s.isLeaving() && now.Sub(s.absentSince) < leavingRetention
 }
 
-// closed reports whether the target has said that it takes nothing from this box now: it
-// leaves, or rests.
+// isDeclining reports whether the target has stated that it takes nothing from this box now: it is
+// leaving or resting.
 func (s *targetState) isDeclining(now time.Time) bool { return s.isLeaving() || s.isResting(now) }
 
-// withheld returns the targets that are offered nothing by this box now: those that leave or
-// rest, and those that have been sent the one request after their rest.
+// declinedTargets returns the targets to which this box sends nothing now: those that are leaving
+// or resting, and those that have been sent their probe after a rest.
 func (b *Balancer) declinedTargets() []barleystep.TargetID {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -50,7 +50,7 @@
 	return list
 }
 
-// decline notes that the target has said that it leaves or rests.
+// markDeclined notes that the target has stated that it is leaving or resting.
 func (b *Balancer) markDeclined(id barleystep.TargetID) {
 	if b.declined == nil {
 		b.declined = make(map[barleystep.TargetID]bool)
@@ -58,8 +58,8 @@
 	b.declined[id] = true
 }
 
-// Stands reports whether neither the placement's target nor a helper has said since that it
-// takes nothing more.
+// IsValid reports whether neither the placement's target nor a helper has since stated that it
+// takes no more requests.
 func (p *Placement) IsValid() bool {
 	b := p.balancer
 	b.mu.Lock()
--- a/internal/balance/leaving_test.go
+++ b/internal/balance/leaving_test.go
@@ -12,14 +12,14 @@
 	"github.com/barleystep/barleystep/internal/balance"
 )
 
-// leave has the first target say in an answer that it leaves.
+// leave has the first target state in an answer that it is leaving.
 func (f *fixture) leave(t *testing.T) {
 	p := f.place(t, f.only("i-00"))
 	p.NoteStatement(p.Target.ID, barleystep.Statement{Leaving: true}, f.clock.Now())
 	p.Done(balance.Report{})
 }
 
-// TestLeaving checks for how long a target gets nothing that has said that it leaves.
+// TestLeaving checks for how long a leaving target gets nothing.
 func TestLeaving(t *testing.T) {
 	wait := func(d time.Duration) func(f *fixture) { return func(f *fixture) { f.clock.Advance(d) } }
 	gone := func(d time.Duration) func(f *fixture) {
@@ -41,7 +41,7 @@
 		"much later":                 {wait(time.Hour), false},
 		"its record lapses":          {gone(10 * time.Second), false},
 		"its record is gone at last": {gone(2 * time.Minute), true},
-		"it starts anew": {func(f *fixture) {
+		"it restarts": {func(f *fixture) {
 			f.clock.Advance(pastRestartNews)
 			f.announceStart(0, 100)
 			f.announceStart(0, 200)
@@ -57,11 +57,11 @@
 	}
 }
 
-// TestStaysAfterAll checks which answers take back that a target leaves: those to requests that
-// were sent after it had said so.
+// TestLeavingRetractedByLaterAnswer checks which answers retract that a target is leaving: those to
+// requests that were sent after it had stated so.
 func TestLeavingRetractedByLaterAnswer(t *testing.T) {
 	cases := map[string]struct {
-		sent time.Duration // sent is when the request was sent, from the word on.
+		sent time.Duration // sent is when the request was sent, relative to the statement.
 		want bool
 	}{
 		"to an earlier request": {-time.Second, true},
@@ -80,7 +80,7 @@
 	}
 }
 
-// avoider is a lead that notes what it is asked to avoid.
+// recordingLead is a lead that records the targets to avoid.
 type recordingLead struct{ avoided []barleystep.TargetID }
 
 func (a *recordingLead) Place(_ context.Context, j balance.Job) (balance.Plan, error) {
@@ -90,8 +90,8 @@
 
 func (*recordingLead) PrefillDone(uint64) {}
 
-// TestLeavingTold checks that the lead is told which targets leave, that a plan of one that
-// does is not taken over, and that helpers which leave are left out.
+// TestLeavingKeptFromPlans checks that the lead is told which targets are leaving, that a plan with
+// a leaving target is not adopted, and that leaving helpers are left out.
 func TestLeavingKeptFromPlans(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(4)
@@ -106,8 +106,8 @@
 	c.Check(p.Helpers, quicktest.HasLen, 1)
 }
 
-// TestWithdrawn checks that a placement stands until its target says that it leaves, and that a
-// service all of whose targets do has none.
+// TestPlacementInvalidAfterLeaving checks that a placement is valid until its target states that it
+// is leaving, and that a service whose targets are all leaving has none.
 func TestPlacementInvalidAfterLeaving(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(1)
--- a/internal/balance/long.go
+++ b/internal/balance/long.go
@@ -7,15 +7,13 @@
 	"github.com/barleystep/barleystep/internal/fleet"
 )
 
-// readAhead is how much an engine may still have to read when it is given the next
-// part. An engine reads the part that came last first, so that parts that overlap
-// hold each other up.
+// maxPrefillBacklog is the longest prefill backlog of an engine that is given another part. An
+// engine prefills the latest part first, so overlapping parts delay each other.
 const maxPrefillBacklog = 80 * time.Millisecond
 
-// placeHeavy sends a long prompt to an engine that writes such prompts and
-// chooses how many others help to read it, and which: those where it holds up
-// the fewest streams. It returns nothing while these engines read something else:
-// a prompt that waits here can still go to others, or let a shorter one pass.
+// placeLong sends a long prompt to an engine that decodes such prompts and chooses the helpers that
+// stall the fewest streams. It returns nothing while these engines prefill other prompts: a prompt
+// that waits here can still go to other engines, or let a shorter one pass.
 func (b *Balancer) placeLong(j Job, engines []fleet.Target) (p *Placement, h holdReason) {
 	g := b.bestAssignment(j, engines)
 	switch {
@@ -28,18 +26,16 @@
 }
 
 const (
-	// lullStep is how far ahead it is looked whether a prompt should wait for streams
-	// to end, and streamLife how long a short stream lasts on when nothing is known
-	// of it but that it runs.
+	// deferStep is the look-ahead for deciding whether a prompt should wait for streams to end, and
+	// streamDecay the mean remaining time of a short stream.
 	deferStep   = 250 * time.Millisecond
 	streamDecay = 900 * time.Millisecond
-	// idleCost is what a second counts for in which the engines of a prompt wait for
-	// it.
+	// idleCostPerSecond is the cost of a second in which the engines of a prompt wait for it.
 	idleCostPerSecond = 1.0
 )
 
-// lull reports whether the prompt should wait until some of the streams that it
-// would hold up have ended: whether that saves more than the prompt loses.
+// shouldDefer reports whether the prompt should wait until some of the streams that it would stall
+// have ended, because that saves more than the prompt loses.
 func (b *Balancer) shouldDefer(j Job, g assignment) bool {
 	at := b.waited(j) + g.expectedTTFT
 	saved := g.transientStallCost * (1 - math.Exp(-deferStep.Seconds()/streamDecay.Seconds()))
--- a/internal/balance/oversized_test.go
+++ b/internal/balance/oversized_test.go
@@ -13,11 +13,11 @@
 	"github.com/barleystep/barleystep/internal/balance"
 )
 
-// overMemory is a prompt for which no engine of these tests has the memory.
+// oversizedPrompt exceeds the KV cache of an engine in these tests.
 const oversizedPrompt = 500_000
 
-// TestOverMemoryWaits checks that a prompt over an engine's memory waits for engines to be
-// idle, holds up nobody behind it, and is placed once they are.
+// TestOversizedPromptWaits checks that an oversized prompt waits for idle engines, does not block
+// the jobs behind it, and is placed once engines are idle.
 func TestOversizedPromptWaits(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(6)
@@ -38,7 +38,7 @@
 		return w
 	}
 	over, long := ask(oversizedPrompt), ask(longPrompt)
-	f.SetOthers(all(balance.Work{KVTokens: 420_000})) // They have read, and write.
+	f.SetOthers(all(balance.Work{KVTokens: 420_000})) // The prompts are prefilled and decode.
 	c.Assert(long.Ready(), quicktest.HasLen, 1)
 	c.Check(over.Ready(), quicktest.HasLen, 0)
 	p := <-long.Ready()
@@ -48,14 +48,13 @@
 	c.Check(over.Ready(), quicktest.HasLen, 1)
 }
 
-// TestOverMemoryWait checks for how long a prompt over an engine's memory waits: its caller
-// is told soon to come back, and then, as it has no third try, waits while it can be in time
-// by the second.
+// TestOversizedPromptDeadline checks how long an oversized prompt waits. Its caller is told early
+// to retry; that second try, the last one, waits while it can be in time.
 func TestOversizedPromptDeadline(t *testing.T) {
 	const objective = 8 * time.Second
 	least := cost.Prefill(oversizedPrompt)/17 + cost.Pass()
 	cases := map[string]struct {
-		earlier time.Duration // earlier is how long ago the first try was that was refused.
+		earlier time.Duration // earlier is how long ago the caller's refused first try was.
 		taken   time.Duration // taken is for how long the box has had the request.
 		left    time.Duration
 		want    time.Duration
@@ -92,12 +91,12 @@
 	}
 }
 
-// TestInVain checks that a long prompt that has waited in vain leaves a line that says what
-// its engines lacked the last time that it was tried.
+// TestTimedOutPromptIsLogged checks that a long prompt that timed out is logged with the reason why
+// it could not be placed the last time.
 func TestTimedOutPromptIsLogged(t *testing.T) {
 	cases := map[string]struct {
 		work   balance.Work
-		before int // before is the prompt of a job that waits before this one, if any.
+		before int // before is the prompt of a job that waits ahead of this one, if any.
 		prompt int
 		want   string
 	}{
@@ -105,7 +104,7 @@
 		"its helpers are full":   {work: balance.Work{KVTokens: 420_000}, prompt: oversizedPrompt, want: "memory is lacking"},
 		"another one is before":  {work: balance.Work{Backlog: time.Minute}, before: longPrompt, prompt: oversizedPrompt, want: "behind another"},
 		"not over memory":        {work: balance.Work{Backlog: time.Minute}, prompt: longPrompt, want: "engines read"},
-		"its streams are better": {work: balance.Work{Short: 500}, prompt: oversizedPrompt, want: "streams are worth more"},
+		"streams are worth more": {work: balance.Work{Short: 500}, prompt: oversizedPrompt, want: "streams are worth more"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/balance/placement.go
+++ b/internal/balance/placement.go
@@ -8,61 +8,57 @@
 	"github.com/barleystep/barleystep/internal/fleet"
 )
 
-// Helper is an engine that reads a part of a prompt.
+// Helper is an engine that prefills a part of a prompt.
 type Helper struct {
 	ID   barleystep.TargetID
 	Addr string
 	Hall barleystep.HallID
-	// Memory is the memory, in tokens, to be set aside there for the prompt; zero
-	// if the engine that writes holds all of it.
+	// KVTokens is the KV cache, in tokens, to be reserved there for the prompt; zero if the
+	// decoding engine holds all of it.
 	KVTokens int
 }
 
-// Placement is the choice for one try. Done or Return must be called once.
+// Placement is the choice for one try. Done or Cancel must be called once.
 type Placement struct {
 	Target fleet.Target
-	// Helpers are engines that read parts of the prompt.
+	// Helpers are engines that prefill parts of the prompt.
 	Helpers []Helper
 
 	balancer  *Balancer
 	parts     []*part
 	prefilled bool
-	// plan is the lead's number of the placement while the lead is to be told that the
-	// prompt was read; zero if it was placed here.
+	// plan is the lead's plan id while the lead must still be told that the prompt was prefilled;
+	// zero if it was placed here.
 	plan         uint64
 	expectedTTFT time.Duration
-	// sent is when the placement was made, and heard when its target last sent something
-	// of it.
+	// sent is when the placement was made, and lastEvent when its target last sent something.
 	sent      time.Time
 	lastEvent time.Time
-	// lost is closed when a target that the try needs has started anew.
+	// lost is closed when a target that the try needs has restarted.
 	lost chan struct{}
 }
 
-// Expected returns after how long the first event is expected, zero if nothing
-// is known of it.
+// ExpectedTTFT returns the expected time to the first event, zero if unknown.
 func (p *Placement) ExpectedTTFT() time.Duration { return p.expectedTTFT }
 
-// part is what a try costs one target.
+// part is the work of a try at one target.
 type part struct {
 	target    barleystep.TargetID
 	placement *Placement
-	// at is the lifetime of the target that the part was placed on; over is set once that
-	// has ended.
+	// state is the incarnation that the part was placed on; hasRestarted is set once that is over.
 	state        *targetState
 	hasRestarted bool
 	work         Work
-	// share is how long the target reads its part of a long prompt, zero once that is
-	// done, and until is when it is expected to be done. A pass with a writer takes so
-	// long there.
+	// prefill is how long the target prefills its part of a long prompt, zero once that is done;
+	// prefillEnd is its expected end. pass is the duration of a pass with a decoding stream there.
 	prefill    time.Duration
 	prefillEnd time.Time
 	pass       time.Duration
-	// led is set where the lead has placed it, which keeps its own books.
+	// byLead is set if the lead placed the part and accounts for it.
 	byLead bool
 }
 
-// First tells that the first event came: the prompt has been read.
+// NoteFirstEvent notes that the first event arrived, so the prompt has been prefilled.
 func (p *Placement) NoteFirstEvent() {
 	b := p.balancer
 	b.mu.Lock()
@@ -71,7 +67,7 @@
 	p.notePrefilled()
 }
 
-// Heard tells that the target sent something.
+// NoteEvent notes that the target sent something.
 func (p *Placement) NoteEvent() {
 	b := p.balancer
 	b.mu.Lock()
@@ -84,7 +80,7 @@
 	p.parts[0].state.lastEvent, p.parts[0].state.afterRest = p.lastEvent, false
 }
 
-// Gone tells that a target of the placement has refused a connection.
+// NoteUnreachable notes that a target of the placement has refused a connection.
 func (p *Placement) NoteUnreachable(id barleystep.TargetID) {
 	b := p.balancer
 	b.mu.Lock()
@@ -92,9 +88,9 @@
 	b.noteReport(id, Report{Unreachable: true})
 }
 
-// LeaveOut takes helpers off the placement, so that the others read more. It reports false,
-// and leaves the placement as it is, if the prompt's memory is spread over its helpers: it
-// has to be placed anew.
+// DropHelpers takes helpers off the placement, so that the others prefill more. If the prompt's KV
+// cache is spread over its helpers, it reports false and changes nothing: the prompt has to be
+// placed again.
 func (p *Placement) DropHelpers(silent []barleystep.TargetID) bool {
 	b := p.balancer
 	b.mu.Lock()
@@ -131,8 +127,8 @@
 	p.notifyLead()
 }
 
-// Return gives a placement back that was not used: it says nothing of its target. It is
-// called in place of Done.
+// Cancel releases a placement that was not used, without learning about its target. It is called
+// instead of Done.
 func (p *Placement) Cancel() {
 	b := p.balancer
 	b.mu.Lock()
@@ -141,7 +137,7 @@
 	b.serveQueues(false)
 }
 
-// Done takes the try off its targets and learns from it.
+// Done releases the try from its targets and learns from its outcome.
 func (p *Placement) Done(r Report) {
 	b := p.balancer
 	b.mu.Lock()
--- a/internal/balance/planrequest_test.go
+++ b/internal/balance/planrequest_test.go
@@ -11,20 +11,21 @@
 	"github.com/barleystep/barleystep/internal/balance"
 )
 
-// askedLead is a lead without a place that keeps what it was asked.
+// requestRecordingLead is a lead that has no target and records the job it was asked to place.
 type requestRecordingLead struct {
 	fullLead
 	requested balance.Job
 }
 
-// Place keeps the job.
+// Place records the job.
 func (l *requestRecordingLead) Place(_ context.Context, j balance.Job) (balance.Plan, error) {
 	l.requested = j
 	return balance.Plan{}, balance.ErrFull
 }
 
-// TestLeadIsToldWhoDeclines checks that a question to the lead names the targets that leave or
-// rest, for as long as they do: only these are looked at, not all that the box knows.
+// TestPlanRequestNamesDecliningTargets checks that a plan request to the lead names the targets
+// that are leaving or resting, for as long as they do. The box looks only at these, not at all
+// targets that it knows.
 func TestPlanRequestNamesDecliningTargets(t *testing.T) {
 	const length = 3 * time.Second
 	says := func(f *fixture, said barleystep.Statement) {
@@ -73,7 +74,8 @@
 	}
 }
 
-// ask asks a lead for a place and reports whether it was told that the first target declines.
+// planRequestExcludesFirst requests a plan and reports whether the lead was told that the first
+// target declines.
 func (f *fixture) planRequestExcludesFirst() bool {
 	l := &requestRecordingLead{}
 	f.Lead = l
--- a/internal/balance/prefill.go
+++ b/internal/balance/prefill.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// newsLag is how long after a prompt was read, and written for one pass, this box
-// knows of it at the latest.
+// newsLag bounds how long after a prompt was prefilled, and decoded for one pass, this box knows of
+// it.
 const newsLag = 40 * time.Millisecond
 
-// expectRead notes that the target is going to read a part, after those that it has.
+// schedulePrefill sets when the target is expected to have prefilled a part, after those that it
+// already has.
 func (b *Balancer) schedulePrefill(s *targetState, p *part) {
 	if p.prefill == 0 {
 		return
@@ -19,16 +20,16 @@
 	}
 	p.prefillEnd = begin.Add(p.prefill)
 	if len(s.parts) > 0 {
-		p.prefillEnd = p.prefillEnd.Add(p.pass) // Somebody writes there meanwhile.
+		p.prefillEnd = p.prefillEnd.Add(p.pass) // Streams decode there meanwhile.
 	}
 }
 
-// unread reports whether the target has a part to read.
+// isPrefilling reports whether the target has yet to prefill the part.
 func (p *part) isPrefilling() bool { return p.prefill > 0 }
 
-// remaining returns how long the target still reads the part. A part that is late is
-// taken to last for as long again as it is late: the target is slower than its cost
-// model, or has something else to read.
+// remaining returns how long the target still prefills the part. An overdue part is assumed to last
+// for as long again as it is overdue: the target is slower than its cost model, or busy with
+// something else.
 func (p *part) remaining(now time.Time) time.Duration {
 	if !p.isPrefilling() {
 		return 0
--- a/internal/balance/queue.go
+++ b/internal/balance/queue.go
@@ -9,48 +9,46 @@
 	"github.com/barleystep/barleystep/internal/suspect"
 )
 
-// Wait is a job that waits for a place.
+// QueuedJob is a job that waits to be placed.
 type QueuedJob struct {
 	job      Job
 	deadline time.Time
-	// ready gets the placement; it holds one, so that nobody waits to send.
+	// ready receives the placement; its buffer of one keeps the sender from blocking.
 	ready     chan *Placement
 	cancelled bool
-	// held is why it was given no place the last time.
+	// held is why it could not be placed the last time.
 	held holdReason
-	// lag is by how much prompts of its size are served less often than others.
+	// lag is by how much prompts of its size class are served less often than others.
 	lag float64
 }
 
 const (
-	// answerTime is about how long an engine with free slots takes to the first
-	// event of a short prompt.
+	// shortTTFT is the approximate time to the first event of a short prompt on an engine with free
+	// slots.
 	shortTTFT = 110 * time.Millisecond
-	// patience is how many times its objective a prompt waits before it is given up, a long
-	// one only where the engines are not crowded, and leastPatience how long at least.
-	// Callers of streams give up after four times the objective, and after two seconds at
-	// the earliest.
+	// maxWaitObjectives is how many objectives a prompt waits before it is refused; a long one
+	// waits that long only where the engines are not crowded. minWait is the least wait. Callers of
+	// streams give up after four objectives, and after two seconds at the earliest.
 	maxWaitObjectives = 3
 	minWait           = 1500 * time.Millisecond
-	// waitPart is the part of its objective, from its caller's first try on, for which a
-	// long prompt waits for crowded engines: the rest is for reading it.
+	// longWaitPart is the part of its objective, from its caller's first try, for which a long
+	// prompt waits for crowded engines: the rest is for its prefill.
 	longWaitPart = 0.6
-	// leastWaitPart is the part of its objective, as a divisor, for which a long prompt waits
-	// at least, also one that comes back.
+	// minLongWaitDivisor is the divisor of the objective that gives the least wait of a long
+	// prompt, also on a caller's retry.
 	minLongWaitDivisor = 8
-	// soonPart is the part of the objective, as a divisor, within which a caller is told to
-	// come back whose prompt is over an engine's memory, while there is time for it to be
-	// served then.
+	// oversizedWaitDivisor is the divisor of the objective that gives the wait of an oversized
+	// prompt before its caller is told to retry, while there is still time to serve it then.
 	oversizedWaitDivisor = 4
-	// drainUse is the part of the engines' time that callers ask for up to which these are
-	// not crowded: what waits is rather served late than refused.
+	// uncrowdedUse is the demand, as a part of the engines' time, below which the engines are not
+	// crowded: jobs that wait are then served late rather than refused.
 	uncrowdedUse = 0.8
-	// shareDivisor is the part of the places seen free that a box takes at once:
-	// all boxes see the same places.
+	// newsShareDivisor is the divisor for the part of the waiting jobs that a box places at once on
+	// news of free slots: all boxes see the same slots.
 	newsShareDivisor = 4
 )
 
-// enqueue has the job wait for a place, unless its wait is over already.
+// enqueue queues the job, unless its deadline has already passed.
 func (b *Balancer) enqueue(j Job, h holdReason) (p *Placement, w *QueuedJob, err error) {
 	w = &QueuedJob{job: j, deadline: b.waitDeadline(j), ready: make(chan *Placement, 1), held: h}
 	if !b.canBePlaced(w) {
@@ -62,8 +60,8 @@
 	return nil, w, nil
 }
 
-// mayComeToPass reports whether a wait has time left, and whether limits, where they are
-// what it waits for, have room in that time.
+// canBePlaced reports whether a job has time left and, if it waits for rate limits, whether these
+// have room in that time.
 func (b *Balancer) canBePlaced(w *QueuedJob) bool {
 	left := w.deadline.Sub(b.Clock.Now())
 	if left <= 0 || w.held != holdLimit {
@@ -73,8 +71,8 @@
 	return ever && delay < left
 }
 
-// queue returns the queue for jobs like this one, which is held up by the given cause. Those
-// of one queue need the same kind of place: if the first finds none, neither do the others.
+// queueFor returns the queue for jobs like this one, held for the given reason. Jobs of one queue
+// need the same kind of slot: if the first finds none, neither do the others.
 func (b *Balancer) queueFor(j Job, h holdReason) *[]*QueuedJob {
 	switch {
 	case j.isSuspect():
@@ -104,14 +102,14 @@
 	}
 }
 
-// Ready returns the channel on which the placement comes.
+// Ready returns the channel that receives the placement.
 func (w *QueuedJob) Ready() <-chan *Placement { return w.ready }
 
-// Until returns when the wait is to be abandoned.
+// Deadline returns when the job is to be abandoned.
 func (w *QueuedJob) Deadline() time.Time { return w.deadline }
 
-// waitUntil returns until when a job may wait: while it is likely enough that the answer
-// is in time, or comes at all, and while the caller would still be there for it.
+// waitDeadline returns until when a job may wait: while it is likely enough to meet its objective,
+// or to be answered at all, and while the caller would still be there.
 func (b *Balancer) waitDeadline(j Job) time.Time {
 	until := j.Arrival.Add(max(maxWaitObjectives*j.Objective, minWait))
 	switch {
@@ -129,14 +127,14 @@
 	return until
 }
 
-// drains reports whether callers ask for so little that prompts which wait are read
-// soon, if late.
+// isUncrowded reports whether demand is so low that queued prompts are prefilled soon, if late.
 func (b *Balancer) isUncrowded(j Job) bool {
 	d := b.demand(j.Service)
 	return d.Short+d.Long < uncrowdedUse*float64(len(b.candidates(j)))
 }
 
-// hopeUntil is until when a long prompt waits in a crowd, by its lateness.
+// crowdedDeadline returns until when a long prompt waits for crowded engines, given when its caller
+// first tried.
 func (j Job) crowdedDeadline() time.Time {
 	until := j.firstArrival().Add(time.Duration(longWaitPart * float64(j.Objective)))
 	if least := j.Arrival.Add(j.Objective / minLongWaitDivisor); until.Before(least) {
@@ -145,9 +143,9 @@
 	return until
 }
 
-// lullUntil is until when a prompt over an engine's memory waits for engines that are idle
-// enough. Its caller is told soon to come back, and has no third try: the second one waits
-// for as long as it can be in time by itself.
+// oversizedDeadline returns until when an oversized prompt waits for engines that are idle enough.
+// Its caller is told early to retry and has no third try: the second one waits for as long as it
+// can still meet the objective by itself.
 func (j Job) oversizedDeadline() time.Time {
 	if j.CallerRetry {
 		return j.Arrival.Add(j.Objective - j.minTTFT())
@@ -155,7 +153,7 @@
 	return j.Arrival.Add(j.Objective / oversizedWaitDivisor)
 }
 
-// Abandon ends a wait. It returns ErrFull, or the placement if it has just come.
+// Abandon ends a wait. It returns ErrFull, or the placement if it has just arrived.
 func (b *Balancer) Abandon(w *QueuedJob) (p *Placement, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -171,7 +169,7 @@
 	}
 }
 
-// logInVain tells that a long prompt has waited for engines in vain, and what for.
+// logTimedOut logs that a long prompt has timed out waiting for engines, and for what it waited.
 func (b *Balancer) logTimedOut(w *QueuedJob) {
 	if b.Log == nil || !IsLongPrompt(w.job) {
 		return
@@ -181,11 +179,11 @@
 		Dur("waited", b.Clock.Now().Sub(w.job.Arrival)).Dur("since_first_try", b.waited(w.job)).
 		Str("held", w.held.String()).Float64("lag", b.lag(w.job)).Int("waiting", len(b.longQueue)).
 		Float64("demand_short", d.Short).Float64("demand_long", d.Long).
-		Msg(logPrefix + "A long prompt has waited for engines in vain.")
+		Msg(logPrefix + "A long prompt timed out waiting for engines.")
 }
 
-// leastTime is about how long the job takes to its first event where all engines that
-// may help it are idle.
+// minTTFT returns the approximate time to the job's first event if all engines that may help are
+// idle.
 func (j Job) minTTFT() time.Duration {
 	switch {
 	case j.Cost == nil:
@@ -197,8 +195,8 @@
 	}
 }
 
-// Writing is about how long the job's answer takes from its first event to its last one,
-// zero where nothing is known of it.
+// DecodeTime returns the approximate time from the first to the last event of the job's answer,
+// zero if unknown.
 func (j Job) DecodeTime() time.Duration {
 	if j.Cost == nil {
 		return 0
@@ -206,19 +204,19 @@
 	return j.Cost.Decode()
 }
 
-// LeastWhole is about how long the job takes to its last event where all engines that may
-// help it are idle, zero where nothing is known of it.
+// MinTotalTime returns the approximate time to the job's last event if all engines that may help
+// are idle, zero if unknown.
 func (j Job) MinTotalTime() time.Duration { return j.minTTFT() + j.DecodeTime() }
 
-// inVain reports whether the job's caller would be gone before the first event, however
-// idle the engines are.
+// cannotMeetDeadline reports whether the job's caller would give up before the first event even on
+// idle engines.
 func (b *Balancer) cannotMeetDeadline(j Job) bool {
 	return !j.FirstEventDeadline.IsZero() && b.Clock.Now().Add(j.minTTFT()).After(j.FirstEventDeadline)
 }
 
-// serveWaiting places the jobs that wait, as far as there are places. After news
-// of other boxes, all boxes have seen the same places become free: each takes only
-// a part of its short prompts. Long ones wait at one box.
+// serveQueues places queued jobs as far as there is room. On news from peers, all boxes have seen
+// the same slots become free, so each places only a part of its short prompts. Long ones wait at
+// one box.
 func (b *Balancer) serveQueues(fromPeers bool) {
 	shorts := len(b.shortQueue)
 	if fromPeers {
@@ -230,8 +228,8 @@
 	serveInOrder(b, &b.trialQueue, func(j Job) suspect.Digest { return j.Suspect })
 }
 
-// serveInOrder places jobs that wait for what those of the same group wait for too, in the
-// order in which they came.
+// serveInOrder places jobs in order of arrival. Jobs of one group wait for the same resource: after
+// one that cannot be placed, the others of its group are not tried.
 func serveInOrder[G comparable](b *Balancer, q *[]*QueuedJob, group func(j Job) G) {
 	var left []*QueuedJob
 	full := make(map[G]bool)
@@ -248,8 +246,8 @@
 	*q = left
 }
 
-// serveQueue places jobs that wait, in their order. Where one finds no place, neither do those
-// behind it, unless it needs more than they do.
+// serveQueue places queued jobs in order. Where one cannot be placed, neither can those behind it,
+// unless it needs more than they do.
 func (b *Balancer) serveQueue(q *[]*QueuedJob, most int) {
 	var left []*QueuedJob
 	for ; most > 0; most-- {
@@ -274,11 +272,11 @@
 	*q = append(*q, left...)
 }
 
-// needsMore reports whether the job may need more than those behind it: it is over an engine's
-// memory, or goes first since its size lags.
+// needsMore reports whether the job may need more than those behind it: it is oversized, or goes
+// first because its size class lags.
 func (w *QueuedJob) needsMore() bool { return w.lag > 0 || isOversized(w.job) }
 
-// passedOver reports whether the job is not tried once so many before it have found no place.
+// isSkipped reports whether the job is not tried after this many before it could not be placed.
 func (w *QueuedJob) isSkipped(failed int) bool {
 	if w.lag > 0 {
 		return failed >= maxLagTries
@@ -286,8 +284,8 @@
 	return failed > 0 && isOversized(w.job)
 }
 
-// waitsBefore reports whether a long prompt of the same service waits that goes before the job and
-// needs no more: where it has found no place, neither does the job.
+// hasWaiterBefore reports whether a long prompt of the same service waits that goes before the job
+// and needs no more: where it could not be placed, neither can the job.
 func (b *Balancer) hasWaiterBefore(j Job) bool {
 	now := b.Clock.Now()
 	own := &QueuedJob{job: j, lag: b.lag(j)}
@@ -297,14 +295,14 @@
 	})
 }
 
-// holdAll notes why none of the jobs was tried.
+// setHeld notes why none of the jobs was tried.
 func setHeld(q []*QueuedJob, h holdReason) {
 	for _, w := range q {
 		w.held = h
 	}
 }
 
-// serve places a job that waits; it reports false if there is no place.
+// serve places a queued job; it reports false if that is not possible now.
 func (b *Balancer) serve(w *QueuedJob) bool {
 	p, h, err := b.placeNow(w.job)
 	if err != nil || p == nil {
@@ -315,10 +313,9 @@
 	return true
 }
 
-// nextWaiter takes the next job off the queue: one of the best rank, and of these,
-// of short prompts that can still be in time, the one that came last, since the
-// ones before it are the likelier to be late; else the one that has waited
-// longest.
+// popNext takes the next job off the queue. It is one of the best priority and, among these, the
+// latest short prompt that can still be in time, since earlier ones are more likely to be late;
+// otherwise the one that has waited longest.
 func (b *Balancer) popNext(q *[]*QueuedJob) *QueuedJob {
 	now := b.Clock.Now()
 	kept := slices.DeleteFunc(*q, func(w *QueuedJob) bool { return w.cancelled })
@@ -344,12 +341,12 @@
 	return w
 }
 
-// inTime reports whether a job that is placed now can still be in time.
+// canBeInTime reports whether a job that is placed now can still meet its objective.
 func (w *QueuedJob) canBeInTime(now time.Time) bool {
 	return now.Sub(w.job.firstArrival()) < w.job.Objective-shortTTFT
 }
 
-// before reports whether the job goes before another one.
+// goesBefore reports whether the job goes before another one.
 func (w *QueuedJob) goesBefore(o *QueuedJob, now time.Time) bool {
 	if w.job.Priority != o.job.Priority {
 		return w.job.Priority < o.job.Priority
@@ -368,8 +365,8 @@
 	}
 }
 
-// longBefore reports whether a long prompt goes before another: those whose size lags the most
-// go first, then those that can still be in time, and of these the one that is read the soonest.
+// longGoesBefore reports whether a long prompt goes before another: the size class that lags most
+// goes first, then prompts that can still be in time, and among these the shortest.
 func (w *QueuedJob) longGoesBefore(o *QueuedJob, now time.Time) bool {
 	if w.lag != o.lag {
 		return w.lag > o.lag
@@ -381,7 +378,7 @@
 	return w.job.PromptTokens < o.job.PromptTokens
 }
 
-// hopeful reports whether a long prompt that is placed now can be in time.
+// isFeasible reports whether a long prompt that is placed now can meet its objective.
 func (w *QueuedJob) isFeasible(now time.Time) bool {
 	read := w.job.Cost.Prefill(w.job.PromptTokens) / maxHelpers
 	return now.Add(read + w.job.Cost.Pass()).Before(w.job.firstArrival().Add(w.job.Objective))
--- a/internal/balance/queue_test.go
+++ b/internal/balance/queue_test.go
@@ -12,8 +12,8 @@
 	"github.com/barleystep/barleystep/internal/balance"
 )
 
-// TestWaits checks that a short prompt waits while all slots are taken, gets the
-// next one that is free, and is refused when its caller would not wait longer.
+// TestShortPromptWaits checks that a short prompt waits while all slots are taken, gets the next
+// free one, and is refused once its caller would no longer wait.
 func TestShortPromptWaits(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(1)
@@ -41,12 +41,12 @@
 	c.Check(eris.Is(<-got, balance.ErrFull), quicktest.IsTrue)
 }
 
-// TestOrder checks which of the waiting prompts gets the next free slot.
+// TestQueueOrder checks which of the queued prompts gets the next free slot.
 func TestQueueOrder(t *testing.T) {
 	type wait struct {
 		name string
 		rank int
-		// after is how long after the one before it came.
+		// after is how long after the one before it arrived.
 		after time.Duration
 	}
 	cases := map[string]struct {
@@ -54,7 +54,7 @@
 		want  string
 	}{
 		"the newest that can be in time": {[]wait{{"old", 1, 0}, {"new", 1, 50 * time.Millisecond}}, "new"},
-		"the better rank":                {[]wait{{"first", 0, 0}, {"new", 1, 50 * time.Millisecond}}, "first"},
+		"the higher priority":            {[]wait{{"first", 0, 0}, {"new", 1, 50 * time.Millisecond}}, "first"},
 		"not one that is late":           {[]wait{{"late", 1, 0}, {"new", 1, 250 * time.Millisecond}}, "new"},
 	}
 	for name, tc := range cases {
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestLongWaits checks that long prompts wait until their engine has read the one
-// before, and that of those that wait the shortest goes first.
+// TestLongPromptWaits checks that long prompts wait until their engine has prefilled the one
+// before, and that the shortest of those that wait goes first.
 func TestLongPromptWaits(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(1)
@@ -106,8 +106,8 @@
 	c.Check(long.Ready(), quicktest.HasLen, 0)
 }
 
-// TestLull checks that a long prompt waits for the streams that it would hold up to
-// end while it has time, and no longer when it has not.
+// TestLongPromptDeferred checks that a long prompt waits for the streams that it would stall to end
+// while it has time, and no longer.
 func TestLongPromptDeferred(t *testing.T) {
 	cases := map[string]struct {
 		streams int
@@ -149,13 +149,13 @@
 	}
 }
 
-// TestTimeLeft checks that a long prompt whose caller would be gone before an answer is
+// TestCallerDeadline checks that a long prompt whose caller would give up before an answer is
 // refused at once, and that one that waits is placed, or refused, while there is time.
 func TestCallerDeadline(t *testing.T) {
 	read := cost.Prefill(longPrompt)
 	cases := map[string]struct {
 		left   time.Duration
-		busy   time.Duration // busy is for how long the one engine reads something else.
+		busy   time.Duration // busy is the prefill backlog of the only engine.
 		waits  bool
 		placed bool
 	}{
@@ -193,8 +193,8 @@
 	}
 }
 
-// TestLongWait checks for how long a long prompt waits for its engines, by how much of
-// them callers ask for and when its own first tried.
+// TestLongPromptDeadline checks how long a long prompt waits for its engines, by demand and by when
+// its caller first tried.
 func TestLongPromptDeadline(t *testing.T) {
 	const objective = 10 * time.Second
 	const crowd, calm = 1.0, 0.1
--- a/internal/balance/random.go
+++ b/internal/balance/random.go
@@ -2,7 +2,7 @@
 
 import "math/rand/v2"
 
-// chance returns a number from 0 to 1, without 1.
+// randFloat returns a random number in [0, 1).
 func (b *Balancer) randFloat() float64 {
 	if b.Rand != nil {
 		return b.Rand.Float64()
@@ -10,7 +10,7 @@
 	return rand.Float64()
 }
 
-// draw returns a number from 0 to n, without n.
+// randIntN returns a random number in [0, n).
 func (b *Balancer) randIntN(n int) int {
 	if b.Rand != nil {
 		return b.Rand.IntN(n)
@@ -18,7 +18,7 @@
 	return rand.IntN(n)
 }
 
-// shuffle puts n things in an order by chance.
+// shuffle puts n elements in random order.
 func (b *Balancer) shuffle(n int, swap func(i, k int)) {
 	if b.Rand != nil {
 		b.Rand.Shuffle(n, swap)
--- a/internal/balance/ratelimit.go
+++ b/internal/balance/ratelimit.go
@@ -8,77 +8,75 @@
 	"github.com/barleystep/barleystep/internal/fleet"
 )
 
-// A target's limit is kept over all boxes by having one of them, the lead, place all requests
-// of a service with limited targets: what it places there it takes from a bucket that fills
-// at the named rate. So nothing needs to be agreed, and callers' requests use up the limit
-// whichever box they come to. A part of a long prompt counts as a request to the target that
-// reads it, and so does each resend.
+// A target's limit holds over all boxes because one of them, the lead, places all requests of a
+// service with limited targets: what it places is taken from a token bucket that fills at the
+// limit's rate. Boxes need no agreement, and callers use up the limit whichever box they reach. A
+// part of a long prompt counts as a request to the target that prefills it, and so does each retry.
 //
 // In any window of w seconds, over all boxes that know a limit of l requests a second:
 //
-//   - The lead gives l*w and a full bucket, 1 + bucketSpan*l. One that takes over begins with
-//     an empty bucket, so that leads that follow each other give no more than one.
-//   - Where boxes are cut off from each other, each side has a lead, which gives the part of
-//     l that its side is of all boxes: the parts add up to l, for as long as the boxes of the
-//     other sides are remembered.
-//   - A box whose lead does not answer may send strayPart of its equal share of l, in whole
-//     requests in each limitWindow: all together strayPart*l*w at most.
+//   - The lead sends at most l*w and a full bucket, 1 + bucketBurst*l. One that takes over starts
+//     with an empty bucket, so that successive leads send no more than one would.
+//   - In a network partition each side has a lead, which sends its side's share of l by number of
+//     boxes: the shares add up to l for as long as the boxes of the other sides are remembered.
+//   - A box whose lead does not answer may send noLeadShare of its equal share of l, in whole
+//     requests per limitWindow: all together at most noLeadShare*l*w.
 //
-// In four seconds that is 4.1*l + 1, and l from boxes without a lead; two leads at a time,
-// for as long as it takes boxes to hear of each other, add l a second. Boxes that were not
-// told, by the target or by others, send what their callers ask for: news take some tens of
-// milliseconds, and a box that starts hears of limits with the first word of the others.
+// In four seconds that is 4.1*l + 1, and l from boxes without a lead. Two leads at a time, until
+// boxes have heard of each other, add l a second. Boxes that have heard of no limit, from the
+// target or from peers, send what their callers ask for: news takes some tens of milliseconds, and
+// a box that starts hears of limits in the first message of the others.
 
 const (
-	// bucketSpan is the time whose rate the lead saves up, besides one request: what waits is
-	// placed at the news of the others, every 50 to 100 ms. Where callers ask for twice what
-	// targets of twenty a second take, 0.92 of it is used with it and 0.80 without; with
-	// limits of one a second it makes no difference.
+	// bucketBurst is the burst that the lead saves up besides one request, as a time at the limit's
+	// rate: queued jobs are placed on news from peers, every 50 to 100 ms. Where callers ask for
+	// twice the limit of targets that take 20 requests a second, 0.92 of the limit is used with
+	// this burst and 0.80 without; at one request a second it makes no difference.
 	bucketBurst = 100 * time.Millisecond
-	// limitWindow is the time over which targets count what they get.
+	// limitWindow is the window over which targets count their requests.
 	limitWindow = 4 * time.Second
-	// strayPart is the part of a limit that boxes without a lead share.
+	// noLeadShare is the part of a limit that boxes without a lead share.
 	noLeadShare = 0.25
-	// leastRate is the rate, in requests a second, at which targets are asked that take less,
-	// or nothing: only an answer says that a limit is over.
+	// minRate is the rate, in requests a second, at which targets with a lower limit, or a limit of
+	// zero, are still asked: only an answer says that a limit is over.
 	minRate = 0.1
 )
 
-// Role is a box's part among the boxes that it knows.
+// Role is a box's role among the boxes that it knows.
 type Role struct {
-	// Leads is set if the box decides for all that it reaches.
+	// IsLead is set if the box decides for all that it reaches.
 	IsLead bool
-	// Boxes is how many boxes there are, with those that were silent for some time, and
-	// Reached how many of them the box hears of; both count the box itself.
+	// Boxes is the number of boxes, including those that have been silent for some time, and
+	// Reachable the number that the box hears from; both count the box itself.
 	Boxes     int
 	Reachable int
 }
 
-// SetRole takes in the box's part among all boxes.
+// SetRole sets the box's role among all boxes.
 func (b *Balancer) SetRole(r Role) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.role = r
 }
 
-// leads reports whether the box places what others ask for; one without a lead does so for
+// isLead reports whether the box places jobs for its peers; a box without a Lead does so for
 // itself.
 func (b *Balancer) isLead() bool { return b.Lead == nil || b.role.IsLead }
 
-// allowance is what this box may send to a target that has named a limit.
+// rateLimiter tracks what this box may send to a target that has named a limit.
 type rateLimiter struct {
-	// tokens are the requests that the lead may place, as of filled, which is zero while the
-	// box does not lead.
+	// tokens is the number of requests that the lead may place, as of refilledAt, which is zero
+	// while the box is not the lead.
 	tokens     float64
 	refilledAt time.Time
-	// strays are when the box placed requests there without a lead, in the last limitWindow.
+	// sentWithoutLead holds when the box placed requests there without a lead, within limitWindow.
 	sentWithoutLead []time.Time
 }
 
-// rate returns how many requests a second all boxes may send.
+// allowedRate returns the requests a second that all boxes together may send.
 func allowedRate(l barleystep.RateLimit) float64 { return max(l.PerSecond(), minRate) }
 
-// leadRate returns how many requests a second this box may place as the lead: its side's part
+// leadRate returns the requests a second that this box may place as the lead: its partition's share
 // of the limit.
 func (b *Balancer) leadRate(l barleystep.RateLimit) float64 {
 	if b.role.Boxes == 0 {
@@ -87,15 +85,15 @@
 	return allowedRate(l) * min(float64(b.role.Reachable)/float64(b.role.Boxes), 1)
 }
 
-// strayRequests returns how many requests this box may place without a lead in each
+// requestsWithoutLead returns the requests that this box may place without a lead in each
 // limitWindow.
 func (b *Balancer) requestsWithoutLead(l barleystep.RateLimit) int {
 	all := noLeadShare * allowedRate(l) * limitWindow.Seconds()
 	return int(all / float64(max(b.role.Boxes, 1)))
 }
 
-// admits reports whether the target may get the job, by what it says that it takes. It has
-// asked this box for rest, not the one that the job is placed for.
+// accepts reports whether the target may get the job by its own statement. Its rest was asked of
+// this box, and so does not apply to a job placed for a peer.
 func (b *Balancer) accepts(j Job, s *targetState) bool {
 	return (j.ForPeer || !s.isRestingOrProbing(b.Clock.Now())) && b.withinLimit(s)
 }
@@ -115,7 +113,7 @@
 	return len(s.rateLimiter.sentWithoutLead) < b.requestsWithoutLead(s.limit())
 }
 
-// fill adds what the rate has given since the last time.
+// refill adds the tokens earned since the last refill.
 func (a *rateLimiter) refill(rate float64, now time.Time) {
 	if a.refilledAt.IsZero() {
 		a.tokens, a.refilledAt = 0, now
@@ -125,12 +123,12 @@
 	a.refilledAt = now
 }
 
-// expire forgets the requests that count no longer.
+// expire drops the requests that have left the window.
 func (a *rateLimiter) expire(now time.Time) {
 	a.sentWithoutLead = slices.DeleteFunc(a.sentWithoutLead, func(at time.Time) bool { return now.Sub(at) >= limitWindow })
 }
 
-// spend takes a placement that was made here from what its targets take.
+// chargeLimits charges a placement that was made here to the limits of its targets.
 func (b *Balancer) chargeLimits(p *Placement) {
 	for _, part := range p.parts {
 		s := b.targetState(part.target)
@@ -144,16 +142,15 @@
 	}
 }
 
-// admitting returns those of the targets that may get the job, in the room of the list that is
-// given.
+// accepting filters the targets, in place, to those that may get the job.
 func (b *Balancer) accepting(j Job, targets []fleet.Target) []fleet.Target {
 	return slices.DeleteFunc(targets, func(t fleet.Target) bool { return !b.accepts(j, b.targetState(t.ID)) })
 }
 
-// limitDelay returns how long it takes until the limits of all targets of the job have room
-// for it and for those that wait before it, and whether they ever have; where all of them rest,
-// until the first of them has rested. It is a bound from below, as if each bucket were about to
-// have room for the first of them.
+// minLimitDelay returns a lower bound on the delay until the limits of the job's targets have room
+// for it and for those queued before it, and whether they ever have. If all targets rest, it is the
+// time until the first of them has rested. The bound assumes that each bucket is about to have room
+// for its first job.
 func (b *Balancer) minLimitDelay(j Job) (delay time.Duration, ever bool) {
 	perSecond := 0.0
 	candidates := b.candidates(j)
--- a/internal/balance/ratelimit_test.go
+++ b/internal/balance/ratelimit_test.go
@@ -14,24 +14,24 @@
 	"github.com/barleystep/barleystep/internal/balance"
 )
 
-// window is the time over which targets count what they get.
+// window is the time over which targets count their requests.
 const window = 4 * time.Second
 
-// limited returns a balancer whose first target has named a limit.
+// newLimitedFixture returns a balancer whose first target has stated a limit.
 func newLimitedFixture(t *testing.T, targets int, perSecond float64) *fixture {
 	f := newFixture(targets)
 	f.announceLimit(t, perSecond)
 	return f
 }
 
-// name has the first target name a limit in an answer.
+// announceLimit has the first target state a limit in an answer.
 func (f *fixture) announceLimit(t *testing.T, perSecond float64) {
 	p := f.place(t, f.only("i-00"))
 	p.NoteStatement(p.Target.ID, barleystep.Statement{Limit: barleystep.NewRateLimit(perSecond)}, f.clock.Now())
 	p.Done(balance.Report{})
 }
 
-// only returns a request to a plain service that one target alone can take.
+// only returns a request to a plain service that only one target can take.
 func (f *fixture) only(id barleystep.TargetID) balance.Job {
 	j := plainJob()
 	for _, t := range f.targets {
@@ -42,7 +42,7 @@
 	return j
 }
 
-// takes reports whether the first target takes a request now.
+// accepts reports whether the first target takes a request now.
 func (f *fixture) accepts() bool {
 	p, w, err := f.TryPlace(context.Background(), f.only("i-00"))
 	switch {
@@ -54,7 +54,7 @@
 	return p != nil && err == nil
 }
 
-// count asks for a place at the first target every 50 ms and returns how many it was given.
+// countAccepted asks for the first target every 50 ms and returns how many requests were placed.
 func (f *fixture) countAccepted(length time.Duration) int {
 	given := 0
 	for range length / (50 * time.Millisecond) {
@@ -66,7 +66,7 @@
 	return given
 }
 
-// asking is a lead that is never asked in these tests, since nobody waits for it.
+// unusedLead is a lead that fails with the given error.
 type unusedLead struct{ err error }
 
 func (a unusedLead) Place(context.Context, balance.Job) (balance.Plan, error) {
@@ -74,8 +74,8 @@
 }
 func (unusedLead) PrefillDone(uint64) {}
 
-// TestAllowance checks what a box gives a target with a limit in 40 seconds, by its part
-// among the boxes.
+// TestLimitByRole checks what a box sends to a target with a limit in 40 seconds, by its role among
+// the boxes.
 func TestLimitByRole(t *testing.T) {
 	stray := unusedLead{eris.New("no answer")}
 	cases := map[string]struct {
@@ -108,9 +108,8 @@
 	}
 }
 
-// TestAllowanceBound checks that no span of four seconds has more than 4.1 times the limit and
-// one request, however the box takes the lead up and lays it down, and however
-// its callers come.
+// TestLimitBound checks that no span of four seconds has more than 4.1 times the limit plus one
+// request, however often the box becomes and ceases to be the lead, and however its callers arrive.
 func TestLimitBound(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		perSecond := rapid.SampledFrom([]float64{0.25, 0.5, 1, 2, 5}).Draw(r, "limit")
@@ -130,7 +129,7 @@
 				}
 			}
 		}
-		// Without the lead a box has its share of a quarter besides.
+		// Without the lead a box has its own share in addition.
 		most := 4.1*perSecond + 1 + math.Floor(perSecond/9)
 		for i, last := range given {
 			count := 0
@@ -146,7 +145,7 @@
 	})
 }
 
-// TestLimitLifted checks what a box goes by after a target named a limit.
+// TestLimitLifted checks which limit a box uses after a target has stated one.
 func TestLimitLifted(t *testing.T) {
 	none := barleystep.RateLimit{}
 	cases := map[string]struct {
@@ -190,7 +189,7 @@
 	}
 }
 
-// news is what another box tells of the first target.
+// peerLimit returns a peer's gossip about the first target's limit.
 func peerLimit(limit barleystep.RateLimit, at time.Time) balance.Snapshot {
 	s := balance.NewSnapshot()
 	for _, born := range []int64{1, 7} {
@@ -201,8 +200,8 @@
 	return s
 }
 
-// TestLimitTold checks what a box tells the others of a limit: what the target has said to it
-// and what holds still. Whatever it has by hearsay is told by whom it comes from.
+// TestLimitGossip checks what a box gossips about a limit: what the target has stated to it and
+// still holds. What came from peers is gossiped only by its source.
 func TestLimitGossip(t *testing.T) {
 	c := quicktest.New(t)
 	f := newLimitedFixture(t, 2, 1)
@@ -216,9 +215,8 @@
 	c.Check(f.TargetStatus("i-00").Statement.Limit.Value.IsSet(), quicktest.IsFalse)
 }
 
-// TestAllLimited checks what becomes of requests whose targets have all used up their limits:
-// they wait while they can be in time, in the order in which they came, and are refused at
-// once otherwise.
+// TestAllLimited checks that requests whose targets have all used up their limits wait, in order of
+// arrival, while they can be in time, and are refused at once otherwise.
 func TestAllLimited(t *testing.T) {
 	c := quicktest.New(t)
 	f := newLimitedFixture(t, 1, 2)
@@ -230,8 +228,8 @@
 		waits = append(waits, w)
 	}
 	_, _, err := f.TryPlace(context.Background(), plainJob())
-	c.Check(eris.Is(err, balance.ErrFull), quicktest.IsTrue) // Three before it take 1.5 s.
-	f.SetOthers(balance.NewSnapshot())                       // The bucket begins to fill.
+	c.Check(eris.Is(err, balance.ErrFull), quicktest.IsTrue) // The three before it take 1.5 s.
+	f.SetOthers(balance.NewSnapshot())                       // The bucket starts to fill.
 	for _, w := range waits {
 		f.clock.Advance(500 * time.Millisecond)
 		f.SetOthers(balance.NewSnapshot())
@@ -239,8 +237,8 @@
 	}
 }
 
-// TestLimitedElsewhere checks that other services and other targets go on while a target has
-// used up its limit.
+// TestLimitedElsewhere checks that other services and other targets are unaffected while a target
+// has used up its limit.
 func TestLimitedElsewhere(t *testing.T) {
 	c := quicktest.New(t)
 	f := newLimitedFixture(t, 3, 1)
@@ -257,9 +255,9 @@
 	}
 }
 
-// TestLimitOfStranger checks that a box which has just started keeps to the limits that the
-// others tell it of, also of targets that it has had nothing to do with. In the model boxes
-// that were rolled sent each such target one request more than it took.
+// TestLimitOfUnknownTarget checks that a box which has just started keeps to the limits that peers
+// report, also of targets that it has not used yet. Without this, each restarted box sends such a
+// target one request more than it takes.
 func TestLimitOfUnknownTarget(t *testing.T) {
 	c := quicktest.New(t)
 	for name, born := range map[string]int64{"said when it started": 7, "never said": 0} {
--- a/internal/balance/regions.go
+++ b/internal/balance/regions.go
@@ -11,44 +11,40 @@
 )
 
 const (
-	// heavyPart is the part of the tightest pause that reading one prompt may
-	// take before the prompt counts as long: the rest is for the pass itself and
-	// for other prompts in it.
+	// longPart is the part of MaxPause that the prefill of one prompt may take before the prompt
+	// counts as long: the rest is for the pass itself and for other prompts in it.
 	longPart = 0.7
-	// heavyUse and lightUse are how busy with reading the engines for long and
-	// for short prompts are planned to be. Short prompts need more room, since
-	// theirs is the tighter objective.
+	// longUse and shortUse are the planned prefill utilisation of the engines for long and for
+	// short prompts. Short prompts need more headroom, since their objective is tighter.
 	longUse  = 0.6
 	shortUse = 0.3
-	// streamUse is the part of an engine's slots that short streams are planned
-	// to take.
+	// streamUse is the part of an engine's slots that short streams are planned to take.
 	streamUse = 0.8
-	// leastHeavy and leastLight are the fewest engines planned for each.
+	// minLong and minShort are the fewest engines planned for each.
 	minLong  = 1
 	minShort = 2
-	// writersEach is how many long prompts an engine is planned to write at
-	// once: two of usual size fit its memory, and shorter ones besides.
+	// promptsPerDecoder is how many long prompts an engine is planned to decode at once: two of
+	// usual size fit its KV cache, with some shorter ones.
 	promptsPerDecoder = 3
-	// writersPart is the part of the engines for long prompts, as a divisor, that
-	// write at most; the others are left to read.
+	// decodersDivisor is the divisor for the largest part of the engines for long prompts that
+	// decode; the others only prefill.
 	decodersDivisor = 2
 )
 
-// regions divides the engines of a service. All boxes that know the same
-// demand divide them alike.
+// regions divides the engines of a service. Boxes that know the same demand divide them alike.
 type regions struct {
-	// light engines take short prompts.
+	// short engines take short prompts.
 	short []fleet.Target
-	// writers take long prompts, and readers help to read them.
+	// decoders take long prompts, and prefillers help to prefill them.
 	decoders   []fleet.Target
 	prefillers []fleet.Target
 }
 
-// heavy returns all engines for long prompts.
+// long returns all engines for long prompts.
 func (r regions) long() []fleet.Target { return slices.Concat(r.decoders, r.prefillers) }
 
-// Heavy reports whether reading the prompt would hold up other streams for
-// longer than they may pause.
+// IsLongPrompt reports whether the prefill of the prompt would stall other streams for longer than
+// they may pause.
 func IsLongPrompt(j Job) bool {
 	if j.Cost == nil || j.MaxPause <= 0 {
 		return false
@@ -56,9 +52,9 @@
 	return float64(j.Cost.Prefill(j.PromptTokens)) > longPart*float64(j.MaxPause)
 }
 
-// divide orders the engines in the same way on every box and divides them by
-// what callers ask for. Readers come first and light engines last, so that a
-// shift of demand moves engines between neighbouring regions.
+// divideRegions orders the engines in the same way on every box and divides them by demand.
+// Prefillers come first and short engines last, so that a shift of demand moves engines between
+// neighbouring regions.
 func (b *Balancer) divideRegions(j Job, engines []fleet.Target) regions {
 	slices.SortFunc(engines, func(x, y fleet.Target) int {
 		return cmp.Compare(xxhash.Sum64String(string(x.ID)), xxhash.Sum64String(string(y.ID)))
@@ -73,7 +69,7 @@
 	}
 }
 
-// heavyEngines returns how many engines are for long prompts.
+// longEngines returns how many engines are for long prompts.
 func (b *Balancer) longEngines(j Job, engines []fleet.Target) int {
 	n := len(engines)
 	if n <= minLong+minShort {
@@ -87,14 +83,13 @@
 	slots := max(float64(j.Cost.Slots), 1)
 	short := max(d.Short/shortUse, float64(streams)/(streamUse*slots), minShort)
 	long := max(d.Long/longUse, minLong)
-	// Both get their part of what is left, or of what is lacking.
+	// Both get their share of any surplus or shortage.
 	planned := math.Round(float64(n) * long / (long + short))
 	return min(max(int(planned), minLong), n-minShort)
 }
 
-// writerEngines returns how many of the engines for long prompts are to write
-// their answers. The fewer, the fewer streams are held up by the reading of the
-// next long prompt.
+// decoderEngines returns how many of the engines for long prompts decode their answers. The fewer
+// they are, the fewer streams are stalled by the prefill of the next long prompt.
 func (b *Balancer) decoderEngines(engines []fleet.Target, longCount int) int {
 	decoding := 0
 	for _, t := range engines {
--- a/internal/balance/rest.go
+++ b/internal/balance/rest.go
@@ -7,8 +7,8 @@
 	"github.com/barleystep/barleystep/internal/fleet"
 )
 
-// rest notes that the target wants nothing from this box for so long. A shorter rest that it asks
-// for later does not end an earlier one: answers pass each other on their way.
+// rest notes that the target wants nothing from this box for the given time. A later request for a
+// shorter rest does not end an earlier one, since answers may arrive out of order.
 func (b *Balancer) rest(id barleystep.TargetID, s *targetState, length time.Duration) {
 	now := b.Clock.Now()
 	rested := s.isResting(now)
@@ -25,7 +25,7 @@
 	}
 }
 
-// defaultLongestRest is the longest rest that a target may ask for if nothing else is set.
+// defaultMaxRest is the longest rest that a target may ask for if MaxRest is not set.
 const defaultMaxRest = time.Minute
 
 func (b *Balancer) maxRest() time.Duration {
@@ -36,28 +36,28 @@
 }
 
 const (
-	// spreadPart is the part of a rest, as a divisor, over which boxes come back that were asked
-	// in the same moment, and longestSpread how long that is at the most.
+	// restJitterDivisor is the divisor of a rest that gives the jitter over which boxes that were
+	// asked at the same moment come back, and maxRestJitter its upper bound.
 	restJitterDivisor = 8
 	maxRestJitter     = 500 * time.Millisecond
 )
 
-// restSpread returns by how much later than asked this box comes back.
+// restJitter returns how much later than asked this box comes back.
 func (b *Balancer) restJitter(length time.Duration) time.Duration {
 	return time.Duration(b.randFloat() * float64(min(length/restJitterDivisor, maxRestJitter)))
 }
 
-// probing reports whether the target has one request after its rest, whose answer says whether
-// it takes more: what waited meanwhile would all come at once.
+// isProbing reports whether the target has been sent its one probe after a rest, whose answer says
+// whether it takes more. Without it, all jobs that waited would arrive at once.
 func (s *targetState) isProbing() bool { return s.afterRest && s.probe != nil }
 
-// rests reports whether the target takes nothing from this box now: it has asked for rest that
-// is not over, or has one request after it.
+// isRestingOrProbing reports whether the target takes nothing from this box now: its rest is not
+// over, or its probe is in progress.
 func (s *targetState) isRestingOrProbing(now time.Time) bool {
 	return s.isResting(now) || s.isProbing()
 }
 
-// probe makes the placement's parts the first ones after their targets' rest, where they are.
+// probe makes the placement's parts the probes of those targets that have rested and have none.
 func (p *Placement) probe() {
 	for _, own := range p.parts {
 		if s := own.state; s.afterRest && s.probe == nil {
@@ -66,7 +66,7 @@
 	}
 }
 
-// restLeft returns after how long the first of the targets has rested, zero if one does not
+// restRemaining returns the time until the first of the targets has rested, zero if one does not
 // rest.
 func (b *Balancer) restRemaining(targets []fleet.Target) (left time.Duration) {
 	now := b.Clock.Now()
@@ -79,21 +79,21 @@
 	return left
 }
 
-// RestLeft returns after how long a target may take the job that all rest from, zero if one
-// does not rest.
+// RestRemaining returns the time until the first target may take the job if all of them rest, zero
+// if one does not.
 func (b *Balancer) RestRemaining(j Job) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.restRemaining(b.candidates(j))
 }
 
-// resting reports whether the target has asked this box for rest that is not over.
+// isResting reports whether the target has asked this box for a rest that is not over.
 func (s *targetState) isResting(now time.Time) bool { return now.Before(s.heardLocally.Rest.Value) }
 
-// restsElsewhere reports whether the target has asked another box for rest that is not over.
+// isRestingForPeer reports whether the target has asked a peer for a rest that is not over.
 func (s *targetState) isRestingForPeer(now time.Time) bool { return now.Before(s.statement.Rest.Value) }
 
-// logRest tells that a target asks for rest, once until the rest is over.
+// logRest logs that a target asks for rest, once until the rest is over.
 func (b *Balancer) logRest(id barleystep.TargetID, length time.Duration) {
 	if b.Log == nil {
 		return
--- a/internal/balance/rest_test.go
+++ b/internal/balance/rest_test.go
@@ -12,17 +12,17 @@
 	"github.com/barleystep/barleystep/internal/balance"
 )
 
-// rest has the target turn a request away and ask for rest.
+// askForRest has the target refuse a request and ask for rest.
 func (f *fixture) askForRest(t *testing.T, id barleystep.TargetID, length time.Duration) {
 	p := f.place(t, f.only(id))
 	p.NoteStatement(p.Target.ID, barleystep.Statement{Rest: length}, f.clock.Now())
 	p.Done(balance.Report{Full: true})
 }
 
-// mostSpread is by how much later than asked boxes come back at the most.
+// maxJitter is the largest jitter with which boxes come back after a rest.
 func maxJitter(length time.Duration) time.Duration { return min(length/8, 500*time.Millisecond) }
 
-// TestRest checks until when a target gets nothing that has asked for rest.
+// TestRest checks until when a target that has asked for rest gets nothing.
 func TestRest(t *testing.T) {
 	const length = 3 * time.Second
 	cases := map[string]struct {
@@ -35,7 +35,7 @@
 		"a later answer asks for none": {func(t *testing.T, f *fixture) {
 			f.place(t, plainJob()).NoteStatement("i-01", barleystep.Statement{}, f.clock.Now())
 		}, length - time.Millisecond, false},
-		"it starts anew": {func(_ *testing.T, f *fixture) {
+		"it restarts": {func(_ *testing.T, f *fixture) {
 			f.announceStart(0, 100)
 			f.announceStart(0, 200)
 		}, length - time.Millisecond, false},
@@ -66,8 +66,8 @@
 	quicktest.Check(t, f.TargetStatus("i-00").Resting, quicktest.IsTrue)
 }
 
-// TestRestBesideOthers checks that a target which rests gets nothing while others are there, be
-// they ever so busy, or left alone.
+// TestRestingTargetGetsNothing checks that a resting target gets nothing while there are others,
+// even if these are busy or in backoff.
 func TestRestingTargetGetsNothing(t *testing.T) {
 	f := newFixture(2)
 	f.askForRest(t, "i-00", time.Minute)
@@ -78,9 +78,8 @@
 	}
 }
 
-// TestAllRest checks what becomes of a request while all targets rest: it waits if it can be
-// in time, and is placed once the first has rested; else it is refused at once, and it is known
-// for how long.
+// TestAllTargetsRest checks that a request whose targets all rest waits if it can be in time and is
+// placed once the first has rested, and is otherwise refused at once with a known remaining rest.
 func TestAllTargetsRest(t *testing.T) {
 	const short, long = 500 * time.Millisecond, 10 * time.Second
 	t.Run("in time", func(t *testing.T) {
@@ -114,8 +113,8 @@
 	}
 }
 
-// TestRestOfOneBox checks that the rest which a target has asked the lead for counts for the
-// lead's own requests, and that others' go there where there is nothing better.
+// TestRestCountsForOwnRequests checks that a rest which a target has asked of the lead applies to
+// the lead's own requests, and that peers' requests go there if there is nothing better.
 func TestRestCountsForOwnRequests(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(2)
@@ -132,7 +131,7 @@
 	c.Check(eris.Is(err, balance.ErrFull), quicktest.IsTrue)
 }
 
-// TestLongestRest checks that a rest is bounded, by a setting where there is one.
+// TestMaxRest checks that a rest is bounded, by the setting if there is one.
 func TestMaxRest(t *testing.T) {
 	cases := map[string]struct{ set, asked, least time.Duration }{
 		"default":       {0, time.Hour, time.Minute},
@@ -152,8 +151,8 @@
 	}
 }
 
-// TestRestSpread checks that boxes which were asked in the same moment come back at different
-// ones.
+// TestRestJitter checks that boxes which were asked at the same moment come back at different
+// times.
 func TestRestJitter(t *testing.T) {
 	lefts := make(map[time.Duration]bool)
 	for range 20 {
@@ -164,8 +163,8 @@
 	quicktest.Check(t, len(lefts) > 10, quicktest.IsTrue)
 }
 
-// TestGrantsAreNoProbes checks that what the lead places for others does not hold up its own
-// requests after a rest: it does not hear how they are answered.
+// TestPeerPlacementsAreNoProbes checks that what the lead places for peers does not hold up its own
+// requests after a rest: it does not see how they are answered.
 func TestPeerPlacementsAreNoProbes(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(1)
@@ -178,8 +177,8 @@
 	c.Check(p, quicktest.IsNotNil)
 }
 
-// TestFirstAfterRest checks that after a rest a target gets one request, and no more before that
-// has shown that it takes them: what it says then counts, not the clock.
+// TestProbeAfterRest checks that after a rest a target gets one probe, and no more requests before
+// the probe has shown that it takes them.
 func TestProbeAfterRest(t *testing.T) {
 	shows := map[string]struct {
 		show  func(p *balance.Placement, f *fixture)
--- a/internal/balance/short.go
+++ b/internal/balance/short.go
@@ -7,37 +7,34 @@
 )
 
 const (
-	// lightDraws is how many engines are compared for a short prompt: enough to
-	// find one with room when most are full, few enough that boxes that know the
-	// same rarely choose the same.
+	// shortSamples is how many random engines are compared for a short prompt: enough to find one
+	// with room when most are full, few enough that boxes with the same knowledge rarely choose the
+	// same one.
 	shortSamples = 3
-	// slotWait is what a place in the queue counts for, in reading time, when a
-	// target's slots are full: about the time until a short stream ends.
+	// slotWait is what each place in the queue counts for, in prefill time, when a target's slots
+	// are full: about the time until a short stream ends.
 	slotWait = 400 * time.Millisecond
-	// outsideCost is what it counts for that an engine is meant for long prompts:
-	// one may be read there soon.
+	// longRegionCost is the cost of using an engine for long prompts: one may soon be prefilled
+	// there.
 	longRegionCost = 80 * time.Millisecond
-	// abroadCost is what it counts for that an engine is in another hall than the caller's
-	// box: a stream between halls stops when one of them is cut off.
+	// otherHallCost is the cost of using an engine in another hall than the caller's box: a stream
+	// between halls breaks when one of them is partitioned.
 	otherHallCost = 60 * time.Millisecond
-	// fullPart is the part of the slots, in hundredths, from which on each
-	// further stream counts for tightCost: counts of other boxes are a little
-	// old, so the last slots may be taken already.
+	// tightSlotsPercent is the percentage of the slots above which each further stream costs
+	// tightCost: counts from peers are slightly stale, so the last slots may already be taken.
 	tightSlotsPercent = 65
 	tightCost         = 25 * time.Millisecond
 	percent           = 100
-	// lateSpare is how many slots of an engine are kept for prompts that can
-	// still be in time: one that is late anyway would hold a slot for seconds.
+	// lateReservedSlots is how many slots of an engine are reserved for prompts that can still be
+	// in time: a late one would occupy a slot for seconds.
 	lateReservedSlots = 3
-	// streamCost is what a stream in progress counts for: it makes each pass a
-	// little longer.
+	// streamCost is the cost of a stream in progress: it makes each pass slightly longer.
 	streamCost = time.Millisecond
 )
 
-// placeLight takes the best of some engines for short prompts, drawn at random.
-// Where these are filling up, or others are idle, it takes one of the others: the
-// demand by which the engines are divided is that of the last seconds. It returns
-// nothing if all that it looked at are full.
+// placeShort takes the best of some random engines for short prompts. It takes an engine for long
+// prompts instead where the former fill up or the latter are idle, since the regions follow the
+// demand of the last seconds. It returns nil if all engines that it sampled are full.
 func (b *Balancer) placeShort(j Job, engines []fleet.Target) *Placement {
 	prefill := j.Cost.Prefill(j.PromptTokens)
 	r := b.divideRegions(j, engines)
@@ -54,22 +51,22 @@
 	return shortPlacement(j, best, score+prefill+j.Cost.Pass())
 }
 
-// lightPlacement returns the placement of a short prompt at an engine.
+// shortPlacement returns the placement of a short prompt at an engine.
 func shortPlacement(j Job, t fleet.Target, expectedTTFT time.Duration) *Placement {
 	work := Work{Short: 1, Backlog: j.Cost.Prefill(j.PromptTokens), KVTokens: j.PromptTokens + j.OutputTokens}
 	return &Placement{Target: t, expectedTTFT: expectedTTFT, parts: []*part{{target: t.ID, work: work}}}
 }
 
-// light reports whether the placement is that of a short prompt or of a request to a
-// plain service.
+// isShort reports whether the placement is that of a short prompt or of a request to a plain
+// service.
 func (p *Placement) isShort() bool {
 	return len(p.parts) == 1 && p.parts[0].prefill == 0 && p.parts[0].pass == 0
 }
 
-// bestOfHalls returns the best of some engines drawn from the caller's hall, or one of
-// another hall that is better by abroadCost, and its score; and the least score of any,
-// by which a short prompt leaves the engines for short ones: by that of its own hall alone,
-// it would go among long prompts while another hall has room.
+// bestOfHalls returns the best of some random engines in the caller's hall, or one of another hall
+// that is better by more than otherHallCost, with its score. least is the best score in any hall
+// and decides whether a short prompt leaves the engines for short ones: by the score of its own
+// hall alone, it would go among long prompts while another hall has room.
 func (b *Balancer) bestOfHalls(j Job, pool []fleet.Target) (best fleet.Target, score, least time.Duration) {
 	var near, far []fleet.Target
 	for _, t := range pool {
@@ -96,7 +93,7 @@
 	return best, score, least
 }
 
-// bestLight returns the best of some engines drawn at random, and its score.
+// bestShort returns the best of some random engines, and its score.
 func (b *Balancer) bestShort(pool []fleet.Target) (best fleet.Target, least time.Duration) {
 	for i := range shortSamples {
 		t := pool[b.randIntN(len(pool))]
@@ -107,7 +104,7 @@
 	return best, least
 }
 
-// HasRoom reports whether some target with a free slot may take the job.
+// HasFreeSlot reports whether some target with a free slot may take the job.
 func (b *Balancer) HasFreeSlot(j Job) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -120,7 +117,7 @@
 	return false
 }
 
-// lightScore is about how long a short prompt waits at the engine.
+// shortScore estimates how long a short prompt waits at the engine.
 func (b *Balancer) shortScore(t fleet.Target) time.Duration {
 	w := b.totalWork(t.ID)
 	score := w.Backlog + time.Duration(w.Short)*streamCost + b.errorWait(t)
@@ -134,7 +131,7 @@
 	return score
 }
 
-// errorWait is what an engine's recent failures count for.
+// errorWait returns the wait that an engine's recent failures count for.
 func (b *Balancer) errorWait(t fleet.Target) time.Duration {
 	return time.Duration(b.targetState(t.ID).errorRate * float64(errorWait))
 }
--- a/internal/balance/statement.go
+++ b/internal/balance/statement.go
@@ -6,34 +6,35 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Said is what is believed of what a target's lifetime says of itself. Each word of it is as old
-// as it is: an answer without a word takes back what was said before its request was sent.
+// TimedStatement is the latest known statement of a target's incarnation. Each value has its own
+// time: an answer without a value retracts what was stated before its request was sent.
 type TimedStatement struct {
-	// Limit is how much it takes from all boxes.
+	// Limit is the rate that it takes from all boxes together.
 	Limit Timed[barleystep.RateLimit]
 	// Leaving is whether it is about to end.
 	Leaving Timed[bool]
-	// Rest is until when it wants nothing from the box that it has told so. To others it is a
+	// Rest is until when it wants nothing from the box that it has told. To other boxes it is a
 	// hint: a target that is full for one box is mostly full for all.
 	Rest Timed[time.Time]
-	// Blamed is until when it is not asked to help, since a target has refused a prompt because
-	// of it: helpers that leave, or lack room, say nothing themselves.
+	// HelperBackoff is until when it gets no parts of prompts because another target has refused a
+	// prompt because of it: helpers that are leaving or full make no statement themselves.
 	HelperBackoff Timed[time.Time]
 }
 
-// Word is one thing that a target says of itself. The value's zero is that it does not say it.
+// Timed is a value with the time as of which it holds. A zero value means that the target does not
+// state it.
 type Timed[T comparable] struct {
 	Value T
-	// At is as of when it counts.
+	// At is the time as of which the value holds.
 	At time.Time
 }
 
-// takenBackTold is for how long a box tells the others that a target has taken a word back. A
-// box that has missed it goes by the word until it has an answer of the target's itself.
+// retractionGossipTime is how long a box gossips that a target has retracted a value. A box that
+// has missed it keeps the value until it gets an answer from the target itself.
 const retractionGossipTime = 10 * time.Second
 
-// wordOf returns what an answer says that is heard now, to a request that was sent at the given
-// time. Answers pass each other on their way: one to an earlier request takes nothing back.
+// timedFrom returns the value of an answer that arrives now, to a request that was sent at the
+// given time. Answers may arrive out of order: one to an earlier request retracts nothing.
 func timedFrom[T comparable](value T, now, sent time.Time) Timed[T] {
 	w := Timed[T]{Value: value, At: sent}
 	if w.isSet() {
@@ -42,13 +43,13 @@
 	return w
 }
 
-// says reports whether the target says it.
+// isSet reports whether the target states the value.
 func (w Timed[T]) isSet() bool {
 	var none T
 	return w.Value != none
 }
 
-// join returns the later word. Nothing is kept of a word that was never said.
+// later returns the later value. A retraction of a value that was never set is ignored.
 func (w Timed[T]) later(o Timed[T]) Timed[T] {
 	if (w.isSet() || o.isSet()) && o.At.After(w.At) {
 		return o
@@ -56,8 +57,8 @@
 	return w
 }
 
-// told returns the word if the others are to be told that it was heard here: it is what is
-// believed, and was said, or taken back of late.
+// gossip returns the value if peers are to be told that it was heard locally: it is the current
+// one, and is set or was retracted recently.
 func (w Timed[T]) gossip(current Timed[T], now time.Time) Timed[T] {
 	if w.Value == current.Value && (w.isSet() || now.Sub(w.At) < retractionGossipTime) {
 		return w
@@ -65,12 +66,12 @@
 	return Timed[T]{}
 }
 
-// join returns the later words of both. The order makes no difference.
+// later returns the later values of both. It is commutative.
 func (s TimedStatement) later(o TimedStatement) TimedStatement {
 	return TimedStatement{Limit: s.Limit.later(o.Limit), Leaving: s.Leaving.later(o.Leaving), Rest: s.Rest.later(o.Rest), HelperBackoff: s.HelperBackoff.later(o.HelperBackoff)}
 }
 
-// told returns what the others are to be told that was heard here.
+// gossip returns what peers are to be told of what was heard locally.
 func (s TimedStatement) gossip(statement TimedStatement, now time.Time) TimedStatement {
 	gossip := TimedStatement{Limit: s.Limit.gossip(statement.Limit, now), Leaving: s.Leaving.gossip(statement.Leaving, now)}
 	if now.Before(s.Rest.Value) {
@@ -82,9 +83,9 @@
 	return gossip
 }
 
-// Says takes in what the placement's target, or a helper, says of itself in the answer to a
-// request that was sent at the given time. With a zero time, words that it lacks are not taken
-// back.
+// NoteStatement takes in the statement of the placement's target, or of a helper, in the answer to
+// a request that was sent at the given time. With a zero time, values that it lacks are not
+// retracted.
 func (p *Placement) NoteStatement(id barleystep.TargetID, said barleystep.Statement, sent time.Time) {
 	b := p.balancer
 	b.mu.Lock()
@@ -96,7 +97,7 @@
 	}
 }
 
-// heardFrom takes in what a lifetime of a target says here.
+// noteStatement takes in the statement that an incarnation of a target makes to this box.
 func (b *Balancer) noteStatement(id barleystep.TargetID, s *targetState, said barleystep.Statement, sent time.Time) {
 	now := b.Clock.Now()
 	heard := TimedStatement{
@@ -111,7 +112,7 @@
 	b.updateStatement(id, s, heard)
 }
 
-// hearAll takes in what targets have told other boxes.
+// applyPeerStatements takes in the statements that targets have made to peers.
 func (b *Balancer) applyPeerStatements() {
 	if len(b.peers.Statements) == 0 {
 		return
@@ -121,15 +122,15 @@
 	}
 }
 
-// hear takes in what a target has told other boxes. A box that has just started hears of
-// targets before it meets them.
+// applyPeerStatement takes in the statement that a target has made to peers. A box that has just
+// started hears of targets before it uses them.
 func (b *Balancer) applyPeerStatement(id barleystep.TargetID, s *targetState) {
 	if said, ok := b.peers.Statements[s.key]; ok {
 		b.updateStatement(id, s, said)
 	}
 }
 
-// believe takes in what a lifetime of a target has said, here or to another box.
+// updateStatement merges a statement that an incarnation of a target has made, here or to a peer.
 func (b *Balancer) updateStatement(id barleystep.TargetID, s *targetState, said TimedStatement) {
 	before := s.statement
 	s.statement = before.later(said)
@@ -147,13 +148,13 @@
 	}
 }
 
-// limit returns how much the target takes from all boxes.
+// limit returns the rate that the target takes from all boxes together.
 func (s *targetState) limit() barleystep.RateLimit { return s.statement.Limit.Value }
 
-// leaving reports whether the target has said that it leaves.
+// isLeaving reports whether the target has stated that it is leaving.
 func (s *targetState) isLeaving() bool { return s.statement.Leaving.Value }
 
-// limits reports whether some target of the service names how much it takes.
+// hasLimitedTarget reports whether some target of the service states a limit.
 func (b *Balancer) hasLimitedTarget(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -168,14 +169,14 @@
 	return false
 }
 
-// logLimit tells of a change of belief, and of what it goes by.
+// logLimit logs a changed limit, and whether it was heard locally or from a peer.
 func (b *Balancer) logLimit(id barleystep.TargetID, s *targetState) {
 	if b.Log == nil {
 		return
 	}
-	e, text := b.Log.Warn(), "A target names how many requests it takes from all boxes."
+	e, text := b.Log.Warn(), "A target states its request limit for all boxes."
 	if !s.limit().IsSet() {
-		e, text = b.Log.Info(), "A target names no limit any more."
+		e, text = b.Log.Info(), "A target no longer states a limit."
 	}
 	e.Str("target", string(id)).Float64("per_second", s.limit().PerSecond()).
 		Bool("told_here", s.statement.Limit == s.heardLocally.Limit).Dur("age", b.Clock.Now().Sub(s.statement.Limit.At)).
@@ -183,14 +184,14 @@
 		Msg(logPrefix + text)
 }
 
-// logLeaving tells of a change of belief, and of what it goes by.
+// logLeaving logs a change of leaving, and whether it was heard locally or from a peer.
 func (b *Balancer) logLeaving(id barleystep.TargetID, s *targetState) {
 	if b.Log == nil {
 		return
 	}
-	text := "A target says that it leaves."
+	text := "A target states that it is leaving."
 	if !s.isLeaving() {
-		text = "A target says no longer that it leaves."
+		text = "A target no longer states that it is leaving."
 	}
 	e := b.Log.Info().Str("target", string(id)).Bool("told_here", s.statement.Leaving == s.heardLocally.Leaving)
 	e.Dur("age", b.Clock.Now().Sub(s.statement.Leaving.At)).Msg(logPrefix + text)
--- a/internal/balance/statement_test.go
+++ b/internal/balance/statement_test.go
@@ -10,9 +10,9 @@
 	"github.com/barleystep/barleystep/internal/balance"
 )
 
-// TestLeavingHeard checks that a box which has not heard a target itself goes by what it has
-// told another one, also one that meets the target only afterwards; that it does not tell it on,
-// as word that goes round looks young for ever; and that a later answer takes it back everywhere.
+// TestLeavingFromPeers checks that a box goes by what a target has told a peer, also if it first
+// uses the target afterwards. It does not gossip this on, since hearsay that circulates would look
+// fresh for ever.
 func TestLeavingFromPeers(t *testing.T) {
 	c := quicktest.New(t)
 	first, second, third := newFixture(2), newFixture(2), newFixture(2)
@@ -33,8 +33,8 @@
 	c.Check(fourth.TargetStatus("i-00").Statement.Leaving.Value, quicktest.IsFalse)
 }
 
-// TestLeavingTakenBack checks that boxes which were told that a target leaves hear that it
-// does not after all.
+// TestLeavingRetracted checks that boxes which were told that a target is leaving are told when it
+// retracts that.
 func TestLeavingRetracted(t *testing.T) {
 	c := quicktest.New(t)
 	first, second := newFixture(1), newFixture(1)
--- a/internal/balance/status.go
+++ b/internal/balance/status.go
@@ -7,23 +7,23 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Belief is what a box believes of one target.
+// TargetStatus is what a box knows of one target.
 type TargetStatus struct {
 	// Down is set while the target seems to be down.
 	Down bool
-	// Said is what the target says of itself, and HeardHere what it has said to this box; the
-	// rest was told by others.
+	// Statement is the target's latest statement, and HeardLocally the part that it made to this
+	// box; the rest came from peers.
 	Statement    TimedStatement
 	HeardLocally TimedStatement
 	// Resting is set while the target has asked this box for rest.
 	Resting bool
 }
 
-// mostPassed bounds the targets that are named as passed over.
+// maxDeclining bounds the number of targets that are named as declining.
 const maxDeclining = 16
 
-// PassedOver names the targets of the service that take nothing from this box by their own word,
-// and whose word that is, for logs.
+// DecliningTargets names, for logs, the targets of the service that by their own statement take
+// nothing from this box, and whether the statement was heard locally or from a peer.
 func (b *Balancer) DecliningTargets(service string) (list []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -40,7 +40,7 @@
 	return list[:min(len(list), maxDeclining)]
 }
 
-// refusal tells in words why the target takes nothing from this box, empty if it does.
+// declineReason says why the target takes nothing from this box, empty if it does.
 func (s *targetState) declineReason(now time.Time) string {
 	switch {
 	case s.isLeaving() && s.statement.Leaving == s.heardLocally.Leaving:
@@ -56,7 +56,7 @@
 	}
 }
 
-// Belief returns what this box believes of the target.
+// TargetStatus returns what this box knows of the target.
 func (b *Balancer) TargetStatus(id barleystep.TargetID) TargetStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/balance/suspect.go
+++ b/internal/balance/suspect.go
@@ -14,25 +14,26 @@
 	request string
 	target  barleystep.TargetID
 	since   time.Time
-	// ended is how many targets had ended under it then.
+	// ended is how many targets had ended under it when it was placed.
 	ended int
 }
 
 const (
-	// trialSpan is for how long the target of a suspect gets nothing else: what ends a target
-	// mostly does so while it reads the prompt, within some tenths of a second.
+	// trialExclusiveTime is how long the target of a suspect gets nothing else: a request that ends
+	// its target mostly does so during the prefill, within some tenths of a second.
 	trialExclusiveTime = 600 * time.Millisecond
-	// trialLife is how long after a suspect was placed the next of its kind is, if nothing is
-	// heard of what became of it: its box may be gone.
+	// trialTimeout is how long after a suspect was placed the same request may be placed again if
+	// no outcome is known: its box may be gone.
 	trialTimeout = 3 * time.Second
-	// trialPart is the part of the targets, as a divisor, that run suspects at the same time.
+	// trialTargetsDivisor is the divisor for the part of the targets that run suspects at the same
+	// time.
 	trialTargetsDivisor = 6
 )
 
-// suspect reports whether the job is one that runs alone.
+// isSuspect reports whether the job must run alone.
 func (j Job) isSuspect() bool { return j.Suspect != (suspect.Digest{}) }
 
-// endsTargets reports whether the job is known to end targets.
+// isRefused reports whether the job is known to end targets.
 func (b *Balancer) isRefused(j Job) bool {
 	if !j.isSuspect() {
 		return false
@@ -41,9 +42,9 @@
 	return standing == suspect.Refused
 }
 
-// tryAlone places a suspect where nothing else is lost with it, or as little as can be: at the
-// target with the fewest requests, which gets no others for a while. Of its kind one runs at a
-// time over all boxes, as the lead places them; a box without one refuses it.
+// placeSuspect places a suspect where as little as possible is lost with it: at the target with the
+// fewest requests, which gets no others for a while. One run of each suspect is in progress at a
+// time over all boxes, since the lead places them; a box without a lead refuses it.
 func (b *Balancer) placeSuspect(j Job, candidates []fleet.Target) (p *Placement, h holdReason, err error) {
 	trialTargets := len(b.trialTargets())
 	switch {
@@ -54,7 +55,7 @@
 	case b.hasTrialRunning(j), trialTargets >= max((len(candidates)+trialTargets)/trialTargetsDivisor, 1):
 		return nil, holdSuspect, nil
 	}
-	if isOversized(j) { // Its memory needs many engines.
+	if isOversized(j) { // Its KV cache needs many engines.
 		p, h = b.placeOversized(j, candidates)
 	} else {
 		p = b.placeLeastBusy(j, candidates)
@@ -70,7 +71,7 @@
 	return p, holdNone, nil
 }
 
-// placeAlone takes the target that has the fewest requests.
+// placeLeastBusy takes the target with the fewest requests.
 func (b *Balancer) placeLeastBusy(j Job, candidates []fleet.Target) *Placement {
 	best, least := 0, 0.0
 	for i, t := range candidates {
@@ -90,23 +91,22 @@
 	}
 }
 
-// open reports whether a request of the kind may still run: nothing has been learnt of it since
-// it was placed.
+// isOpen reports whether the trial may still run: no outcome has become known since it was placed.
 func (b *Balancer) isOpen(d suspect.Digest, t trial) bool {
 	known := b.Suspects.Evidence(d)
 	learnt := len(known.Ends()) > t.ended || known.LastSuccess().After(t.since)
 	return !learnt && b.Clock.Now().Sub(t.since) < trialTimeout
 }
 
-// trialRuns reports whether another request of the kind may still run. One that asks again has
-// come to no target, or has left it.
+// hasTrialRunning reports whether another run of the suspect may be in progress. A request that
+// asks again has reached no target, or has left it.
 func (b *Balancer) hasTrialRunning(j Job) bool {
 	t, ok := b.trials[j.Suspect]
 	return ok && t.request != j.RequestID && b.isOpen(j.Suspect, t)
 }
 
-// tried returns the targets that get nothing besides the suspects which they were given a
-// moment ago.
+// trialTargets returns the targets that currently get nothing besides the suspects that they were
+// given.
 func (b *Balancer) trialTargets() []barleystep.TargetID {
 	now := b.Clock.Now()
 	var list []barleystep.TargetID
@@ -118,7 +118,7 @@
 	return list
 }
 
-// forgetTrials drops the trials that count no longer.
+// pruneTrials drops the trials that have timed out.
 func (b *Balancer) pruneTrials() {
 	now := b.Clock.Now()
 	maps.DeleteFunc(b.trials, func(_ suspect.Digest, t trial) bool { return now.Sub(t.since) >= trialTimeout })
--- a/internal/balance/suspect_test.go
+++ b/internal/balance/suspect_test.go
@@ -15,7 +15,7 @@
 
 const bodySize = 100
 
-// trials is a balancer that knows of two suspects.
+// suspectFixture is a balancer that knows of two suspects.
 type suspectFixture struct {
 	*fixture
 	registry *suspect.Registry
@@ -33,18 +33,18 @@
 	return t
 }
 
-// ended notes a target that had the request.
+// recordEnd records the end of a target that had the request.
 func (t *suspectFixture) recordEnd(d suspect.Digest, key uint32) {
 	t.registry.RecordEnd(d, bodySize, suspect.NewEnd(key, t.clock.Now(), suspect.BeforeFirstEvent|suspect.RanAlone))
 }
 
-// ask asks for a place for a suspect.
+// tryPlace tries to place a suspect.
 func (t *suspectFixture) tryPlace(j balance.Job, d suspect.Digest) (*balance.Placement, *balance.QueuedJob, error) {
 	j.Suspect = d
 	return t.TryPlace(context.Background(), j)
 }
 
-// TestTrialIsAlone checks that a suspect gets the target with the least to lose, without
+// TestSuspectRunsAlone checks that a suspect gets the target with the least to lose, without
 // helpers, and that nothing else goes there for a while.
 func TestSuspectRunsAlone(t *testing.T) {
 	for name, j := range map[string]balance.Job{"plain": plainJob(), "short": engineJob(shortPrompt), "long": engineJob(longPrompt)} {
@@ -82,14 +82,14 @@
 	}
 }
 
-// TestOneTrialAtATime checks when the next attempt at the same request, or at another suspect,
-// gets a place.
+// TestOneSuspectAtATime checks when the next attempt at the same request, or at another suspect, is
+// placed.
 func TestOneSuspectAtATime(t *testing.T) {
 	cases := map[string]struct {
 		engines int
 		between func(f *suspectFixture)
-		other   bool // other asks for another suspect.
-		again   bool // again asks for the same attempt.
+		other   bool // other places another suspect.
+		again   bool // again places the same attempt.
 		placed  bool
 		err     error
 	}{
@@ -136,8 +136,8 @@
 	}
 }
 
-// TestTrialWaits checks that a suspect which waits gets its place once the one before it is
-// known to have done no harm.
+// TestSuspectWaits checks that a queued suspect is placed once the run before it is known to have
+// done no harm.
 func TestSuspectWaits(t *testing.T) {
 	c := quicktest.New(t)
 	f := newSuspectFixture(12)
--- a/internal/balance/work.go
+++ b/internal/balance/work.go
@@ -11,27 +11,27 @@
 	"github.com/barleystep/barleystep/internal/suspect"
 )
 
-// Work is what a target has to do for one box, or for all.
+// Work is the load of a target from one box, or from all.
 type Work struct {
-	// Light and Heavy count requests in progress: those with short prompts, or
-	// to plain services, and those with long prompts.
+	// Short and Long count requests in progress: those with short prompts, or to plain services,
+	// and those with long prompts.
 	Short int
 	Long  int
-	// Unread counts the requests of Heavy whose prompt was not read yet.
+	// PendingPrefills counts the requests of Long whose prompt is not prefilled yet.
 	PendingPrefills int
-	// Backlog is the time that it takes to read what has not been read, and Led that
-	// of the parts which the lead has placed.
+	// Backlog is the prefill time of what is not prefilled yet, and LeadBacklog that of the parts
+	// that the lead has placed.
 	Backlog     time.Duration
 	LeadBacklog time.Duration
-	// Memory is the KV memory, in tokens, that the requests take.
+	// KVTokens is the KV cache, in tokens, that the requests take.
 	KVTokens int
-	// Down counts boxes that could not reach the target a moment ago.
+	// DownReports counts the boxes that have recently failed to reach the target.
 	DownReports int
 }
 
 func (w *Work) add(o Work) { w.merge(o, 1) }
 
-// merge adds other work so many times; minus one takes it out again.
+// merge adds other work factor times; a factor of -1 subtracts it.
 func (w *Work) merge(o Work, factor int) {
 	w.Short += factor * o.Short
 	w.Long += factor * o.Long
@@ -42,15 +42,15 @@
 	w.DownReports += factor * o.DownReports
 }
 
-// Key names a lifetime of a target, or a service, between boxes, in less room than its id.
+// Key identifies an incarnation of a target, or a service, between boxes, in less space than its
+// id.
 type Key uint32
 
-// KeyOf returns the key of a service's name, or of the id of a target that does not say when
-// it started.
+// KeyOf returns the key of a service's name, or of the id of a target without a start time.
 func KeyOf(name string) Key { return Key(xxhash.Sum64String(name)) }
 
-// KeyOfTarget returns the key of a target's lifetime. What boxes tell each other of an earlier
-// one has another key: it counts nowhere, however late it comes.
+// KeyOfTarget returns the key of a target's incarnation. Gossip about an earlier incarnation has
+// another key, so that it counts nowhere, however late it arrives.
 func KeyOfTarget(t fleet.Target) Key {
 	if t.StartMS == 0 {
 		return KeyOf(string(t.ID))
@@ -62,9 +62,9 @@
 type Snapshot struct {
 	Work    map[Key]Work
 	Demands map[Key]Demand
-	// Said is what targets have said of themselves to any of the boxes.
+	// Statements are the statements that targets have made to any of the boxes.
 	Statements map[Key]TimedStatement
-	// Suspects is what is known of requests under which targets have ended.
+	// Suspects is the evidence against requests under which targets have ended.
 	Suspects map[suspect.Digest]suspect.Evidence
 }
 
@@ -78,7 +78,7 @@
 	}
 }
 
-// Add adds another snapshot. Of what a target said, the last word counts; evidence is joined.
+// Add adds another snapshot. The later value of each statement wins; evidence is merged.
 func (s Snapshot) Add(o Snapshot) {
 	s.merge(o, 1)
 	suspect.Merge(s.Suspects, o.Suspects)
@@ -87,7 +87,7 @@
 	}
 }
 
-// Remove takes away a snapshot that was added, but for what targets said and for evidence.
+// Remove subtracts a snapshot that was added, but keeps its statements and evidence.
 func (s Snapshot) Remove(o Snapshot) { s.merge(o, -1) }
 
 func (s Snapshot) merge(o Snapshot, factor int) {
@@ -104,7 +104,7 @@
 	}
 }
 
-// SetOthers takes in the work and demand of all other boxes.
+// SetOthers sets the work and demand of all other boxes.
 func (b *Balancer) SetOthers(s Snapshot) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -115,7 +115,7 @@
 	b.serveQueues(true)
 }
 
-// Snapshot returns this box's work and demand.
+// Snapshot returns this box's own work and demand.
 func (b *Balancer) Snapshot() Snapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -138,7 +138,7 @@
 	return s
 }
 
-// own returns the work that this box has given to the target.
+// ownWork returns the work that this box has given to the target.
 func (s *targetState) ownWork(now time.Time) Work {
 	var w Work
 	if s.isUnreachable(now) {
@@ -155,7 +155,7 @@
 	return w
 }
 
-// work returns the target's work for all boxes, as far as it is known.
+// totalWork returns the target's work from all boxes, as far as it is known.
 func (b *Balancer) totalWork(id barleystep.TargetID) Work {
 	if w, ok := b.workCache[id]; ok {
 		return w
@@ -165,7 +165,7 @@
 	w := s.ownWork(now)
 	peers := b.peers.Work[s.key]
 	if now.Before(b.leadUntil) {
-		peers.LeadBacklog = 0 // This box knows better.
+		peers.LeadBacklog = 0 // This box's own accounting is newer.
 	}
 	w.add(peers)
 	w.Backlog, w.LeadBacklog = w.Backlog+w.LeadBacklog, 0
