--- a/internal/clock/alarm.go
+++ b/internal/clock/alarm.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// leastAlarm is the shortest timer that is looked at again on waking; a shorter one is late by
-// its own length at the most.
+// minAlarm is the shortest timer that is reset on waking; a shorter one is late by at most its own
+// length.
 const minAlarm = 250 * time.Millisecond
 
-// alarms are the timers of this process that are looked at again on waking.
+// alarms are the timers of this process that are reset on waking.
 var alarms alarmSet
 
-// alarmSet is the timers that have neither fired nor been stopped.
+// alarmSet holds the timers that have neither fired nor been stopped.
 type alarmSet struct {
 	watchers atomic.Int32
 	mu       sync.Mutex
 	set      map[*alarm]struct{}
 }
 
-// watched reports whether somebody looks at the timers on waking.
+// isWatched reports whether a Watcher resets the timers on waking.
 func (s *alarmSet) isWatched() bool { return s.watchers.Load() > 0 }
 
-// start starts a timer. It may be due before it is in the set, so that the lock is held.
+// start starts a timer. The lock is held because the timer may fire before it is in the set.
 func (s *alarmSet) start(a *alarm, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,7 +34,7 @@
 	a.timer = time.AfterFunc(d, a.fire)
 }
 
-// remove takes a timer out; it reports false if it was out already.
+// remove removes a timer; it reports false if it was not in the set.
 func (s *alarmSet) remove(a *alarm) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,7 +43,7 @@
 	return ok
 }
 
-// wake sets all timers anew, by how long it is still until they are due.
+// wake resets all timers by the time that is left until they are due.
 func (s *alarmSet) wake() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/clock/deadline.go
+++ b/internal/clock/deadline.go
@@ -7,8 +7,8 @@
 	"github.com/barleystep/barleystep"
 )
 
-// WithDeadline returns a context that ends with context.DeadlineExceeded as
-// its cause when clk reaches deadline. The cancel function must be called.
+// WithDeadline returns a context that ends with context.DeadlineExceeded as its cause when clk
+// reaches deadline. The cancel function must be called.
 func WithDeadline(ctx context.Context, clk barleystep.Clock, deadline time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := clk.NewTimer(deadline.Sub(clk.Now()))
@@ -35,8 +35,8 @@
 	}
 }
 
-// Repeat calls f with pauses of d until ctx ends, and returns the context's
-// error. The first call comes after the first pause.
+// Repeat calls f with pauses of d until ctx ends, and returns the context's error. The first call
+// comes after the first pause.
 func Repeat(ctx context.Context, clk barleystep.Clock, d time.Duration, f func(context.Context)) error {
 	for Sleep(ctx, clk, d) {
 		f(ctx)
@@ -44,8 +44,8 @@
 	return ctx.Err()
 }
 
-// Wall converts a time of clk into one of the operating system's clock, which
-// sockets need for their deadlines.
+// WallTime converts a time of clk to the operating system's clock, which sockets use for their
+// deadlines.
 func WallTime(clk barleystep.Clock, t time.Time) time.Time {
 	return time.Now().Add(t.Sub(clk.Now()))
 }
--- a/internal/clock/manual.go
+++ b/internal/clock/manual.go
@@ -7,8 +7,8 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Manual is a clock that moves only when told to. Its zero value stands at the
-// Unix epoch. It is safe for concurrent use.
+// Manual is a clock that moves only when advanced. Its zero value stands at the zero time. It is
+// safe for concurrent use.
 type Manual struct {
 	mu     sync.Mutex
 	now    time.Time
@@ -18,7 +18,7 @@
 // NewManual returns a clock that stands at the given time.
 func NewManual(now time.Time) *Manual { return &Manual{now: now} }
 
-// Now returns the time that was last set.
+// Now returns the clock's current time.
 func (m *Manual) Now() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -35,7 +35,7 @@
 	}
 }
 
-// NewTimer returns a timer that fires when Advance passes its time.
+// NewTimer returns a timer that fires when Advance reaches its time.
 func (m *Manual) NewTimer(d time.Duration) barleystep.Timer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -48,7 +48,7 @@
 	return t
 }
 
-// Timers returns how many timers wait to fire.
+// PendingTimers returns the number of timers that have not fired.
 func (m *Manual) PendingTimers() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -72,7 +72,7 @@
 // C returns the channel on which the timer fires.
 func (t *manualTimer) C() <-chan time.Time { return t.c }
 
-// Stop takes the timer off the clock.
+// Stop removes the timer from the clock.
 func (t *manualTimer) Stop() bool {
 	t.clock.mu.Lock()
 	defer t.clock.mu.Unlock()
--- a/internal/clock/suspension.go
+++ b/internal/clock/suspension.go
@@ -7,27 +7,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// suspension counts for how long the machine was suspended, by what the operating system's
-// clocks say.
+// suspension measures for how long the machine was suspended by comparing the operating system's
+// clocks.
 type suspension struct {
 	start time.Time
-	// read returns how far the steady clock and the time of day have moved on since the start,
-	// both as of one moment, and boot the same of the clock that counts suspensions too.
+	// readClocks returns the time since the start by the monotonic clock, which stops during
+	// suspensions, and by the time of day, both at one moment. boot returns the same by the clock
+	// that includes suspensions.
 	readClocks func() (steady, day time.Duration)
 	boot       func() time.Duration
 
-	// lead is by how much the time of day was ahead when it was last looked, and total the time
-	// for which the machine was suspended, both in nanoseconds. total only rises.
+	// offset is the lead of the time of day over the monotonic clock at the last measurement, and
+	// total the time for which the machine was suspended, both in nanoseconds. total only rises.
 	offset atomic.Int64
 	total  atomic.Int64
 }
 
-// leadChange is the change of the time of day against the steady clock upon which it is looked
-// whether the machine was suspended. Asking for the time of day costs nothing besides, asking
-// for the third clock a call to the system each time.
+// offsetTolerance is the change of offset that triggers a measurement. The time of day comes at no
+// extra cost, while reading the third clock takes a system call each time.
 const offsetTolerance = time.Millisecond
 
-// process counts for this process.
+// processClock measures for this process.
 var processClock = newSuspension()
 
 func newSuspension() *suspension {
@@ -43,8 +43,8 @@
 	}
 }
 
-// bootTime returns the time since the machine was started, suspensions included, or zero on a
-// system that does not count it.
+// bootTime returns the time since the machine was booted, suspensions included, or zero on a system
+// that does not provide it.
 func bootTime() time.Duration {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
@@ -64,12 +64,12 @@
 	return s.start.Add(steady + time.Duration(s.total.Load()))
 }
 
-// look looks whether the machine was suspended, and returns the whole time for which it was.
+// measure updates total from the boot clock and returns it.
 func (s *suspension) measure() time.Duration {
 	boot := s.boot()
 	steady, _ := s.readClocks()
-	// This process may have been held up between the two: the difference is no more than
-	// the time of suspension, and another look finds more.
+	// The process may have been delayed between the two reads. The difference then is at most the
+	// time of suspension, and a later measurement finds more.
 	found := int64(boot - steady)
 	for {
 		known := s.total.Load()
--- a/internal/clock/suspension_internal_test.go
+++ b/internal/clock/suspension_internal_test.go
@@ -11,10 +11,10 @@
 	"github.com/phuslu/log"
 )
 
-// readings are what the operating system's clocks say in a test.
+// readings are the values of the operating system's clocks in a test.
 type readings struct{ steady, day, boot time.Duration }
 
-// suspended returns a counter that goes by the readings.
+// counter returns a suspension that uses the readings.
 func (r *readings) counter() *suspension {
 	return &suspension{
 		start:      time.Unix(1000, 0),
@@ -23,22 +23,22 @@
 	}
 }
 
-// TestSuspension checks which time passes by what the three clocks say.
+// TestSuspension checks how much time passes for readings of the three clocks.
 func TestSuspension(t *testing.T) {
 	const s = time.Second
 	cases := map[string]struct {
 		after readings
 		want  time.Duration
 	}{
-		"nothing happens":                     {readings{10 * s, 10 * s, 10 * s}, 10 * s},
-		"the machine is suspended":            {readings{10 * s, 15 * s, 15 * s}, 15 * s},
-		"the time of day is set on":           {readings{10 * s, 15 * s, 10 * s}, 10 * s},
-		"the time of day is set back":         {readings{10 * s, 5 * s, 10 * s}, 10 * s},
-		"suspended, and set on":               {readings{10 * s, 22 * s, 15 * s}, 15 * s},
-		"suspended, and set back":             {readings{10 * s, 12 * s, 15 * s}, 15 * s},
-		"no clock that counts suspensions":    {readings{10 * s, 15 * s, 0}, 10 * s},
-		"for longer than it has run":          {readings{1 * s, 3600 * s, 3600 * s}, 3600 * s},
-		"the process is held up between them": {readings{10 * s, 15 * s, 9 * s}, 10 * s},
+		"nothing happens":                      {readings{10 * s, 10 * s, 10 * s}, 10 * s},
+		"the machine is suspended":             {readings{10 * s, 15 * s, 15 * s}, 15 * s},
+		"the time of day is set forward":       {readings{10 * s, 15 * s, 10 * s}, 10 * s},
+		"the time of day is set back":          {readings{10 * s, 5 * s, 10 * s}, 10 * s},
+		"suspended, and set forward":           {readings{10 * s, 22 * s, 15 * s}, 15 * s},
+		"suspended, and set back":              {readings{10 * s, 12 * s, 15 * s}, 15 * s},
+		"no boot clock":                        {readings{10 * s, 15 * s, 0}, 10 * s},
+		"for longer than it has run":           {readings{1 * s, 3600 * s, 3600 * s}, 3600 * s},
+		"the process is delayed between reads": {readings{10 * s, 15 * s, 9 * s}, 10 * s},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestSuspensionsAddUp checks that time never goes back, and that a suspension which the time of
-// day hides is found by the watcher's look.
+// TestSuspensionsAccumulate checks that time never goes back, and that the watcher's measurement
+// finds a suspension which a change of the time of day hides.
 func TestSuspensionsAccumulate(t *testing.T) {
 	c := quicktest.New(t)
 	var r readings
@@ -63,14 +63,14 @@
 	c.Check(clk.now().Sub(begin), quicktest.Equals, 3*time.Second)
 	r = readings{2 * time.Second, 8 * time.Second, 8 * time.Second}
 	c.Check(clk.now().Sub(begin), quicktest.Equals, 8*time.Second)
-	r = readings{3 * time.Second, 9 * time.Second, 19 * time.Second} // And set back by as much.
+	r = readings{3 * time.Second, 9 * time.Second, 19 * time.Second} // The time of day is set back by as much.
 	c.Check(clk.now().Sub(begin), quicktest.Equals, 9*time.Second)
 	c.Check(clk.measure(), quicktest.Equals, 16*time.Second)
 	c.Check(clk.now().Sub(begin), quicktest.Equals, 19*time.Second)
 }
 
 // TestAlarms checks that a timer which came due while the machine was suspended fires on waking,
-// that one which is not due does not, and that a stopped one stays so.
+// that one which is not due does not, and that a stopped one stays stopped.
 func TestAlarms(t *testing.T) {
 	c := quicktest.New(t)
 	simulate.Do(func() {
@@ -101,13 +101,13 @@
 	c.Check(short.Stop(), quicktest.IsFalse)
 }
 
-// pretended is for how long the machine looks as if it had been suspended, once pretend was done.
+// simulated is the total simulated time of suspension, in effect once simulate was done.
 var (
 	simulate  sync.Once
 	simulated atomic.Int64
 )
 
-// suspend has the machine look as if it had been suspended.
+// suspend simulates a suspension of the machine.
 func suspend(d time.Duration) {
 	simulated.Add(int64(d))
 	processClock.measure()
--- a/internal/clock/system.go
+++ b/internal/clock/system.go
@@ -1,5 +1,5 @@
-// Package clock implements barleystep.Clock: System for programs and Manual
-// for tests and measurements.
+// Package clock implements barleystep.Clock: System for programs and Manual for tests and
+// measurements.
 package clock
 
 import (
@@ -8,13 +8,13 @@
 	"github.com/barleystep/barleystep"
 )
 
-// System is the clock of the operating system. Its zero value is ready to use. Its time goes on
-// while the machine is suspended, in which the runtime's steady time stands still: what a box
-// knows must not look younger than it is when it wakes.
+// System is the clock of the operating system. Its zero value is ready to use. Its time continues
+// while the machine is suspended, unlike the runtime's monotonic time: a box's state must not look
+// more recent than it is on waking.
 type System struct{}
 
-// Now returns the time of day at the start of the process and what has passed since. It follows
-// no change of the time of day; TimeOfDay does.
+// Now returns the time of day at the start of the process plus the time since. It ignores later
+// changes of the time of day, unlike TimeOfDay.
 func (System) Now() time.Time { return processClock.now() }
 
 // NewTimer returns a timer. While a Watcher runs, it fires on waking if it came due while the
@@ -26,8 +26,8 @@
 	return newAlarm(d)
 }
 
-// TimeOfDay returns the time of day, which other machines know too and which may be set while
-// the program runs. Of a clock that is not the operating system's it is its time.
+// TimeOfDay returns the time of day, which machines share and which may be set while the program
+// runs. For any clock other than System it is the clock's time.
 func TimeOfDay(clk barleystep.Clock) time.Time {
 	if _, ok := clk.(System); ok {
 		return time.Now().Round(0)
--- a/internal/clock/watcher.go
+++ b/internal/clock/watcher.go
@@ -7,21 +7,21 @@
 	"github.com/phuslu/log"
 )
 
-// Watcher notices that the machine was suspended: it tells of it, and looks again at the timers
-// that the suspension has made late. Its exported fields are set before Serve.
+// Watcher detects suspensions of the machine, logs them, and resets the timers that they have
+// delayed. Its exported fields are set before Serve.
 type Watcher struct {
 	Log *log.Logger
 }
 
 const (
-	// watchEvery is how soon after waking it is noticed.
+	// watchInterval bounds how soon after waking a suspension is detected.
 	watchInterval = 250 * time.Millisecond
-	// leastGap is the shortest suspension of which there is a line.
+	// minGap is the shortest suspension that is logged.
 	minGap    = 100 * time.Millisecond
 	logPrefix = "clock: "
 )
 
-// String names the service in the supervisor's lines.
+// String returns the service's name for the supervisor's logs.
 func (*Watcher) String() string { return "watcher of suspensions" }
 
 // Serve watches until ctx ends.
@@ -37,6 +37,6 @@
 		}
 		before = total
 		alarms.wake()
-		w.Log.Warn().Dur("gap", gap).Msg(logPrefix + "This machine was suspended. What is known is that much older.")
+		w.Log.Warn().Dur("gap", gap).Msg(logPrefix + "This machine was suspended. Its state is older by this gap.")
 	})
 }
--- a/internal/fleet/configuration.go
+++ b/internal/fleet/configuration.go
@@ -1,6 +1,5 @@
-// Package fleet holds what a box must know to route requests: the operator's
-// configuration and the targets that are there. All types are plain data; View
-// is an index over them that never changes.
+// Package fleet holds what a box needs to route requests: the operator's configuration and the
+// available targets. All types are plain data; View is an immutable index over the configuration.
 package fleet
 
 import (
@@ -9,7 +8,7 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Kind says how often a request of a route may run.
+// Kind is how requests of a route may run.
 type Kind uint8
 
 // The kinds of routes.
@@ -18,25 +17,25 @@
 	KindOnce Kind = iota
 	// KindRepeatable marks requests that may run any number of times.
 	KindRepeatable
-	// KindStream marks requests that are answered by a stream of events. They
-	// run at most once unless the route is resumable.
+	// KindStream marks requests that are answered by a stream of events. They run at most once
+	// unless the route is resumable.
 	KindStream
 )
 
 // String returns the kind's name for logs and metric attributes.
 func (k Kind) String() string { return [...]string{"once", "repeatable", "stream"}[k] }
 
-// Configuration is one version of what the operator set.
+// Configuration is one version of the operator's settings.
 type Configuration struct {
 	Version  int64
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// Accounts are the client accounts; without any, no request needs a key.
+	// Accounts are the client accounts; if there are none, no request needs a key.
 	Accounts []Account
 }
 
-// Route says what becomes of the requests of a host below a path.
+// Route defines how requests for a host and path prefix are handled.
 type Route struct {
 	Name string
 	Host string
@@ -45,20 +44,19 @@
 	Kind   Kind
 	// Timeout bounds how long a request is held.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or a stream's first event,
-	// is in time.
+	// Objective is the latency objective for an answer, or for a stream's first event.
 	Objective time.Duration
-	// MaxPause is the longest pause between events of a stream that is in time.
+	// MaxPause is the longest pause between events of a stream that meets its objective.
 	MaxPause time.Duration
-	// Priority ranks routes, 0 first.
+	// Priority ranks routes; 0 goes first.
 	Priority int
-	// Split shares the route's requests between services by weight.
+	// Split divides the route's requests among services by weight.
 	Split []Share
-	// MaxSends is the largest number of targets that one request is sent to.
+	// MaxTries is the largest number of targets that one request is sent to.
 	MaxTries int
 	// Public routes need no key.
 	Public bool
-	// Resumable streams may go on at another target.
+	// Resumable streams may continue on another target.
 	Resumable bool
 }
 
@@ -73,10 +71,10 @@
 	Weight  int
 }
 
-// Service is a group of targets that do the same.
+// Service is a group of interchangeable targets.
 type Service struct {
 	Name string
-	// Cost tells how model engines spend their time; nil for plain services.
+	// Cost models the speed of the service's model engines; nil for plain services.
 	Cost *CostModel
 }
 
@@ -85,7 +83,7 @@
 	HeaderBytes   int
 	BodyBytes     int64
 	HeaderTimeout time.Duration
-	// Idle is how long a connection may rest between requests.
+	// IdleTimeout is how long a connection may be idle between requests.
 	IdleTimeout time.Duration
 }
 
@@ -93,29 +91,28 @@
 type Account struct {
 	Name string
 	Keys []string
-	// Priority goes before that of the route when HasPriority is set.
+	// Priority overrides that of the route if HasPriority is set.
 	Priority    int
 	HasPriority bool
 }
 
-// Target is one target as it announced itself.
+// Target is a target as its record describes it.
 type Target struct {
 	ID      barleystep.TargetID
 	Service string
-	// Addr is the IP and port.
+	// Addr is the IP address and port.
 	Addr  string
 	Hall  barleystep.HallID
 	Slots int
-	// Draining targets finish what they have and are about to end.
+	// Draining targets finish their requests and are about to end.
 	Draining bool
-	// Born is when the target started by its own clock, in Unix milliseconds; zero if it
-	// does not say. It tells the lifetimes under one id apart and does not order them: a
-	// clock may step.
+	// StartMS is when the target started, by its own clock, in Unix milliseconds; zero if unknown.
+	// It tells incarnations under one id apart but does not order them: a clock may be set back.
 	StartMS int64
 }
 
-// Restarted reports whether the target lives anew under its id since it was known to be born
-// at the given time. Where either is zero, nothing says so.
+// Restarted reports whether the target has restarted under its id since it had the given start
+// time. It is false if either time is zero.
 func (t Target) Restarted(born int64) bool {
 	return born != 0 && t.StartMS != 0 && t.StartMS != born
 }
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// View is a configuration, indexed for requests. It never changes.
+// View is an immutable index of a configuration for request routing.
 type View struct {
 	configuration Configuration
 	hosts         map[string]map[string]*Route
 	accounts      map[string]*Account
 	services      map[string]*Service
-	maxPauses     map[string]time.Duration // pauses holds the tightest pause by service.
+	maxPauses     map[string]time.Duration // maxPauses holds the shortest MaxPause of the streams by service.
 }
 
 // NewView indexes the configuration, which must not be changed afterwards.
@@ -54,10 +54,10 @@
 	}
 }
 
-// Version returns the number of the configuration.
+// Version returns the version of the configuration.
 func (v *View) Version() int64 { return v.configuration.Version }
 
-// Limits returns the bounds on callers.
+// Limits returns the bounds on what callers may send.
 func (v *View) Limits() Limits { return v.configuration.Limits }
 
 // Services returns all services.
@@ -66,14 +66,14 @@
 // Service returns the service with the name, nil if there is none.
 func (v *View) Service(name string) *Service { return v.services[name] }
 
-// NeedsKeys reports whether requests on routes that are not public need a key.
+// RequiresKeys reports whether requests on routes that are not public need a key.
 func (v *View) RequiresKeys() bool { return len(v.configuration.Accounts) > 0 }
 
 // Account returns the account that holds the key, nil if there is none.
 func (v *View) Account(key string) *Account { return v.accounts[key] }
 
-// Route returns the route of a request: of the host's routes, the one with the
-// longest prefix of the path. It returns nil if there is none.
+// Route returns the route of a request: among the host's routes, the one with the longest matching
+// prefix of the path. It returns nil if there is none.
 func (v *View) Route(host, path string) *Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// Pick returns the service for a request by the route's weights. The draw is
-// any number that is spread evenly.
+// Pick returns the service for a request by the route's weights. draw is any uniformly distributed
+// number.
 func (r Route) Pick(draw uint64) string {
 	total := 0
 	for _, s := range r.Split {
@@ -116,6 +116,6 @@
 	return ""
 }
 
-// TightestPause returns the shortest pause between events that any stream of
-// the service may have, zero if it has no streams.
+// MaxPause returns the shortest MaxPause of the routes that stream from the service, zero if there
+// are none.
 func (v *View) MaxPause(service string) time.Duration { return v.maxPauses[service] }
--- a/internal/strict/object.go
+++ b/internal/strict/object.go
@@ -1,6 +1,6 @@
-// Package strict reads records that anybody may have written. A field that is missing,
-// of another type or of a value that it cannot have is an error, where encoding/json
-// would leave a zero value, and names of fields count as they are spelled.
+// Package strict decodes records that anybody may have written. A field that is missing, has the
+// wrong type or an invalid value is an error, where encoding/json would leave a zero value, and
+// field names are case-sensitive.
 package strict
 
 import (
@@ -11,14 +11,14 @@
 	"unicode/utf8"
 )
 
-// Object reads the fields of one JSON object. It keeps the first error, so that callers
-// read all fields and then ask for it once.
+// Object decodes the fields of one JSON object. It keeps the first error, so that callers decode
+// all fields and then check Err once.
 type Object struct {
 	fields map[string]json.RawMessage
 	err    error
 }
 
-// Parse returns the object that the bytes hold.
+// Parse returns the JSON object in data.
 func Parse(data []byte) *Object {
 	o := &Object{}
 	if !utf8.Valid(data) {
@@ -31,7 +31,7 @@
 	return o
 }
 
-// Err returns what was wrong first, nil if nothing was.
+// Err returns the first error, nil if there was none.
 func (o *Object) Err() error { return o.err }
 
 func (o *Object) fail(e *Error) {
@@ -40,14 +40,13 @@
 	}
 }
 
-// Has reports whether the field is there, of whatever type. It tells optional fields.
+// Has reports whether the field is present, of whatever type. It is for optional fields.
 func (o *Object) Has(name string) bool {
 	_, ok := o.fields[name]
 	return ok
 }
 
-// into decodes a field. What encoding/json takes for "leave it as it is" is another type
-// here.
+// decode decodes a field. A null, which encoding/json ignores, counts as the wrong type.
 func (o *Object) decode(name string, out any) bool {
 	raw, ok := o.fields[name]
 	if !ok {
@@ -61,13 +60,13 @@
 	return true
 }
 
-// Text returns a text.
+// Text returns a string.
 func (o *Object) Text(name string) (s string) {
 	o.decode(name, &s)
 	return s
 }
 
-// Name returns a text that is not empty.
+// NonEmptyText returns a string that is not empty.
 func (o *Object) NonEmptyText(name string) (s string) {
 	if o.decode(name, &s) && s == "" {
 		o.fail(Errorf(ReasonInvalidValue, "field %q is empty", name))
@@ -75,7 +74,7 @@
 	return s
 }
 
-// OneOf returns a text, which must be one of those given.
+// OneOf returns a string, which must be one of known.
 func (o *Object) OneOf(name string, known ...string) (s string) {
 	if o.decode(name, &s) && !slices.Contains(known, s) {
 		o.fail(Errorf(ReasonUnknownValue, "field %q is none of %q", name, known))
@@ -83,7 +82,7 @@
 	return s
 }
 
-// Address returns a text, which must be the IP and port of somebody.
+// AddrPort returns a string, which must be a specific IP address with a port.
 func (o *Object) AddrPort(name string) (s string) {
 	if !o.decode(name, &s) {
 		return ""
@@ -95,13 +94,13 @@
 	return s
 }
 
-// Whole returns a whole number.
+// Int returns an integer.
 func (o *Object) Int(name string) (n int64) {
 	o.decode(name, &n)
 	return n
 }
 
-// Count returns a whole number above 0.
+// PositiveInt returns an integer above 0 that fits 32 bits.
 func (o *Object) PositiveInt(name string) int {
 	n := o.Int(name)
 	if n <= 0 || n > math.MaxInt32 {
@@ -111,19 +110,19 @@
 	return int(n)
 }
 
-// Number returns a number.
+// Float returns a number.
 func (o *Object) Float(name string) (f float64) {
 	o.decode(name, &f)
 	return f
 }
 
-// Flag returns true or false.
+// Bool returns a boolean.
 func (o *Object) Bool(name string) (b bool) {
 	o.decode(name, &b)
 	return b
 }
 
-// List returns the objects of a list.
+// Objects returns the objects of an array.
 func (o *Object) Objects(name string) []*Object {
 	var raw []json.RawMessage
 	if !o.decode(name, &raw) {
--- a/internal/strict/object_test.go
+++ b/internal/strict/object_test.go
@@ -9,12 +9,12 @@
 	"github.com/barleystep/barleystep/internal/strict"
 )
 
-// TestObject checks what each kind of field may hold.
+// TestObject checks the accepted values of each kind of field.
 func TestObject(t *testing.T) {
 	cases := map[string]struct {
 		text string
 		read func(o *strict.Object)
-		want string // want is the error, empty for none.
+		want string // want is the expected error, empty for none.
 	}{
 		"text":               {`{"f":"a"}`, func(o *strict.Object) { o.Text("f") }, ""},
 		"empty text":         {`{"f":""}`, func(o *strict.Object) { o.Text("f") }, ""},
--- a/internal/strict/reason.go
+++ b/internal/strict/reason.go
@@ -6,49 +6,49 @@
 	"github.com/rotisserie/eris"
 )
 
-// Flaw is what is wrong with a record.
+// Reason is why a record was rejected.
 type Reason uint8
 
-// The flaws.
+// The reasons.
 const (
-	// FlawUnreadable marks bytes that are no object in JSON.
+	// ReasonUnreadable means that the data is not a JSON object.
 	ReasonUnreadable Reason = iota
-	// FlawMissing marks a field that is not there.
+	// ReasonMissing means that a field is missing.
 	ReasonMissing
-	// FlawType marks a field of another type.
+	// ReasonWrongType means that a field has the wrong type.
 	ReasonWrongType
-	// FlawUnnamed marks a field whose value is none of those that it may have.
+	// ReasonUnknownValue means that a field has none of its defined values.
 	ReasonUnknownValue
-	// FlawValue marks a field whose type is right and whose value cannot be.
+	// ReasonInvalidValue means that a field has the right type and an impossible value.
 	ReasonInvalidValue
 )
 
-// Flaws are all flaws.
+// Reasons are all reasons.
 var Reasons = [...]Reason{ReasonUnreadable, ReasonMissing, ReasonWrongType, ReasonUnknownValue, ReasonInvalidValue}
 
-// String returns the flaw's name for logs and metric attributes.
+// String returns the reason's name for logs and metric attributes.
 func (f Reason) String() string {
 	return [...]string{"unreadable", "missing", "type", "unnamed", "value"}[f]
 }
 
-// Error says why a record was refused.
+// Error says why a record was rejected.
 type Error struct {
 	reason Reason
 	text   string
 }
 
-// Errorf returns the error of a flaw with its description.
+// Errorf returns an error with its reason and a formatted description.
 func Errorf(f Reason, format string, args ...any) *Error {
 	return &Error{reason: f, text: fmt.Sprintf(format, args...)}
 }
 
-// Flaw returns what is wrong.
+// Reason returns why the record was rejected.
 func (e *Error) Reason() Reason { return e.reason }
 
-// Error describes the flaw.
+// Error returns the description.
 func (e *Error) Error() string { return e.text }
 
-// FlawOf returns what is wrong according to the error: FlawUnreadable if it does not say.
+// ReasonOf returns the reason of an error, ReasonUnreadable if it has none.
 func ReasonOf(err error) Reason {
 	var e *Error
 	if eris.As(err, &e) {
--- a/internal/suspect/archive.go
+++ b/internal/suspect/archive.go
@@ -11,49 +11,49 @@
 	"github.com/barleystep/barleystep/internal/strict"
 )
 
-// Archive keeps in the platform's store which requests end targets: boxes that have all ended
-// would otherwise learn it anew each time, at the price of as many targets. One box reads it
-// when it becomes the lead, tells the others as it does what it has learnt itself, and writes
-// what they learn. Its exported fields are set before Serve.
+// Archive stores in the platform's store which requests end targets: after a restart of all boxes
+// they would otherwise have to learn it again, at the cost of as many targets. One box reads it
+// when it becomes the lead, gossips it like its own evidence, and writes what the boxes learn. Its
+// exported fields are set before Serve.
 type Archive struct {
 	Clock     barleystep.Clock
 	Catalogue barleystep.Catalogue
 	Registry  *Registry
-	// Leads reports whether this box reads and writes for all.
+	// IsLead reports whether this box reads and writes for all.
 	IsLead func() bool
 	Log    *log.Logger
 
-	// kept is what the store holds, by the sum of the ends' keys; nil until it was read.
+	// stored holds the checksums of the evidence in the store; nil until it was read.
 	stored map[Digest]uint64
 }
 
 const (
-	// archiveEvery is how often it is looked whether there is anything to be read or written:
-	// what is known and not yet written is lost if all boxes end.
+	// archiveInterval is how often the archive is synchronised: evidence that is not yet written is
+	// lost if all boxes end.
 	archiveInterval = 250 * time.Millisecond
-	// archivePause is the wait after a failed call.
+	// archiveRetryDelay is the wait after a failed call.
 	archiveRetryDelay = time.Second
-	// archiveTimeout bounds one call.
+	// archiveTimeout bounds one synchronisation.
 	archiveTimeout = time.Second
 )
 
-// String names the service in the supervisor's lines.
+// String returns the service's name for the supervisor's logs.
 func (*Archive) String() string { return "archive of suspects" }
 
-// Serve keeps the archive until ctx ends.
+// Serve maintains the archive until ctx ends.
 func (a *Archive) Serve(ctx context.Context) error {
 	pause := archiveInterval
 	for clock.Sleep(ctx, a.Clock, pause) {
 		pause = archiveInterval
 		if err := a.sync(ctx); err != nil {
-			a.Log.Warn().Err(err).Msg(logPrefix + "The archive cannot be read or written. It is tried again.")
+			a.Log.Warn().Err(err).Msg(logPrefix + "The archive cannot be read or written; retrying.")
 			pause = archiveRetryDelay
 		}
 	}
 	return ctx.Err()
 }
 
-// step reads the archive if this box has become the lead, and writes what has changed.
+// sync reads the archive if this box has become the lead, and writes what has changed.
 func (a *Archive) sync(ctx context.Context) (err error) {
 	if !a.IsLead() {
 		a.stored = nil
@@ -69,7 +69,7 @@
 	return a.write(ctx)
 }
 
-// read takes in what the store holds. Records that no box wrote are passed over.
+// read loads the stored evidence. Records that no box wrote are skipped.
 func (a *Archive) read(ctx context.Context) (err error) {
 	batch, err := a.Catalogue.Fetch(ctx, barleystep.TopicSuspects)
 	if err != nil {
@@ -82,7 +82,7 @@
 		d, e, err := decodeRecord(r, now)
 		if err != nil {
 			a.Log.Warn().Str("record", r.Key()).Str("reason", strict.ReasonOf(err).String()).Err(err).
-				Msg(logPrefix + "A record of the archive names no request.")
+				Msg(logPrefix + "A record of the archive is invalid and skipped.")
 			continue
 		}
 		known[d], stored[d] = e, e.checksum()
@@ -99,7 +99,7 @@
 	return clockReading{now: a.Clock.Now(), day: clock.TimeOfDay(a.Clock)}
 }
 
-// write puts in the store what it lacks, and removes what counts no more.
+// write stores the evidence that the store lacks and removes what no longer counts.
 func (a *Archive) write(ctx context.Context) (err error) {
 	proven := a.Registry.proven()
 	for d, e := range proven {
--- a/internal/suspect/archive_test.go
+++ b/internal/suspect/archive_test.go
@@ -15,7 +15,7 @@
 	"github.com/barleystep/barleystep/internal/suspect"
 )
 
-// shelf is a store that holds one topic.
+// memoryStore is a store that holds one topic.
 type memoryStore struct {
 	mu      sync.Mutex
 	records map[string][]byte
@@ -75,20 +75,20 @@
 	return keys
 }
 
-// count returns how many calls there were.
+// callCount returns the number of calls.
 func (s *memoryStore) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// keeper is a box's book with its archive.
+// archiveFixture is a box's registry with its archive.
 type archiveFixture struct {
 	registry *suspect.Registry
 	clock    *clock.Manual
 }
 
-// keep starts the archive of a box that leads or not.
+// newArchiveFixture starts the archive of a box that is the lead or not.
 func newArchiveFixture(t *testing.T, s *memoryStore, isLead bool) *archiveFixture {
 	clk := clock.NewManual(time.Unix(1000, 0))
 	k := &archiveFixture{registry: &suspect.Registry{Clock: clk}, clock: clk}
@@ -106,7 +106,7 @@
 	return k
 }
 
-// until lets time pass until the condition holds.
+// advanceUntil advances the clock until the condition holds.
 func (k *archiveFixture) advanceUntil(t *testing.T, holds func() bool) {
 	t.Helper()
 	const most = 10_000
@@ -119,10 +119,10 @@
 		}
 		k.clock.Advance(50 * time.Millisecond)
 	}
-	t.Fatal("the condition did not come about")
+	t.Fatal("the condition was not met")
 }
 
-// condemn has three targets end under the request.
+// refuse has three targets end under the request.
 func (k *archiveFixture) refuse() {
 	for key := range uint32(3) {
 		k.registry.RecordEnd(digest, size, suspect.NewEnd(key+1, k.clock.Now(), suspect.BeforeFirstEvent|suspect.RanAlone))
@@ -134,8 +134,8 @@
 	return s
 }
 
-// TestArchive checks that a box which knows nothing learns from the store what another lead has
-// put there, whatever else lies there.
+// TestArchive checks that a box without evidence learns from the store what another lead has
+// written, whatever invalid records the store holds.
 func TestArchive(t *testing.T) {
 	c := quicktest.New(t)
 	s := &memoryStore{}
@@ -159,7 +159,7 @@
 	c.Check(second.registry.Counts()[suspect.Isolated], quicktest.Equals, 0)
 }
 
-// TestArchiveCleared checks that what a whole run has cleared is removed, and what is too old.
+// TestArchiveRemoves checks that evidence is removed after a successful run and when it is too old.
 func TestArchiveRemoves(t *testing.T) {
 	cases := map[string]func(k *archiveFixture){
 		"whole": func(k *archiveFixture) { k.registry.RecordSuccess(digest, size) },
@@ -178,8 +178,8 @@
 	}
 }
 
-// TestArchiveCalls checks that a box which does not lead makes no call, that a lead makes one to
-// read and one to write, and that a store which is away is asked again.
+// TestArchiveCalls checks that a box which is not the lead makes no call, that a lead makes one to
+// read and one to write, and that calls to an unavailable store are retried.
 func TestArchiveCalls(t *testing.T) {
 	c := quicktest.New(t)
 	s := &memoryStore{}
--- a/internal/suspect/evidence.go
+++ b/internal/suspect/evidence.go
@@ -1,5 +1,5 @@
-// Package suspect remembers under which requests targets have ended, so that a request which
-// ends whatever runs it is not sent to all of them.
+// Package suspect records under which requests targets have ended, so that a request which ends
+// every target that runs it is not sent to all of them.
 package suspect
 
 import (
@@ -8,75 +8,76 @@
 	"time"
 )
 
-// End is a target's lifetime that ended while it had a request.
+// End is the end of a target's incarnation while it had a request.
 type End struct {
-	// key names the lifetime between boxes.
+	// key identifies the incarnation between boxes.
 	key   uint32
 	at    time.Time
 	flags EndFlags
 }
 
-// Mark tells how a request ran at a target that ended. Marks are joined with |.
+// EndFlags tells how a request ran at a target that ended. Flags are combined with |.
 type EndFlags uint8
 
 const (
-	// Unread means that the request had no event or answer of the target yet: what ends a
-	// target mostly does so at once.
+	// BeforeFirstEvent means that the target had sent no event or answer for the request yet: a
+	// request that ends its target mostly does so at once.
 	BeforeFirstEvent EndFlags = 1 << iota
-	// Lone means that the request ran alone there: hardly anything else can have ended it.
+	// RanAlone means that the request ran alone there, so that hardly anything else can have ended
+	// the target.
 	RanAlone
 )
 
-// NewEnd returns the end of the lifetime with the key.
+// NewEnd returns the end of the incarnation with the key.
 func NewEnd(key uint32, at time.Time, flags EndFlags) End { return End{key: key, at: at, flags: flags} }
 
-// Key returns the key of the lifetime.
+// Key returns the key of the incarnation.
 func (e End) Key() uint32 { return e.key }
 
-// At returns when it was seen to have ended.
+// At returns when the end was observed.
 func (e End) At() time.Time { return e.at }
 
-// Marks returns how the request ran there.
+// Flags returns how the request ran there.
 func (e End) Flags() EndFlags { return e.flags }
 
-// Has reports whether the end has the mark.
+// Has reports whether the end has the flag.
 func (e End) Has(m EndFlags) bool { return e.flags&m != 0 }
 
-// Evidence is what is known of one request. Evidence of several boxes is joined in any order
-// and any number of times with the same outcome.
+// Evidence is what is known of one request. Merging evidence is commutative and idempotent, so
+// boxes may exchange it in any order and any number of times.
 type Evidence struct {
-	// size is the length of its body.
+	// bodySize is the length of the request's body in bytes.
 	bodySize int
-	// ends are the lifetimes that ended under it since it was last cleared, the last mostEnds.
+	// ends are the last maxEnds ends of incarnations under the request since its last success.
 	ends []End
-	// cleared is when a run of it was last whole, and begun when an answer to it last began,
-	// zero if none did.
+	// lastSuccess is when a run of the request last completed, and lastAnswerStart when an answer
+	// to it last began; zero if never.
 	lastSuccess     time.Time
 	lastAnswerStart time.Time
 }
 
-// NewEvidence returns the evidence against a request with a body of the size.
+// NewEvidence returns the evidence against a request with a body of the given size.
 func NewEvidence(bodySize int, ends []End, lastSuccess, lastAnswerStart time.Time) Evidence {
 	return Evidence{bodySize: bodySize, ends: ends, lastSuccess: lastSuccess, lastAnswerStart: lastAnswerStart}
 }
 
-// Size returns the length of the request's body.
+// BodySize returns the length of the request's body in bytes.
 func (e Evidence) BodySize() int { return e.bodySize }
 
-// Ends returns the lifetimes that ended under the request since it was last cleared.
+// Ends returns the ends of incarnations under the request since its last success.
 func (e Evidence) Ends() []End { return e.ends }
 
-// Cleared returns when a run of the request was last whole, zero if none was.
+// LastSuccess returns when a run of the request last completed, zero if never.
 func (e Evidence) LastSuccess() time.Time { return e.lastSuccess }
 
-// Begun returns when an answer to the request last began, zero if none did.
+// LastAnswerStart returns when an answer to the request last began, zero if never.
 func (e Evidence) LastAnswerStart() time.Time { return e.lastAnswerStart }
 
-// mostEnds is how many ends are kept of a request: one more than it takes to refuse it beyond
-// doubt, as some may come at the same time.
+// maxEnds is how many ends are kept of a request: one more than are needed to refuse it with
+// certainty, as some may come at the same time.
 const maxEnds = certainEnds + 1
 
-// join returns both evidences in one.
+// merge returns the union of both.
 func (e Evidence) merge(o Evidence) Evidence {
 	out := Evidence{bodySize: max(e.bodySize, o.bodySize), lastSuccess: later(e.lastSuccess, o.lastSuccess), lastAnswerStart: later(e.lastAnswerStart, o.lastAnswerStart)}
 	for _, end := range slices.Concat(e.ends, o.ends) {
@@ -86,8 +87,8 @@
 	return out
 }
 
-// add enters an end; of one that is known the earlier time holds, since what was told by way
-// of others looks younger than it is.
+// add adds an end. Of a known end the earlier time is kept, since an end that was relayed by peers
+// looks more recent than it is.
 func (e *Evidence) add(end End) {
 	same := func(o End) bool { return o.key == end.key }
 	if i := slices.IndexFunc(e.ends, same); i >= 0 {
@@ -114,7 +115,7 @@
 	return x
 }
 
-// last returns when something was last learnt.
+// lastUpdate returns the time of the latest end or success.
 func (e Evidence) lastUpdate() time.Time {
 	lastUpdate := e.lastSuccess
 	for _, end := range e.ends {
@@ -125,7 +126,7 @@
 	return lastUpdate
 }
 
-// lone returns how many targets have ended while the request ran alone.
+// ranAlone returns how many targets have ended while the request ran alone.
 func (e Evidence) ranAlone() int {
 	n := 0
 	for _, end := range e.ends {
@@ -136,10 +137,10 @@
 	return n
 }
 
-// proven reports whether the request is refused, or was, and is tried alone.
+// proven reports whether the request is refused, or was and is now tried alone.
 func (e Evidence) proven() bool { return len(e.ends) >= refusedEnds && e.ranAlone() > 0 }
 
-// sum returns a number that changes whenever an end is added.
+// checksum returns a number that changes whenever an end is added.
 func (e Evidence) checksum() (checksum uint64) {
 	for _, end := range e.ends {
 		checksum += uint64(end.key) + 1
@@ -147,7 +148,7 @@
 	return checksum
 }
 
-// memory returns for how long what was learnt last refuses the request.
+// refusalPeriod returns for how long after the latest update the request is refused.
 func (e Evidence) refusalPeriod() time.Duration {
 	if len(e.ends) >= certainEnds && e.ranAlone() >= certainRanAlone {
 		return CertainRefusalPeriod
@@ -155,12 +156,12 @@
 	return RefusalPeriod
 }
 
-// standing returns how the request stands.
+// status returns how the request may run.
 func (e Evidence) status(now time.Time) Status {
 	if len(e.ends) == 0 {
 		return Allowed
 	}
-	// Once it was read elsewhere without harm, reading it is not what ended the target.
+	// Once another target has prefilled it without harm, its prefill is not what ended the target.
 	unread := func(end End) bool { return end.Has(BeforeFirstEvent) && end.at.After(e.lastAnswerStart) }
 	young := now.Sub(e.lastUpdate()) < e.refusalPeriod()
 	switch {
--- a/internal/suspect/record.go
+++ b/internal/suspect/record.go
@@ -12,8 +12,8 @@
 	"github.com/barleystep/barleystep/internal/strict"
 )
 
-// record is the form in which the evidence against a request lies in the platform's store,
-// under the request's digest.
+// record is the evidence against a request as the platform's store holds it, under the request's
+// digest.
 type record struct {
 	// Size is the length of the body in bytes.
 	Size int         `json:"size"`
@@ -22,7 +22,7 @@
 
 type recordEnd struct {
 	Target uint32 `json:"target"`
-	// AtMS is when it was seen, in Unix milliseconds.
+	// AtMS is when the end was observed, in Unix milliseconds.
 	AtMS   int64 `json:"at_ms"`
 	Unread bool  `json:"unread"`
 	Lone   bool  `json:"lone"`
@@ -38,7 +38,7 @@
 	fieldLone   = "lone"
 )
 
-// moment is one moment by a box's clock and by the time of day, which all boxes know.
+// clockReading is one moment by a box's clock and by the time of day, which all boxes share.
 type clockReading struct{ now, day time.Time }
 
 // encodeRecord returns the record of a request.
@@ -55,13 +55,13 @@
 	return barleystep.NewRecord(d.String(), value), nil
 }
 
-// decodeRecord reads a record. An error says that no box wrote it. Times of day differ from box
-// to box: what lies ahead is now.
+// decodeRecord parses a record. An error means that no box wrote it. The time of day differs from
+// box to box, so a time in the future counts as now.
 func decodeRecord(r barleystep.Record, m clockReading) (d Digest, e Evidence, err error) {
 	key, err := hex.DecodeString(r.Key())
 	d, ok := DigestFromBytes(key)
 	if err != nil || !ok {
-		return Digest{}, Evidence{}, strict.Errorf(strict.ReasonInvalidValue, "the key is no digest")
+		return Digest{}, Evidence{}, strict.Errorf(strict.ReasonInvalidValue, "the key is not a digest")
 	}
 	o := strict.Parse(r.Value())
 	e.bodySize = int(o.Int(fieldSize))
@@ -74,11 +74,11 @@
 	return d, e, o.Err()
 }
 
-// decodeEnd reads one end of a record.
+// decodeEnd parses one end of a record.
 func decodeEnd(o *strict.Object, m clockReading) End {
 	target := o.Int(fieldTarget)
 	if target < 0 || target > math.MaxUint32 {
-		target = 0 // No lifetime's key that a box has seen is likely to be it.
+		target = 0 // Zero is unlikely to be the key of a known incarnation.
 	}
 	age := max(m.day.UnixMilli()-o.Int(fieldAt), 0)
 	age = min(age, (2 * CertainRefusalPeriod).Milliseconds())
--- a/internal/suspect/registry.go
+++ b/internal/suspect/registry.go
@@ -14,22 +14,22 @@
 
 const logPrefix = "suspect: "
 
-// Book is what a box knows of suspects. Its exported fields are set before use; it is safe for
-// concurrent use, and a nil book knows and takes in nothing.
+// Registry holds a box's evidence against suspects. Its exported fields are set before use; it is
+// safe for concurrent use, and a nil registry is empty and ignores all evidence.
 type Registry struct {
 	Clock barleystep.Clock
 	Log   *log.Logger
 
 	mu    sync.Mutex
 	known map[Digest]Evidence
-	// refused is told of each request that is refused from then on.
+	// onRefused is called for each request whose status becomes Refused.
 	onRefused func(d Digest, size int)
-	// toldAll is when the others were last told of all, and not just of what is new.
+	// lastFullUpdate is when all evidence was last gossiped, not only what is recent.
 	lastFullUpdate time.Time
 }
 
-// Watch has f called, by a goroutine of its own, for each request that is refused from then on.
-// It is called once.
+// NotifyRefused has f called, in a goroutine of its own, for each request whose status becomes
+// Refused. It is called once.
 func (b *Registry) NotifyRefused(f func(d Digest, size int)) {
 	if b == nil {
 		return
@@ -39,7 +39,7 @@
 	b.onRefused = f
 }
 
-// Concerns reports whether anything is known of a request with a body of the size.
+// HasBodySize reports whether there is evidence against a request with a body of this size.
 func (b *Registry) HasBodySize(bodySize int) bool {
 	if b == nil {
 		return false
@@ -54,7 +54,7 @@
 	return false
 }
 
-// Standing returns how a request may run, and for how long that holds if it is refused.
+// Status returns how a request may run, and for how long that holds if it is refused.
 func (b *Registry) Status(d Digest) (s Status, left time.Duration) {
 	if b == nil {
 		return Allowed, 0
@@ -66,7 +66,7 @@
 	return e.status(now), max(e.lastUpdate().Add(e.refusalPeriod()).Sub(now), 0)
 }
 
-// Known returns what is known of a request.
+// Evidence returns the evidence against a request.
 func (b *Registry) Evidence(d Digest) Evidence {
 	if b == nil {
 		return Evidence{}
@@ -76,26 +76,26 @@
 	return b.known[d]
 }
 
-// Ended notes that a target's lifetime has ended while it had the request.
+// RecordEnd records that an incarnation of a target has ended while it had the request.
 func (b *Registry) RecordEnd(d Digest, bodySize int, end End) {
 	b.add(d, Evidence{bodySize: bodySize, ends: []End{end}})
 }
 
-// Clear notes that a run of the request was whole.
+// RecordSuccess records that a run of the request has completed.
 func (b *Registry) RecordSuccess(d Digest, bodySize int) {
 	if b != nil && b.HasBodySize(bodySize) {
 		b.add(d, Evidence{bodySize: bodySize, lastSuccess: b.Clock.Now()})
 	}
 }
 
-// Begin notes that an answer to the request has begun.
+// RecordAnswerStart records that an answer to the request has begun.
 func (b *Registry) RecordAnswerStart(d Digest, bodySize int) {
 	if b != nil && b.HasBodySize(bodySize) {
 		b.add(d, Evidence{bodySize: bodySize, lastAnswerStart: b.Clock.Now()})
 	}
 }
 
-// Hear takes in what other boxes know.
+// Merge takes in the evidence of other boxes.
 func (b *Registry) Merge(peers map[Digest]Evidence) {
 	for d, e := range peers {
 		b.add(d, e)
@@ -110,7 +110,7 @@
 	defer b.mu.Unlock()
 	before, known := b.known[d]
 	if !known && len(e.ends) == 0 {
-		return // Nothing was ever held against it here.
+		return // There is no evidence against it here.
 	}
 	after := before.merge(e)
 	if b.known == nil {
@@ -129,7 +129,7 @@
 	}
 }
 
-// forget drops what is too old to count, and what exceeds the bound.
+// prune drops evidence that is too old to count or exceeds maxRequests.
 func (b *Registry) prune() {
 	now := b.Clock.Now()
 	maps.DeleteFunc(b.known, func(_ Digest, e Evidence) bool { return now.Sub(e.lastUpdate()) > 2*e.refusalPeriod() })
@@ -142,8 +142,9 @@
 	}
 }
 
-// Told returns what is told to the other boxes now: of the requests of which something was
-// learnt last. What is not new is told now and then, to those that have started since.
+// GossipUpdate returns the evidence to gossip now, most recently updated first up to maxGossiped
+// requests. Evidence that is not recent is included once per fullUpdateInterval, for boxes that
+// have started since.
 func (b *Registry) GossipUpdate() map[Digest]Evidence {
 	if b == nil {
 		return nil
@@ -178,7 +179,7 @@
 	return update
 }
 
-// proven returns the requests that are refused, or were, and are tried alone.
+// proven returns the evidence against requests that are refused, or were and are now tried alone.
 func (b *Registry) proven() map[Digest]Evidence {
 	if b == nil {
 		return nil
@@ -195,7 +196,7 @@
 	return list
 }
 
-// Counts returns how many requests stand how.
+// Counts returns the number of requests by status.
 func (b *Registry) Counts() map[Status]int {
 	counts := map[Status]int{Allowed: 0, Isolated: 0, Refused: 0}
 	if b == nil {
@@ -210,7 +211,7 @@
 	return counts
 }
 
-// logChange tells of a change of belief, and of what it rests on.
+// logStatusChange logs a change of a request's status with the evidence for it.
 func (b *Registry) logStatusChange(d Digest, e Evidence, from, to Status) {
 	if b.Log == nil {
 		return
@@ -221,10 +222,10 @@
 	}
 	line.Str("digest", d.String()).Str("from", from.String()).Str("to", to.String()).
 		Int("ended", len(e.ends)).Int("size", e.bodySize).Dur("age", b.Clock.Now().Sub(e.lastUpdate())).
-		Msg(logPrefix + "A request is believed to run otherwise.")
+		Msg(logPrefix + "The status of a suspected request has changed.")
 }
 
-// Join adds evidence to a set of it.
+// Merge adds the evidence in more to set.
 func Merge(set, more map[Digest]Evidence) {
 	for d, e := range more {
 		set[d] = set[d].merge(e)
--- a/internal/suspect/registry_test.go
+++ b/internal/suspect/registry_test.go
@@ -16,7 +16,8 @@
 
 var digest = suspect.Request{Account: "acme", Method: "POST", Host: "h", RequestURI: "/a", Body: make([]byte, size)}.Digest()
 
-// TestDigest checks what tells two requests apart, and that parts do not run into each other.
+// TestDigest checks what distinguishes two requests, and that their parts are not ambiguous when
+// concatenated.
 func TestDigest(t *testing.T) {
 	base := suspect.Request{Account: "acme", Method: "POST", Host: "h", RequestURI: "/a", Body: []byte("x")}
 	cases := map[string]func(r *suspect.Request){
@@ -39,8 +40,8 @@
 	}
 }
 
-// TestStanding checks how a request may run by what happened to targets that had it, a second
-// after the last of it.
+// TestStatus checks how a request may run, given what happened to targets that had it, one second
+// after the last step.
 func TestStatus(t *testing.T) {
 	type step func(b *suspect.Registry, clk *clock.Manual)
 	end := func(key uint32, marks suspect.EndFlags) step {
@@ -110,9 +111,9 @@
 	}
 }
 
-// TestTargetsCrashTogether checks that a request which many callers repeat is never refused
-// where many targets that have it end at the same time by themselves, and is free again as
-// soon as one of its other runs is whole.
+// TestTargetsEndTogether checks that a request which many callers repeat is never refused where
+// many targets that have it end at the same time for other reasons, and is allowed again as soon as
+// one of its other runs completes.
 func TestTargetsEndTogether(t *testing.T) {
 	c := quicktest.New(t)
 	clk := clock.NewManual(time.Unix(1000, 0))
@@ -134,8 +135,8 @@
 	c.Check(len(refused), quicktest.Equals, 0)
 }
 
-// TestJoin checks that boxes come to the same belief in whatever order, and however often, they
-// hear what each other knows. A lifetime ends once.
+// TestMerge checks that boxes reach the same evidence in whatever order, and however often, they
+// exchange it. An incarnation ends once.
 func TestMerge(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		clk := clock.NewManual(time.Unix(1000, 0))
@@ -173,14 +174,12 @@
 	})
 }
 
-// TestKeepsComing checks that a request which ends each target that runs it, and keeps coming,
-// is sent on three times at most after three have ended.
+// TestRepeatedRequest checks that a request which ends each target that runs it, and is repeated
+// for 50 minutes, is sent to at most three more targets after three have ended.
 //
-// On a day of our own on which one came again and again for four minutes, a target ended at
-// the third, and one in each minute from then on: after a minute's refusal one attempt showed
-// whether it still did harm, and whatever it showed, the next refusal was for a minute again.
-// The ends of that day, 60 s apart but for the first three, prove it, each under an attempt
-// that ran alone.
+// It guards against refusals that are always for a minute: after each, one attempt ran alone and
+// ended a target, and the next refusal was for a minute again. In a run of four minutes, the first
+// three ends followed each other closely and all others came 60 s apart.
 func TestRepeatedRequest(t *testing.T) {
 	const (
 		length  = 50 * time.Minute
@@ -205,8 +204,8 @@
 	quicktest.Check(t, ended <= mostAll, quicktest.IsTrue, quicktest.Commentf("%d ended", ended))
 }
 
-// TestBounds checks that a book holds and tells no more than it may, and keeps those of which
-// most is known.
+// TestBounds checks that a registry holds and gossips no more than its bounds, and keeps the
+// requests with the most evidence.
 func TestBounds(t *testing.T) {
 	c := quicktest.New(t)
 	clk := clock.NewManual(time.Unix(1000, 0))
@@ -230,7 +229,7 @@
 	c.Check(left > 50*time.Second, quicktest.IsTrue)
 }
 
-// TestToldOf checks that what is new is told each time, and all else once a second.
+// TestGossipUpdate checks that recent evidence is gossiped each time, and all else once a second.
 func TestGossipUpdate(t *testing.T) {
 	clk := clock.NewManual(time.Unix(1000, 0))
 	b := &suspect.Registry{Clock: clk}
@@ -248,7 +247,7 @@
 	quicktest.Check(t, count(10*time.Second), quicktest.Equals, 10)
 }
 
-// TestNilBook checks that a box without a book suspects nobody.
+// TestNilRegistry checks that a box without a registry suspects no request.
 func TestNilRegistry(t *testing.T) {
 	c := quicktest.New(t)
 	var b *suspect.Registry
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -1,6 +1,5 @@
-// Package timeline is simulated time: functions that run one after the other, each
-// at its moment. Measurements over fake engines run on it, so that the same seed
-// gives the same figures.
+// Package timeline simulates time: functions run one after another, each at its scheduled time.
+// Measurements over simulated engines run on it, so that the same seed gives the same results.
 package timeline
 
 import (
@@ -8,33 +7,33 @@
 	"time"
 )
 
-// Timeline is simulated time. Its zero value stands at the beginning. It is used by
-// one goroutine.
+// Timeline is a simulated clock with scheduled events. Its zero value stands at the start. It is
+// used by one goroutine.
 type Timeline struct {
 	now      time.Duration
 	events   eventHeap
 	sequence int
 }
 
-// epoch is the time at which every run begins.
+// epoch is the time at which every run starts.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// At returns the moment that is so long after the beginning.
+// At returns the time d after the start.
 func At(d time.Duration) time.Time { return epoch.Add(d) }
 
-// Elapsed returns the time since the beginning.
+// Elapsed returns the time since the start.
 func (t *Timeline) Elapsed() time.Duration { return t.now }
 
-// Now returns the present time as the decision packages take it.
+// Now returns the current simulated time as a time.Time.
 func (t *Timeline) Now() time.Time { return At(t.now) }
 
-// After runs f once d has passed.
+// After schedules f to run once d has passed.
 func (t *Timeline) After(d time.Duration, f func()) {
 	t.sequence++
 	heap.Push(&t.events, event{at: t.now + d, sequence: t.sequence, run: f})
 }
 
-// Every runs f at intervals from now on.
+// Every schedules f to run repeatedly at intervals of d.
 func (t *Timeline) Every(d time.Duration, f func()) {
 	t.After(d, func() {
 		f()
@@ -42,7 +41,7 @@
 	})
 }
 
-// Run runs what is due until the given time.
+// RunUntil runs the events that are due up to the given time.
 func (t *Timeline) RunUntil(until time.Duration) {
 	for len(t.events) > 0 && t.events[0].at <= until {
 		e := heap.Pop(&t.events).(event)
@@ -62,7 +61,7 @@
 // Len returns the number of events.
 func (h eventHeap) Len() int { return len(h) }
 
-// Less orders events by time, and by when they were made where that is equal.
+// Less orders events by time, and events at the same time by when they were scheduled.
 func (h eventHeap) Less(i, j int) bool {
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
