--- a/internal/balance/assignment_test.go
+++ b/internal/balance/assignment_test.go
@@ -64,14 +64,14 @@
 // TestFewEngines checks that a placement exists however few engines there are, except for prompts
 // that exceed the KV cache of all of them.
 func TestFewEngines(t *testing.T) {
-	const giantPrompt = 600_000
+	const oversized = 600_000
 	for engines := 1; engines <= 6; engines++ {
-		for _, prompt := range []int{0, shortPrompt, longPrompt, giantPrompt} {
+		for _, prompt := range []int{0, shortPrompt, longPrompt, oversized} {
 			f := newFixture(engines)
 			j := engineJob(prompt)
 			j.Objective = 3 * time.Second
 			p, err := f.Place(context.Background(), j)
-			if prompt == giantPrompt && engines < 3 {
+			if prompt == oversized && engines < 3 {
 				quicktest.Check(t, eris.Is(err, balance.ErrFull), quicktest.IsTrue)
 				continue
 			}
@@ -87,7 +87,7 @@
 // the streams that it would stall are worth more or where it would be late, and is refused at once
 // where it does not fit on idle engines either.
 func TestOversizedPrompt(t *testing.T) {
-	const giantPrompt = 500_000
+	const oversized = 500_000
 	cases := map[string]struct {
 		engines   int
 		busy      int
@@ -95,12 +95,12 @@
 		placed    bool
 		waits     bool
 	}{
-		"all are idle":         {18, 0, 3 * time.Second, true, false},
-		"most are idle":        {18, 6, 3 * time.Second, true, false},
-		"a few are idle":       {18, 14, 3 * time.Second, true, false},
-		"too few are idle":     {18, 17, 3 * time.Second, false, true},
-		"short objective":      {18, 14, 300 * time.Millisecond, false, true},
-		"too few for a prompt": {2, 0, 3 * time.Second, false, false},
+		"all are idle":     {18, 0, 3 * time.Second, true, false},
+		"most are idle":    {18, 6, 3 * time.Second, true, false},
+		"a few are idle":   {18, 14, 3 * time.Second, true, false},
+		"too few are idle": {18, 17, 3 * time.Second, false, true},
+		"short objective":  {18, 14, 300 * time.Millisecond, false, true},
+		"too few engines":  {2, 0, 3 * time.Second, false, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -115,7 +115,7 @@
 				isBusy[target.ID] = true
 			}
 			f.SetOthers(busy)
-			j := engineJob(giantPrompt)
+			j := engineJob(oversized)
 			j.Objective = tc.objective
 			p, w, err := f.TryPlace(context.Background(), j)
 			c.Assert(w != nil, quicktest.Equals, tc.waits)
@@ -135,7 +135,7 @@
 				c.Check(isBusy[h.ID], quicktest.IsFalse, quicktest.Commentf("%s is busy", h.ID))
 				tokens += h.KVTokens
 			}
-			c.Check(tokens >= giantPrompt, quicktest.IsTrue)
+			c.Check(tokens >= oversized, quicktest.IsTrue)
 		})
 	}
 }
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -77,10 +77,10 @@
 		avoid  []barleystep.TargetID
 		want   barleystep.TargetID
 	}{
-		"draining":        {func(f *fixture, _ *testing.T) { f.targets[0].Draining = true }, nil, "i-01"},
-		"another service": {func(f *fixture, _ *testing.T) { f.targets[0].Service = "x" }, nil, "i-01"},
-		"failed this one": {func(*fixture, *testing.T) {}, []barleystep.TargetID{"i-00"}, "i-01"},
-		"none but draining": {func(f *fixture, _ *testing.T) {
+		"draining":            {func(f *fixture, _ *testing.T) { f.targets[0].Draining = true }, nil, "i-01"},
+		"another service":     {func(f *fixture, _ *testing.T) { f.targets[0].Service = "x" }, nil, "i-01"},
+		"failed this request": {func(*fixture, *testing.T) {}, []barleystep.TargetID{"i-00"}, "i-01"},
+		"all draining": {func(f *fixture, _ *testing.T) {
 			f.targets[0].Draining, f.targets[1].Draining = true, true
 		}, nil, ""},
 		"unreachable": {func(f *fixture, t *testing.T) {
@@ -93,7 +93,7 @@
 			j.Avoid = []barleystep.TargetID{"i-01"}
 			f.place(t, j).Done(balance.Report{Unreachable: true})
 		}, []barleystep.TargetID{"i-01"}, "i-00"},
-		"address taken over": {func(f *fixture, t *testing.T) {
+		"address reassigned": {func(f *fixture, t *testing.T) {
 			j := plainJob()
 			j.Avoid = []barleystep.TargetID{"i-01"}
 			f.place(t, j).Done(balance.Report{Full: true, Moved: true})
--- a/internal/balance/bench_test.go
+++ b/internal/balance/bench_test.go
@@ -53,9 +53,9 @@
 			f.DetectRestarts()
 			for i := range targets {
 				id := f.targets[i].ID
-				said := balance.NewSnapshot()
-				said.Statements[balance.KeyOf(string(id))] = balance.TimedStatement{Leaving: balance.Timed[bool]{Value: i < 3, At: f.clock.Now()}}
-				f.SetOthers(said)
+				s := balance.NewSnapshot()
+				s.Statements[balance.KeyOf(string(id))] = balance.TimedStatement{Leaving: balance.Timed[bool]{Value: i < 3, At: f.clock.Now()}}
+				f.SetOthers(s)
 				f.TargetStatus(id)
 			}
 			for b.Loop() {
--- a/internal/balance/health_test.go
+++ b/internal/balance/health_test.go
@@ -13,19 +13,19 @@
 // TestIsDown checks when a target is considered down: by this box's own failures, or by reports of
 // peers while nothing came from the target here.
 func TestIsDown(t *testing.T) {
-	told := balance.NewSnapshot()
-	told.Work[balance.KeyOf("i-00")] = balance.Work{DownReports: 1}
+	peerReport := balance.NewSnapshot()
+	peerReport.Work[balance.KeyOf("i-00")] = balance.Work{DownReports: 1}
 	unreachable := func(f *fixture, t *testing.T) {
 		j := plainJob()
 		j.Avoid = append(j.Avoid, "i-01")
 		f.place(t, j).Done(balance.Report{Unreachable: true})
 	}
-	heard := func(f *fixture, t *testing.T) {
+	sendEvent := func(f *fixture, t *testing.T) {
 		j := plainJob()
 		j.Avoid = append(j.Avoid, "i-01")
 		f.place(t, j).NoteEvent()
 	}
-	tell := func(f *fixture, _ *testing.T) { f.SetOthers(told) }
+	applyPeerReport := func(f *fixture, _ *testing.T) { f.SetOthers(peerReport) }
 	wait := func(d time.Duration) func(*fixture, *testing.T) {
 		return func(f *fixture, _ *testing.T) { f.clock.Advance(d) }
 	}
@@ -34,13 +34,13 @@
 		steps steps
 		want  bool
 	}{
-		"nothing is known":          {nil, false},
-		"not reached from here":     {steps{unreachable}, true},
-		"not reached long ago":      {steps{unreachable, wait(time.Second)}, false},
-		"not reached by others":     {steps{tell}, true},
-		"but it just sent an event": {steps{heard, tell}, false},
-		"but it sent one long ago":  {steps{heard, wait(time.Second), tell}, true},
-		"others reach it again":     {steps{tell, func(f *fixture, _ *testing.T) { f.SetOthers(balance.NewSnapshot()) }}, false},
+		"no reports":                            {nil, false},
+		"unreachable from here":                 {steps{unreachable}, true},
+		"unreachable long ago":                  {steps{unreachable, wait(time.Second)}, false},
+		"unreachable from a peer":               {steps{applyPeerReport}, true},
+		"unreachable from a peer, recent event": {steps{sendEvent, applyPeerReport}, false},
+		"unreachable from a peer, old event":    {steps{sendEvent, wait(time.Second), applyPeerReport}, true},
+		"peers reach it again":                  {steps{applyPeerReport, func(f *fixture, _ *testing.T) { f.SetOthers(balance.NewSnapshot()) }}, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -69,10 +69,10 @@
 		told   bool
 		length time.Duration
 	}{
-		"not reached":      {balance.Report{Unreachable: true}, true, time.Second},
-		"address is taken": {balance.Report{Full: true, Moved: true}, true, 11 * time.Second},
-		"full":             {balance.Report{Full: true}, false, time.Second},
-		"a failure":        {balance.Report{Error: true}, false, time.Second},
+		"target unreachable": {balance.Report{Unreachable: true}, true, time.Second},
+		"address reassigned": {balance.Report{Full: true, Moved: true}, true, 11 * time.Second},
+		"full":               {balance.Report{Full: true}, false, time.Second},
+		"an error":           {balance.Report{Error: true}, false, time.Second},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/balance/helperbackoff.go
+++ b/internal/balance/helperbackoff.go
@@ -19,7 +19,7 @@
 // backOffHelper notes that a target has refused a prompt because of a helper.
 func (b *Balancer) backOffHelper(helper barleystep.TargetID) {
 	now, s := b.Clock.Now(), b.targetState(helper)
-	word := TimedStatement{HelperBackoff: Timed[time.Time]{Value: now.Add(helperBackoff), At: now}}
-	s.heardLocally = s.heardLocally.later(word)
-	b.updateStatement(helper, s, word)
+	update := TimedStatement{HelperBackoff: Timed[time.Time]{Value: now.Add(helperBackoff), At: now}}
+	s.heardLocally = s.heardLocally.later(update)
+	b.updateStatement(helper, s, update)
 }
--- a/internal/balance/incarnation.go
+++ b/internal/balance/incarnation.go
@@ -18,27 +18,27 @@
 func (b *Balancer) DetectRestarts() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	renewed := false
+	anyRestarted := false
 	for _, t := range b.Targets() {
 		if _, known := b.states[t.ID]; !known {
 			continue
 		}
-		if _, anew := b.observe(t); anew {
-			renewed = true
+		if _, restarted := b.observe(t); restarted {
+			anyRestarted = true
 		}
 	}
-	if renewed {
+	if anyRestarted {
 		clear(b.workCache)
 		b.serveQueues(true)
 	}
 }
 
-// observe updates the target's incarnation and returns its state. renewed is true for a new
+// observe updates the target's incarnation and returns its state. restarted is true for a new
 // incarnation under a known id; the work, failures and backoff of the earlier one are dropped then.
-func (b *Balancer) observe(t fleet.Target) (s *targetState, renewed bool) {
+func (b *Balancer) observe(t fleet.Target) (s *targetState, restarted bool) {
 	s = b.targetState(t.ID)
-	renewed = t.Restarted(s.lastStart)
-	if renewed {
+	restarted = t.Restarted(s.lastStart)
+	if restarted {
 		s = b.resetState(s, t.ID)
 	}
 	if t.StartMS != s.recordStart {
@@ -48,7 +48,7 @@
 	if t.StartMS != 0 {
 		s.lastStart = t.StartMS
 	}
-	return s, renewed
+	return s, restarted
 }
 
 // resetState starts the state of a new incarnation with the tries that already run there. All
--- a/internal/balance/incarnation_test.go
+++ b/internal/balance/incarnation_test.go
@@ -16,14 +16,14 @@
 const pastRestartNews = time.Second
 
 // announceStart sets the start time in a target's record.
-func (f *fixture) announceStart(i int, born int64) {
-	f.targets[i].StartMS = born
+func (f *fixture) announceStart(i int, startMS int64) {
+	f.targets[i].StartMS = startMS
 	f.DetectRestarts()
 }
 
 // peerSnapshot returns the gossip of a box that knows a target by the given start time.
-func peerSnapshot(t fleet.Target, born int64, w balance.Work) balance.Snapshot {
-	t.StartMS = born
+func peerSnapshot(t fleet.Target, startMS int64, w balance.Work) balance.Snapshot {
+	t.StartMS = startMS
 	s := balance.NewSnapshot()
 	s.Work[balance.KeyOfTarget(t)] = w
 	return s
@@ -57,13 +57,13 @@
 		wait          time.Duration
 		dropped       bool
 	}{
-		"another lifetime":               {100, 200, pastRestartNews, true},
-		"another one, by an older clock": {200, 100, pastRestartNews, true},
-		"the same lifetime":              {100, 100, pastRestartNews, false},
-		"it never says":                  {0, 0, pastRestartNews, false},
-		"it begins to say":               {0, 100, pastRestartNews, false},
-		"it says no longer":              {100, 0, pastRestartNews, false},
-		"sent a moment before the news":  {100, 200, 50 * time.Millisecond, false},
+		"another incarnation":                {100, 200, pastRestartNews, true},
+		"another incarnation, earlier clock": {200, 100, pastRestartNews, true},
+		"the same incarnation":               {100, 100, pastRestartNews, false},
+		"never a start time":                 {0, 0, pastRestartNews, false},
+		"gains a start time":                 {0, 100, pastRestartNews, false},
+		"loses its start time":               {100, 0, pastRestartNews, false},
+		"sent just before the news":          {100, 200, 50 * time.Millisecond, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -106,7 +106,7 @@
 	unreachable := func(f *fixture, t *testing.T) {
 		f.place(t, only(0, f)).Done(balance.Report{Unreachable: true})
 	}
-	toldOf := func(born int64) func(*fixture, *testing.T) {
+	reportedBy := func(born int64) func(*fixture, *testing.T) {
 		return func(f *fixture, _ *testing.T) {
 			f.SetOthers(peerSnapshot(f.targets[0], born, balance.Work{DownReports: 1}))
 		}
@@ -117,13 +117,13 @@
 		steps steps
 		down  bool
 	}{
-		"found here before":               {steps{unreachable, restart}, false},
-		"found here after":                {steps{restart, unreachable}, true},
-		"told of the old one before":      {steps{toldOf(100), restart}, false},
-		"told of the old one late":        {steps{restart, toldOf(100)}, false},
-		"told of the new one":             {steps{restart, toldOf(200)}, true},
-		"told of the new one before this": {steps{toldOf(200), restart}, true},
-		"told of the new one too early":   {steps{toldOf(200)}, false},
+		"unreachable here before":             {steps{unreachable, restart}, false},
+		"unreachable here after":              {steps{restart, unreachable}, true},
+		"old one reported before":             {steps{reportedBy(100), restart}, false},
+		"old one reported late":               {steps{restart, reportedBy(100)}, false},
+		"new one reported":                    {steps{restart, reportedBy(200)}, true},
+		"new one reported before the restart": {steps{reportedBy(200), restart}, true},
+		"new one reported, no restart":        {steps{reportedBy(200)}, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -173,16 +173,16 @@
 // TestRestartOfHelper checks which restarts end a long prompt: those of the targets that it still
 // needs.
 func TestRestartOfHelper(t *testing.T) {
-	const giantPrompt = 500_000
+	const oversized = 500_000
 	cases := map[string]struct {
-		prompt int
-		read   bool
-		lost   bool
+		prompt    int
+		prefilled bool
+		lost      bool
 	}{
-		"while it reads":                  {longPrompt, false, true},
-		"after it has read":               {longPrompt, true, false},
-		"it holds memory of a giant":      {giantPrompt, true, true},
-		"it is to hold memory of a giant": {giantPrompt, false, true},
+		"during its prefill":                          {longPrompt, false, true},
+		"after its prefill":                           {longPrompt, true, false},
+		"it holds KV cache of an oversized prompt":    {oversized, true, true},
+		"it reserves KV cache of an oversized prompt": {oversized, false, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -196,7 +196,7 @@
 			p := f.place(t, j)
 			c.Assert(len(p.Helpers) > 0, quicktest.IsTrue)
 			helper := p.Helpers[0].ID
-			if tc.read {
+			if tc.prefilled {
 				p.NoteFirstEvent()
 			}
 			f.clock.Advance(pastRestartNews)
--- a/internal/balance/leaving_test.go
+++ b/internal/balance/leaving_test.go
@@ -22,7 +22,7 @@
 // TestLeaving checks for how long a leaving target gets nothing.
 func TestLeaving(t *testing.T) {
 	wait := func(d time.Duration) func(f *fixture) { return func(f *fixture) { f.clock.Advance(d) } }
-	gone := func(d time.Duration) func(f *fixture) {
+	withoutRecord := func(d time.Duration) func(f *fixture) {
 		return func(f *fixture) {
 			all := f.targets
 			f.targets = f.targets[1:]
@@ -37,10 +37,10 @@
 		then    func(f *fixture)
 		accepts bool
 	}{
-		"at once":                    {wait(0), false},
-		"much later":                 {wait(time.Hour), false},
-		"its record lapses":          {gone(10 * time.Second), false},
-		"its record is gone at last": {gone(2 * time.Minute), true},
+		"at once":                      {wait(0), false},
+		"much later":                   {wait(time.Hour), false},
+		"its record expires for 10 s":  {withoutRecord(10 * time.Second), false},
+		"its record is gone for 2 min": {withoutRecord(2 * time.Minute), true},
 		"it restarts": {func(f *fixture) {
 			f.clock.Advance(pastRestartNews)
 			f.announceStart(0, 100)
@@ -72,9 +72,9 @@
 			f := newFixture(1)
 			p := f.place(t, plainJob())
 			p.NoteStatement(p.Target.ID, barleystep.Statement{Leaving: true}, f.clock.Now())
-			said := f.clock.Now()
+			statedAt := f.clock.Now()
 			f.clock.Advance(2 * time.Second)
-			p.NoteStatement(p.Target.ID, barleystep.Statement{}, said.Add(tc.sent))
+			p.NoteStatement(p.Target.ID, barleystep.Statement{}, statedAt.Add(tc.sent))
 			quicktest.Check(t, f.TargetStatus("i-00").Statement.Leaving.Value, quicktest.Equals, tc.want)
 		})
 	}
--- a/internal/balance/oversized_test.go
+++ b/internal/balance/oversized_test.go
@@ -55,17 +55,17 @@
 	least := cost.Prefill(oversizedPrompt)/17 + cost.Pass()
 	cases := map[string]struct {
 		earlier time.Duration // earlier is how long ago the caller's refused first try was.
-		taken   time.Duration // taken is for how long the box has had the request.
+		taken   time.Duration // taken is how long ago the box received the request.
 		left    time.Duration
 		want    time.Duration
 	}{
-		"first try":               {0, 0, 30 * time.Second, objective / 4},
-		"first try, just taken":   {0, 3 * time.Millisecond, 30 * time.Second, objective / 4},
-		"first try, sent before":  {0, time.Second, 30 * time.Second, objective / 4},
-		"came back":               {5 * time.Second, 0, 30 * time.Second, objective - least},
-		"came back, has no time":  {5 * time.Second, 0, 4 * time.Second, 4*time.Second - least},
-		"first try, has no time":  {0, 0, least + time.Second, time.Second},
-		"first try, time unknown": {0, 0, 0, objective / 4},
+		"first try":                    {0, 0, 30 * time.Second, objective / 4},
+		"first try, just arrived":      {0, 3 * time.Millisecond, 30 * time.Second, objective / 4},
+		"first try, arrived 1 s ago":   {0, time.Second, 30 * time.Second, objective / 4},
+		"caller retry":                 {5 * time.Second, 0, 30 * time.Second, objective - least},
+		"caller retry, short deadline": {5 * time.Second, 0, 4 * time.Second, 4*time.Second - least},
+		"first try, short deadline":    {0, 0, least + time.Second, time.Second},
+		"first try, no deadline":       {0, 0, 0, objective / 4},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -100,10 +100,10 @@
 		prompt int
 		want   string
 	}{
-		"its engines read":       {work: balance.Work{Backlog: time.Minute}, prompt: oversizedPrompt, want: "engines read"},
-		"its helpers are full":   {work: balance.Work{KVTokens: 420_000}, prompt: oversizedPrompt, want: "memory is lacking"},
-		"another one is before":  {work: balance.Work{Backlog: time.Minute}, before: longPrompt, prompt: oversizedPrompt, want: "behind another"},
-		"not over memory":        {work: balance.Work{Backlog: time.Minute}, prompt: longPrompt, want: "engines read"},
+		"engines prefill":        {work: balance.Work{Backlog: time.Minute}, prompt: oversizedPrompt, want: "engines read"},
+		"helpers lack KV cache":  {work: balance.Work{KVTokens: 420_000}, prompt: oversizedPrompt, want: "memory is lacking"},
+		"another one is ahead":   {work: balance.Work{Backlog: time.Minute}, before: longPrompt, prompt: oversizedPrompt, want: "behind another"},
+		"not oversized":          {work: balance.Work{Backlog: time.Minute}, prompt: longPrompt, want: "engines read"},
 		"streams are worth more": {work: balance.Work{Short: 500}, prompt: oversizedPrompt, want: "streams are worth more"},
 	}
 	for name, tc := range cases {
--- a/internal/balance/planrequest_test.go
+++ b/internal/balance/planrequest_test.go
@@ -28,37 +28,37 @@
 // targets that it knows.
 func TestPlanRequestNamesDecliningTargets(t *testing.T) {
 	const length = 3 * time.Second
-	says := func(f *fixture, said barleystep.Statement) {
+	answerWith := func(f *fixture, statement barleystep.Statement) {
 		p := f.place(t, f.only("i-00"))
-		p.NoteStatement(p.Target.ID, said, f.clock.Now())
+		p.NoteStatement(p.Target.ID, statement, f.clock.Now())
 		p.Done(balance.Report{Full: true})
 	}
 	cases := map[string]struct {
 		then func(f *fixture)
 		want bool
 	}{
-		"says nothing": {func(*fixture) {}, false},
-		"leaves":       {func(f *fixture) { says(f, barleystep.Statement{Leaving: true}) }, true},
-		"rests":        {func(f *fixture) { says(f, barleystep.Statement{Rest: length}) }, true},
-		"has rested": {func(f *fixture) {
-			says(f, barleystep.Statement{Rest: length})
+		"no statement": {func(*fixture) {}, false},
+		"leaves":       {func(f *fixture) { answerWith(f, barleystep.Statement{Leaving: true}) }, true},
+		"rests":        {func(f *fixture) { answerWith(f, barleystep.Statement{Rest: length}) }, true},
+		"rest is over": {func(f *fixture) {
+			answerWith(f, barleystep.Statement{Rest: length})
 			f.clock.Advance(2 * length)
 		}, false},
-		"has one request after its rest": {func(f *fixture) {
-			says(f, barleystep.Statement{Rest: length})
+		"probe after its rest": {func(f *fixture) {
+			answerWith(f, barleystep.Statement{Rest: length})
 			f.clock.Advance(2 * length)
 			f.place(t, f.only("i-00"))
 		}, true},
 		"leaves after its rest": {func(f *fixture) {
-			says(f, barleystep.Statement{Rest: length})
+			answerWith(f, barleystep.Statement{Rest: length})
 			f.clock.Advance(2 * length)
 			p := f.place(t, f.only("i-00"))
 			p.NoteFirstEvent()
 			p.Done(balance.Report{})
 			f.planRequestExcludesFirst()
-			says(f, barleystep.Statement{Leaving: true})
+			answerWith(f, barleystep.Statement{Leaving: true})
 		}, true},
-		"another box is told": {func(f *fixture) {
+		"leaving, told to a peer": {func(f *fixture) {
 			news := balance.NewSnapshot()
 			news.Statements[balance.KeyOf("i-00")] = balance.TimedStatement{Leaving: balance.Timed[bool]{Value: true, At: f.clock.Now()}}
 			f.SetOthers(news)
--- a/internal/balance/queue_test.go
+++ b/internal/balance/queue_test.go
@@ -44,8 +44,8 @@
 // TestQueueOrder checks which of the queued prompts gets the next free slot.
 func TestQueueOrder(t *testing.T) {
 	type wait struct {
-		name string
-		rank int
+		name     string
+		priority int
 		// after is how long after the one before it arrived.
 		after time.Duration
 	}
@@ -53,9 +53,9 @@
 		waits []wait
 		want  string
 	}{
-		"the newest that can be in time": {[]wait{{"old", 1, 0}, {"new", 1, 50 * time.Millisecond}}, "new"},
-		"the higher priority":            {[]wait{{"first", 0, 0}, {"new", 1, 50 * time.Millisecond}}, "first"},
-		"not one that is late":           {[]wait{{"late", 1, 0}, {"new", 1, 250 * time.Millisecond}}, "new"},
+		"newest that can be in time": {[]wait{{"old", 1, 0}, {"new", 1, 50 * time.Millisecond}}, "new"},
+		"the higher priority":        {[]wait{{"first", 0, 0}, {"new", 1, 50 * time.Millisecond}}, "first"},
+		"late prompts go last":       {[]wait{{"late", 1, 0}, {"new", 1, 250 * time.Millisecond}}, "new"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -69,7 +69,7 @@
 				f.clock.Advance(w.after)
 				go func() {
 					j := engineJob(shortPrompt)
-					j.Priority = w.rank
+					j.Priority = w.priority
 					if _, err := f.Place(context.Background(), j); err == nil {
 						served <- w.name
 					}
@@ -81,7 +81,7 @@
 			placed[0].Done(balance.Report{})
 			quicktest.Check(t, <-served, quicktest.Equals, tc.want)
 			quicktest.Check(t, served, quicktest.HasLen, 0)
-			f.clock.Advance(time.Minute) // The others give up.
+			f.clock.Advance(time.Minute) // The others time out.
 		})
 	}
 }
@@ -115,11 +115,11 @@
 		waits   bool
 		refused bool
 	}{
-		"many streams":             {streams: 6, waits: true},
-		"many, and late anyway":    {streams: 6, waited: 1700 * time.Millisecond, waits: true},
-		"few streams":              {streams: 1},
-		"few, and it is still due": {streams: 1, waited: 1400 * time.Millisecond},
-		"many, after a long wait":  {streams: 6, waited: 1900 * time.Millisecond, refused: true},
+		"many streams":                    {streams: 6, waits: true},
+		"many streams, already late":      {streams: 6, waited: 1700 * time.Millisecond, waits: true},
+		"few streams":                     {streams: 1},
+		"few streams, near its objective": {streams: 1, waited: 1400 * time.Millisecond},
+		"many streams, after a long wait": {streams: 6, waited: 1900 * time.Millisecond, refused: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -159,11 +159,11 @@
 		waits  bool
 		placed bool
 	}{
-		"idle, time enough":           {left: 2 * read, placed: true},
-		"no time at all":              {left: 10 * time.Millisecond},
-		"busy, no time at all":        {left: 10 * time.Millisecond, busy: read},
-		"waits, and can still go":     {left: 3 * read, busy: read / 2, waits: true, placed: true},
-		"waits, and cannot go either": {left: read, busy: 2 * read, waits: true},
+		"idle, enough time":       {left: 2 * read, placed: true},
+		"idle, no time":           {left: 10 * time.Millisecond},
+		"busy, no time":           {left: 10 * time.Millisecond, busy: read},
+		"waits, is placed":        {left: 3 * read, busy: read / 2, waits: true, placed: true},
+		"waits, runs out of time": {left: read, busy: 2 * read, waits: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -203,11 +203,11 @@
 		earlier time.Duration
 		want    time.Duration
 	}{
-		"first try":             {crowd, 0, 6 * time.Second},
-		"came back soon":        {crowd, 2 * time.Second, 4 * time.Second},
-		"came back, late by it": {crowd, 20 * time.Second, objective / 8},
-		"on a calm day":         {calm, 0, 3 * objective},
-		"came back, calm day":   {calm, 20 * time.Second, 3 * objective},
+		"first try":              {crowd, 0, 6 * time.Second},
+		"early retry":            {crowd, 2 * time.Second, 4 * time.Second},
+		"late retry":             {crowd, 20 * time.Second, objective / 8},
+		"low demand":             {calm, 0, 3 * objective},
+		"late retry, low demand": {calm, 20 * time.Second, 3 * objective},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/balance/ratelimit_test.go
+++ b/internal/balance/ratelimit_test.go
@@ -89,9 +89,9 @@
 		"lead of all":                      {unusedLead{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 9}, 1, 39, 41},
 		"lead of all, one in four seconds": {unusedLead{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 9}, 0.25, 9, 11},
 		"lead of all, ten a second":        {unusedLead{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 9}, 10, 395, 405},
-		"lead of a side of three":          {unusedLead{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 3}, 1, 12, 14},
-		"lead of a side of six":            {unusedLead{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 6}, 1, 25, 27},
-		"lead, takes nothing":              {unusedLead{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 9}, 0, 3, 4},
+		"lead of a partition of three":     {unusedLead{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 3}, 1, 12, 14},
+		"lead of a partition of six":       {unusedLead{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 6}, 1, 25, 27},
+		"lead, limit of zero":              {unusedLead{balance.ErrIsLead}, balance.Role{IsLead: true, Boxes: 9, Reachable: 9}, 0, 3, 4},
 		"no lead, share below one":         {stray, balance.Role{Boxes: 9, Reachable: 9}, 1, 0, 0},
 		"no lead, share of one":            {stray, balance.Role{Boxes: 9, Reachable: 9}, 9, 10, 11},
 		"no lead, share of two":            {stray, balance.Role{Boxes: 9, Reachable: 9}, 20, 20, 22},
@@ -152,24 +152,24 @@
 		change func(f *fixture, p *balance.Placement)
 		named  bool
 	}{
-		"nothing else was said": {func(*fixture, *balance.Placement) {}, true},
+		"no other statement": {func(*fixture, *balance.Placement) {}, true},
 		"no limit in the answer to a later request": {func(f *fixture, p *balance.Placement) {
 			p.NoteStatement(p.Target.ID, barleystep.Statement{Limit: none}, f.clock.Now())
 		}, false},
 		"no limit in the answer to an earlier request": {func(f *fixture, p *balance.Placement) {
 			p.NoteStatement(p.Target.ID, barleystep.Statement{Limit: none}, f.clock.Now().Add(-3*time.Second))
 		}, true},
-		"lifted, as another box tells": {func(f *fixture, _ *balance.Placement) {
+		"lifted, reported by a peer": {func(f *fixture, _ *balance.Placement) {
 			f.SetOthers(peerLimit(none, f.clock.Now().Add(-time.Second)))
 		}, false},
-		"lifted before, as another box tells late": {func(f *fixture, _ *balance.Placement) {
+		"lifted earlier, reported late by a peer": {func(f *fixture, _ *balance.Placement) {
 			f.SetOthers(peerLimit(none, f.clock.Now().Add(-3*time.Second)))
 		}, true},
-		"named anew after it was lifted": {func(f *fixture, p *balance.Placement) {
+		"stated again after it was lifted": {func(f *fixture, p *balance.Placement) {
 			p.NoteStatement(p.Target.ID, barleystep.Statement{Limit: none}, f.clock.Now().Add(-time.Second))
 			f.SetOthers(peerLimit(barleystep.NewRateLimit(2), f.clock.Now()))
 		}, true},
-		"a new lifetime": {func(f *fixture, _ *balance.Placement) {
+		"a new incarnation": {func(f *fixture, _ *balance.Placement) {
 			f.targets[0].StartMS = 7
 			f.DetectRestarts()
 		}, false},
@@ -192,9 +192,9 @@
 // peerLimit returns a peer's gossip about the first target's limit.
 func peerLimit(limit barleystep.RateLimit, at time.Time) balance.Snapshot {
 	s := balance.NewSnapshot()
-	for _, born := range []int64{1, 7} {
+	for _, startMS := range []int64{1, 7} {
 		t := newFixture(1).targets[0]
-		t.StartMS = born
+		t.StartMS = startMS
 		s.Statements[balance.KeyOfTarget(t)] = balance.TimedStatement{Limit: balance.Timed[barleystep.RateLimit]{Value: limit, At: at}}
 	}
 	return s
@@ -260,9 +260,9 @@
 // target one request more than it takes.
 func TestLimitOfUnknownTarget(t *testing.T) {
 	c := quicktest.New(t)
-	for name, born := range map[string]int64{"said when it started": 7, "never said": 0} {
+	for name, startMS := range map[string]int64{"known start time": 7, "unknown start time": 0} {
 		f := newFixture(2)
-		f.targets[0].StartMS = born
+		f.targets[0].StartMS = startMS
 		others := balance.NewSnapshot()
 		others.Statements[balance.KeyOfTarget(f.targets[0])] = balance.TimedStatement{Limit: balance.Timed[barleystep.RateLimit]{Value: barleystep.NewRateLimit(1), At: f.clock.Now()}}
 		f.SetOthers(others)
--- a/internal/balance/rest_test.go
+++ b/internal/balance/rest_test.go
@@ -184,13 +184,13 @@
 		show  func(p *balance.Placement, f *fixture)
 		takes bool
 	}{
-		"nothing yet":   {func(*balance.Placement, *fixture) {}, false},
-		"its first":     {func(p *balance.Placement, _ *fixture) { p.NoteFirstEvent() }, true},
-		"done":          {func(p *balance.Placement, _ *fixture) { p.Done(balance.Report{}) }, true},
-		"its failure":   {func(p *balance.Placement, _ *fixture) { p.Done(balance.Report{Error: true}) }, true},
-		"given back":    {func(p *balance.Placement, _ *fixture) { p.Cancel() }, true},
-		"not reachable": {func(p *balance.Placement, _ *fixture) { p.Done(balance.Report{Unreachable: true}) }, true},
-		"rest again": {func(p *balance.Placement, f *fixture) {
+		"nothing yet":        {func(*balance.Placement, *fixture) {}, false},
+		"first event":        {func(p *balance.Placement, _ *fixture) { p.NoteFirstEvent() }, true},
+		"done":               {func(p *balance.Placement, _ *fixture) { p.Done(balance.Report{}) }, true},
+		"an error":           {func(p *balance.Placement, _ *fixture) { p.Done(balance.Report{Error: true}) }, true},
+		"cancelled":          {func(p *balance.Placement, _ *fixture) { p.Cancel() }, true},
+		"target unreachable": {func(p *balance.Placement, _ *fixture) { p.Done(balance.Report{Unreachable: true}) }, true},
+		"asks for rest again": {func(p *balance.Placement, f *fixture) {
 			p.NoteStatement(p.Target.ID, barleystep.Statement{Rest: time.Second}, f.clock.Now())
 			p.Done(balance.Report{Full: true})
 		}, false},
--- a/internal/balance/statement.go
+++ b/internal/balance/statement.go
@@ -86,30 +86,30 @@
 // NoteStatement takes in the statement of the placement's target, or of a helper, in the answer to
 // a request that was sent at the given time. With a zero time, values that it lacks are not
 // retracted.
-func (p *Placement) NoteStatement(id barleystep.TargetID, said barleystep.Statement, sent time.Time) {
+func (p *Placement) NoteStatement(id barleystep.TargetID, statement barleystep.Statement, sent time.Time) {
 	b := p.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, part := range p.parts {
 		if part.target == id {
-			b.noteStatement(id, part.state, said, sent)
+			b.noteStatement(id, part.state, statement, sent)
 		}
 	}
 }
 
 // noteStatement takes in the statement that an incarnation of a target makes to this box.
-func (b *Balancer) noteStatement(id barleystep.TargetID, s *targetState, said barleystep.Statement, sent time.Time) {
+func (b *Balancer) noteStatement(id barleystep.TargetID, s *targetState, statement barleystep.Statement, sent time.Time) {
 	now := b.Clock.Now()
-	heard := TimedStatement{
-		Limit:   timedFrom(said.Limit, now, sent),
-		Leaving: timedFrom(said.Leaving, now, sent),
+	update := TimedStatement{
+		Limit:   timedFrom(statement.Limit, now, sent),
+		Leaving: timedFrom(statement.Leaving, now, sent),
 	}
-	if said.Rest > 0 {
-		b.rest(id, s, said.Rest)
-		heard.Rest = s.heardLocally.Rest
+	if statement.Rest > 0 {
+		b.rest(id, s, statement.Rest)
+		update.Rest = s.heardLocally.Rest
 	}
-	s.heardLocally = s.heardLocally.later(heard)
-	b.updateStatement(id, s, heard)
+	s.heardLocally = s.heardLocally.later(update)
+	b.updateStatement(id, s, update)
 }
 
 // applyPeerStatements takes in the statements that targets have made to peers.
@@ -125,15 +125,15 @@
 // applyPeerStatement takes in the statement that a target has made to peers. A box that has just
 // started hears of targets before it uses them.
 func (b *Balancer) applyPeerStatement(id barleystep.TargetID, s *targetState) {
-	if said, ok := b.peers.Statements[s.key]; ok {
-		b.updateStatement(id, s, said)
+	if statement, ok := b.peers.Statements[s.key]; ok {
+		b.updateStatement(id, s, statement)
 	}
 }
 
 // updateStatement merges a statement that an incarnation of a target has made, here or to a peer.
-func (b *Balancer) updateStatement(id barleystep.TargetID, s *targetState, said TimedStatement) {
+func (b *Balancer) updateStatement(id barleystep.TargetID, s *targetState, update TimedStatement) {
 	before := s.statement
-	s.statement = before.later(said)
+	s.statement = before.later(update)
 	if before.Limit.Value != s.statement.Limit.Value {
 		if !before.Limit.isSet() {
 			s.rateLimiter = rateLimiter{}
--- a/internal/balance/suspect_test.go
+++ b/internal/balance/suspect_test.go
@@ -25,9 +25,9 @@
 
 func newSuspectFixture(engines int) *suspectFixture {
 	f := newFixture(engines)
-	book := &suspect.Registry{Clock: f.clock}
-	f.Suspects = book
-	t := &suspectFixture{f, book, suspect.Request{RequestURI: "/a"}.Digest(), suspect.Request{RequestURI: "/b"}.Digest()}
+	registry := &suspect.Registry{Clock: f.clock}
+	f.Suspects = registry
+	t := &suspectFixture{f, registry, suspect.Request{RequestURI: "/a"}.Digest(), suspect.Request{RequestURI: "/b"}.Digest()}
 	t.recordEnd(t.first, 1)
 	t.recordEnd(t.second, 2)
 	return t
@@ -93,21 +93,21 @@
 		placed  bool
 		err     error
 	}{
-		"while it runs":                      {12, func(*suspectFixture) {}, false, false, false, nil},
-		"its own attempt asks again":         {12, func(*suspectFixture) {}, false, true, true, nil},
-		"while it runs, another suspect":     {12, func(*suspectFixture) {}, true, false, true, nil},
-		"another one, where targets are few": {3, func(*suspectFixture) {}, true, false, false, nil},
-		"another one, a while later":         {3, func(f *suspectFixture) { f.clock.Advance(time.Second) }, true, false, true, nil},
-		"its target has ended":               {12, func(f *suspectFixture) { f.recordEnd(f.first, 7) }, false, false, true, nil},
-		"it was whole": {12, func(f *suspectFixture) {
+		"while it runs":                  {12, func(*suspectFixture) {}, false, false, false, nil},
+		"the same attempt asks again":    {12, func(*suspectFixture) {}, false, true, true, nil},
+		"while it runs, another suspect": {12, func(*suspectFixture) {}, true, false, true, nil},
+		"another suspect, few targets":   {3, func(*suspectFixture) {}, true, false, false, nil},
+		"another suspect, a while later": {3, func(f *suspectFixture) { f.clock.Advance(time.Second) }, true, false, true, nil},
+		"its target has ended":           {12, func(f *suspectFixture) { f.recordEnd(f.first, 7) }, false, false, true, nil},
+		"it succeeded": {12, func(f *suspectFixture) {
 			f.clock.Advance(time.Millisecond)
 			f.registry.RecordSuccess(f.first, bodySize)
 		}, false, false, true, nil},
-		"nothing was heard of it":             {12, func(f *suspectFixture) { f.clock.Advance(2 * time.Second) }, false, false, false, nil},
-		"nothing was heard of it, long after": {12, func(f *suspectFixture) { f.clock.Advance(4 * time.Second) }, false, false, true, nil},
-		"three have ended":                    {12, func(f *suspectFixture) { f.recordEnd(f.first, 7); f.recordEnd(f.first, 8) }, false, false, false, balance.ErrSuspectRefused},
-		"news of the end that was known":      {12, func(f *suspectFixture) { f.recordEnd(f.first, 1) }, false, false, false, nil},
-		"this box does not lead, none answers": {12, func(f *suspectFixture) {
+		"no outcome known":              {12, func(f *suspectFixture) { f.clock.Advance(2 * time.Second) }, false, false, false, nil},
+		"no outcome known, timed out":   {12, func(f *suspectFixture) { f.clock.Advance(4 * time.Second) }, false, false, true, nil},
+		"three targets have ended":      {12, func(f *suspectFixture) { f.recordEnd(f.first, 7); f.recordEnd(f.first, 8) }, false, false, false, balance.ErrSuspectRefused},
+		"a known end is reported again": {12, func(f *suspectFixture) { f.recordEnd(f.first, 1) }, false, false, false, nil},
+		"not the lead, and no lead answers": {12, func(f *suspectFixture) {
 			f.Lead = unusedLead{eris.New("no answer")}
 			f.SetRole(balance.Role{Boxes: 9, Reachable: 9})
 		}, false, false, false, balance.ErrFull},
--- a/internal/balance/work.go
+++ b/internal/balance/work.go
@@ -82,8 +82,8 @@
 func (s Snapshot) Add(o Snapshot) {
 	s.merge(o, 1)
 	suspect.Merge(s.Suspects, o.Suspects)
-	for k, said := range o.Statements {
-		s.Statements[k] = s.Statements[k].later(said)
+	for k, statement := range o.Statements {
+		s.Statements[k] = s.Statements[k].later(statement)
 	}
 }
 
--- a/internal/fleet/configuration.go
+++ b/internal/fleet/configuration.go
@@ -113,6 +113,6 @@
 
 // Restarted reports whether the target has restarted under its id since it had the given start
 // time. It is false if either time is zero.
-func (t Target) Restarted(born int64) bool {
-	return born != 0 && t.StartMS != 0 && t.StartMS != born
+func (t Target) Restarted(startMS int64) bool {
+	return startMS != 0 && t.StartMS != 0 && t.StartMS != startMS
 }
--- a/internal/suspect/registry_test.go
+++ b/internal/suspect/registry_test.go
@@ -50,52 +50,52 @@
 		}
 	}
 	const (
-		writing = suspect.EndFlags(0)
-		unread  = suspect.BeforeFirstEvent
-		lone    = suspect.BeforeFirstEvent | suspect.RanAlone
+		answering  = suspect.EndFlags(0)
+		unanswered = suspect.BeforeFirstEvent
+		ranAlone   = suspect.BeforeFirstEvent | suspect.RanAlone
 	)
-	whole := func(b *suspect.Registry, _ *clock.Manual) { b.RecordSuccess(digest, size) }
-	begins := func(b *suspect.Registry, _ *clock.Manual) { b.RecordAnswerStart(digest, size) }
+	success := func(b *suspect.Registry, _ *clock.Manual) { b.RecordSuccess(digest, size) }
+	answerStart := func(b *suspect.Registry, _ *clock.Manual) { b.RecordAnswerStart(digest, size) }
 	wait := func(d time.Duration) step {
 		return func(_ *suspect.Registry, clk *clock.Manual) { clk.Advance(d) }
 	}
-	told := func(b *suspect.Registry, clk *clock.Manual) {
-		late := suspect.NewEvidence(size, []suspect.End{suspect.NewEnd(1, clk.Now().Add(-2*time.Second), unread)}, time.Time{}, time.Time{})
+	lateReport := func(b *suspect.Registry, clk *clock.Manual) {
+		late := suspect.NewEvidence(size, []suspect.End{suspect.NewEnd(1, clk.Now().Add(-2*time.Second), unanswered)}, time.Time{}, time.Time{})
 		b.Merge(map[suspect.Digest]suspect.Evidence{digest: late})
 	}
-	three := []step{end(1, unread), end(2, lone), end(3, lone)}
-	certain := []step{end(1, unread), end(2, lone), end(3, lone), end(4, lone), end(5, lone), end(6, lone)}
+	three := []step{end(1, unanswered), end(2, ranAlone), end(3, ranAlone)}
+	certain := []step{end(1, unanswered), end(2, ranAlone), end(3, ranAlone), end(4, ranAlone), end(5, ranAlone), end(6, ranAlone)}
 	cases := map[string]struct {
 		steps []step
 		want  suspect.Status
 	}{
-		"nothing":                                     {nil, suspect.Allowed},
-		"one end amid its stream":                     {[]step{end(1, writing)}, suspect.Allowed},
-		"one end before its stream":                   {[]step{end(1, unread)}, suspect.Isolated},
-		"the same end twice":                          {[]step{end(1, writing), end(1, writing)}, suspect.Allowed},
-		"two ends amid its streams":                   {[]step{end(1, writing), end(2, writing)}, suspect.Isolated},
-		"three ends beside others":                    {[]step{end(1, unread), end(2, unread), end(3, unread)}, suspect.Isolated},
-		"four ends beside others":                     {[]step{end(1, unread), end(2, unread), end(3, unread), end(4, unread)}, suspect.Isolated},
-		"three ends, one of them alone":               {[]step{end(1, unread), end(2, writing), end(3, lone)}, suspect.Refused},
-		"two ends alone":                              {[]step{end(1, lone), end(2, lone)}, suspect.Isolated},
-		"an end, then whole":                          {[]step{end(1, unread), whole}, suspect.Allowed},
-		"an end, then begun elsewhere":                {[]step{end(1, unread), begins}, suspect.Allowed},
-		"begun elsewhere, then an end":                {[]step{end(1, unread), begins, end(2, unread)}, suspect.Isolated},
-		"two ends, then begun elsewhere":              {[]step{end(1, unread), end(2, unread), begins}, suspect.Isolated},
-		"refused, then whole":                         {append(three[:3:3], whole), suspect.Allowed},
-		"whole, then an end":                          {[]step{end(1, unread), whole, end(2, unread)}, suspect.Isolated},
-		"whole between ends":                          {[]step{end(1, unread), end(2, unread), whole, end(3, writing)}, suspect.Allowed},
+		"no evidence":                                 {nil, suspect.Allowed},
+		"one end during the stream":                   {[]step{end(1, answering)}, suspect.Allowed},
+		"one end before the first event":              {[]step{end(1, unanswered)}, suspect.Isolated},
+		"the same end twice":                          {[]step{end(1, answering), end(1, answering)}, suspect.Allowed},
+		"two ends during the streams":                 {[]step{end(1, answering), end(2, answering)}, suspect.Isolated},
+		"three ends beside others":                    {[]step{end(1, unanswered), end(2, unanswered), end(3, unanswered)}, suspect.Isolated},
+		"four ends beside others":                     {[]step{end(1, unanswered), end(2, unanswered), end(3, unanswered), end(4, unanswered)}, suspect.Isolated},
+		"three ends, one of them alone":               {[]step{end(1, unanswered), end(2, answering), end(3, ranAlone)}, suspect.Refused},
+		"two ends alone":                              {[]step{end(1, ranAlone), end(2, ranAlone)}, suspect.Isolated},
+		"an end, then a success":                      {[]step{end(1, unanswered), success}, suspect.Allowed},
+		"an end, then an answer start":                {[]step{end(1, unanswered), answerStart}, suspect.Allowed},
+		"an answer start, then an end":                {[]step{end(1, unanswered), answerStart, end(2, unanswered)}, suspect.Isolated},
+		"two ends, then an answer start":              {[]step{end(1, unanswered), end(2, unanswered), answerStart}, suspect.Isolated},
+		"refused, then a success":                     {append(three[:3:3], success), suspect.Allowed},
+		"a success, then an end":                      {[]step{end(1, unanswered), success, end(2, unanswered)}, suspect.Isolated},
+		"a success between ends":                      {[]step{end(1, unanswered), end(2, unanswered), success, end(3, answering)}, suspect.Allowed},
 		"refused for a minute":                        {append(three[:3:3], wait(suspect.RefusalPeriod-3*time.Second)), suspect.Refused},
-		"alone after a minute":                        {append(three[:3:3], wait(suspect.RefusalPeriod)), suspect.Isolated},
-		"an end after a minute":                       {append(three[:3:3], wait(suspect.RefusalPeriod), end(4, lone)), suspect.Refused},
-		"again an end after a minute":                 {append(three[:3:3], wait(suspect.RefusalPeriod), end(4, lone), wait(suspect.RefusalPeriod), end(5, lone)), suspect.Refused},
+		"isolated after a minute":                     {append(three[:3:3], wait(suspect.RefusalPeriod)), suspect.Isolated},
+		"an end after a minute":                       {append(three[:3:3], wait(suspect.RefusalPeriod), end(4, ranAlone)), suspect.Refused},
+		"another end after a minute":                  {append(three[:3:3], wait(suspect.RefusalPeriod), end(4, ranAlone), wait(suspect.RefusalPeriod), end(5, ranAlone)), suspect.Refused},
 		"certain, after a minute":                     {append(certain[:6:6], wait(suspect.RefusalPeriod)), suspect.Refused},
 		"certain, after an hour":                      {append(certain[:6:6], wait(suspect.CertainRefusalPeriod)), suspect.Isolated},
-		"certain, then whole":                         {append(certain[:6:6], whole), suspect.Allowed},
-		"six ends, two of them alone, after a minute": {[]step{end(1, unread), end(2, unread), end(3, unread), end(4, unread), end(5, lone), end(6, lone), wait(suspect.RefusalPeriod)}, suspect.Isolated},
-		"forgotten":                                   {append(three[:3:3], wait(2*suspect.RefusalPeriod), func(b *suspect.Registry, _ *clock.Manual) { b.GossipUpdate() }), suspect.Allowed},
-		"an end is told after it was whole":           {[]step{end(1, unread), whole, told}, suspect.Allowed},
-		"an end that many saw, of some unread":        {[]step{end(1, writing), end(1, unread)}, suspect.Isolated},
+		"certain, then a success":                     {append(certain[:6:6], success), suspect.Allowed},
+		"six ends, two of them alone, after a minute": {[]step{end(1, unanswered), end(2, unanswered), end(3, unanswered), end(4, unanswered), end(5, ranAlone), end(6, ranAlone), wait(suspect.RefusalPeriod)}, suspect.Isolated},
+		"dropped as too old":                          {append(three[:3:3], wait(2*suspect.RefusalPeriod), func(b *suspect.Registry, _ *clock.Manual) { b.GossipUpdate() }), suspect.Allowed},
+		"an earlier end reported after a success":     {[]step{end(1, unanswered), success, lateReport}, suspect.Allowed},
+		"one end, seen with and without an event":     {[]step{end(1, answering), end(1, unanswered)}, suspect.Isolated},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -148,28 +148,28 @@
 		for key := range ends {
 			ends[key] = moment("end")
 		}
-		var told []suspect.Evidence
+		var updates []suspect.Evidence
 		for range rapid.IntRange(1, 12).Draw(r, "words") {
 			if rapid.IntRange(0, 3).Draw(r, "cleared") == 0 {
-				told = append(told, suspect.NewEvidence(size, nil, moment("whole"), time.Time{}))
+				updates = append(updates, suspect.NewEvidence(size, nil, moment("whole"), time.Time{}))
 				continue
 			}
 			key := rapid.IntRange(0, len(ends)-1).Draw(r, "target")
 			end := suspect.NewEnd(uint32(key), ends[key], suspect.BeforeFirstEvent)
-			told = append(told, suspect.NewEvidence(size, []suspect.End{end}, time.Time{}, time.Time{}))
+			updates = append(updates, suspect.NewEvidence(size, []suspect.End{end}, time.Time{}, time.Time{}))
 		}
 		clk.Advance(30 * time.Second)
-		belief := func(words []suspect.Evidence) int {
+		endCount := func(words []suspect.Evidence) int {
 			sum := make(map[suspect.Digest]suspect.Evidence)
 			for _, e := range words {
 				suspect.Merge(sum, map[suspect.Digest]suspect.Evidence{digest: e})
 			}
 			return len(sum[digest].Ends())
 		}
-		other := rapid.Permutation(told).Draw(r, "order")
-		twice := slices.Concat(other, told)
-		if belief(told) != belief(other) || belief(told) != belief(twice) {
-			r.Fatalf("%d, %d and %d ends", belief(told), belief(other), belief(twice))
+		other := rapid.Permutation(updates).Draw(r, "order")
+		twice := slices.Concat(other, updates)
+		if endCount(updates) != endCount(other) || endCount(updates) != endCount(twice) {
+			r.Fatalf("%d, %d and %d ends", endCount(updates), endCount(other), endCount(twice))
 		}
 	})
 }
@@ -234,13 +234,13 @@
 	clk := clock.NewManual(time.Unix(1000, 0))
 	b := &suspect.Registry{Clock: clk}
 	b.RecordEnd(digest, size, suspect.NewEnd(1, clk.Now(), suspect.BeforeFirstEvent))
-	count := func(span time.Duration) (told int) {
+	count := func(span time.Duration) (gossiped int) {
 		const tick = 50 * time.Millisecond
 		for range span / tick {
 			clk.Advance(tick)
-			told += len(b.GossipUpdate())
+			gossiped += len(b.GossipUpdate())
 		}
-		return told
+		return gossiped
 	}
 	quicktest.Check(t, count(4*time.Second), quicktest.Equals, 80)
 	clk.Advance(2 * time.Second)
