--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -145,11 +145,11 @@
 	peers Snapshot
 }
 
-// targetState is what a box knows first-hand of one incarnation of a target.
+// targetState is what a box knows of one incarnation of a target.
 type targetState struct {
 	// key identifies the incarnation between boxes. It belongs to recordStart, the start time in
-	// the target's current record, zero if it has none. lastStart is the last start time that any
-	// record had.
+	// the target's current record in Unix milliseconds, zero if it has none. lastStart is the last
+	// start time that any record had.
 	key         Key
 	recordStart int64
 	lastStart   int64
--- a/internal/balance/fairness.go
+++ b/internal/balance/fairness.go
@@ -60,8 +60,8 @@
 	return &t.sizes[sizeClass(j)]
 }
 
-// lag returns by how much the rate of the job's class is below its share of the overall rate, zero
-// if it is not.
+// lag returns by how much the rate of the job's class is below lagThreshold of the overall rate,
+// zero if it is not.
 func (t *sizeStats) lag(j Job) float64 {
 	var all tryCount
 	for _, c := range t.sizes {
--- a/internal/balance/queue.go
+++ b/internal/balance/queue.go
@@ -67,8 +67,8 @@
 	if left <= 0 || w.held != holdLimit {
 		return left > 0
 	}
-	delay, ever := b.minLimitDelay(w.job)
-	return ever && delay < left
+	delay, possible := b.minLimitDelay(w.job)
+	return possible && delay < left
 }
 
 // queueFor returns the queue for jobs like this one, held for the given reason. Jobs of one queue
--- a/internal/balance/ratelimit.go
+++ b/internal/balance/ratelimit.go
@@ -109,7 +109,7 @@
 		return s.rateLimiter.tokens >= 1
 	}
 	s.rateLimiter.refilledAt = time.Time{}
-	s.rateLimiter.expire(now)
+	s.rateLimiter.dropExpired(now)
 	return len(s.rateLimiter.sentWithoutLead) < b.requestsWithoutLead(s.limit())
 }
 
@@ -123,8 +123,8 @@
 	a.refilledAt = now
 }
 
-// expire drops the requests that have left the window.
-func (a *rateLimiter) expire(now time.Time) {
+// dropExpired drops the requests that have left the window.
+func (a *rateLimiter) dropExpired(now time.Time) {
 	a.sentWithoutLead = slices.DeleteFunc(a.sentWithoutLead, func(at time.Time) bool { return now.Sub(at) >= limitWindow })
 }
 
@@ -148,10 +148,10 @@
 }
 
 // minLimitDelay returns a lower bound on the delay until the limits of the job's targets have room
-// for it and for those queued before it, and whether they ever have. If all targets rest, it is the
-// time until the first of them has rested. The bound assumes that each bucket is about to have room
-// for its first job.
-func (b *Balancer) minLimitDelay(j Job) (delay time.Duration, ever bool) {
+// for it and for those queued before it, and whether that is possible at all. If all targets rest,
+// it is the time until the first of them has rested. The bound assumes that each bucket is about to
+// have room for its first job.
+func (b *Balancer) minLimitDelay(j Job) (delay time.Duration, possible bool) {
 	perSecond := 0.0
 	candidates := b.candidates(j)
 	if rest := b.restRemaining(candidates); rest > 0 && !j.ForPeer {
@@ -168,11 +168,11 @@
 	if perSecond == 0 {
 		return 0, false
 	}
-	before := 0
+	ahead := 0
 	for _, w := range b.limitQueue {
 		if !w.cancelled && w.job.Service == j.Service {
-			before++
+			ahead++
 		}
 	}
-	return time.Duration(float64(before) / perSecond * float64(time.Second)), true
+	return time.Duration(float64(ahead) / perSecond * float64(time.Second)), true
 }
--- a/internal/balance/suspect.go
+++ b/internal/balance/suspect.go
@@ -38,8 +38,8 @@
 	if !j.isSuspect() {
 		return false
 	}
-	standing, _ := b.Suspects.Status(j.Suspect)
-	return standing == suspect.Refused
+	status, _ := b.Suspects.Status(j.Suspect)
+	return status == suspect.Refused
 }
 
 // placeSuspect places a suspect where as little as possible is lost with it: at the target with the
@@ -63,11 +63,11 @@
 	if p == nil {
 		return nil, h, nil
 	}
-	known := b.Suspects.Evidence(j.Suspect)
+	evidence := b.Suspects.Evidence(j.Suspect)
 	if b.trials == nil {
 		b.trials = make(map[suspect.Digest]trial)
 	}
-	b.trials[j.Suspect] = trial{request: j.RequestID, target: p.Target.ID, since: b.Clock.Now(), ended: max(len(known.Ends()), j.EndedTargets)}
+	b.trials[j.Suspect] = trial{request: j.RequestID, target: p.Target.ID, since: b.Clock.Now(), ended: max(len(evidence.Ends()), j.EndedTargets)}
 	return p, holdNone, nil
 }
 
@@ -93,9 +93,9 @@
 
 // isOpen reports whether the trial may still run: no outcome has become known since it was placed.
 func (b *Balancer) isOpen(d suspect.Digest, t trial) bool {
-	known := b.Suspects.Evidence(d)
-	learnt := len(known.Ends()) > t.ended || known.LastSuccess().After(t.since)
-	return !learnt && b.Clock.Now().Sub(t.since) < trialTimeout
+	evidence := b.Suspects.Evidence(d)
+	hasOutcome := len(evidence.Ends()) > t.ended || evidence.LastSuccess().After(t.since)
+	return !hasOutcome && b.Clock.Now().Sub(t.since) < trialTimeout
 }
 
 // hasTrialRunning reports whether another run of the suspect may be in progress. A request that
--- a/internal/suspect/registry_test.go
+++ b/internal/suspect/registry_test.go
@@ -190,12 +190,12 @@
 	ended := uint32(0)
 	for range int(length / time.Second) {
 		clk.Advance(time.Second)
-		standing, _ := b.Status(digest)
-		if standing == suspect.Refused {
+		status, _ := b.Status(digest)
+		if status == suspect.Refused {
 			continue
 		}
 		marks := suspect.BeforeFirstEvent
-		if standing == suspect.Isolated {
+		if status == suspect.Isolated {
 			marks |= suspect.RanAlone
 		}
 		ended++
@@ -224,8 +224,8 @@
 	}
 	c.Check(held, quicktest.Equals, 80)
 	c.Check(len(b.GossipUpdate()), quicktest.Equals, 32)
-	standing, left := b.Status(digest)
-	c.Check(standing, quicktest.Equals, suspect.Refused)
+	status, left := b.Status(digest)
+	c.Check(status, quicktest.Equals, suspect.Refused)
 	c.Check(left > 50*time.Second, quicktest.IsTrue)
 }
 
@@ -253,8 +253,8 @@
 	var b *suspect.Registry
 	b.RecordEnd(digest, size, suspect.NewEnd(1, time.Time{}, suspect.BeforeFirstEvent))
 	b.RecordSuccess(digest, size)
-	standing, _ := b.Status(digest)
-	c.Check(standing, quicktest.Equals, suspect.Allowed)
+	status, _ := b.Status(digest)
+	c.Check(status, quicktest.Equals, suspect.Allowed)
 	c.Check(b.HasBodySize(size), quicktest.IsFalse)
 	c.Check(b.GossipUpdate(), quicktest.HasLen, 0)
 }
