--- a/internal/balance/oversized_test.go
+++ b/internal/balance/oversized_test.go
@@ -13,11 +13,11 @@
 	"github.com/barleystep/barleystep/internal/balance"
 )
 
-// overMemory is a prompt for which no engine of these tests has the memory.
+// oversizedPrompt exceeds the KV cache of an engine in these tests.
 const oversizedPrompt = 500_000
 
-// TestOverMemoryWaits checks that a prompt over an engine's memory waits for engines to be
-// idle, holds up nobody behind it, and is placed once they are.
+// TestOversizedPromptWaits checks that an oversized prompt waits for idle engines, does not block
+// the jobs behind it, and is placed once engines are idle.
 func TestOversizedPromptWaits(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(6)
@@ -38,7 +38,7 @@
 		return w
 	}
 	over, long := ask(oversizedPrompt), ask(longPrompt)
-	f.SetOthers(all(balance.Work{KVTokens: 420_000})) // They have read, and write.
+	f.SetOthers(all(balance.Work{KVTokens: 420_000})) // The prompts are prefilled and decode.
 	c.Assert(long.Ready(), quicktest.HasLen, 1)
 	c.Check(over.Ready(), quicktest.HasLen, 0)
 	p := <-long.Ready()
@@ -48,25 +48,24 @@
 	c.Check(over.Ready(), quicktest.HasLen, 1)
 }
 
-// TestOverMemoryWait checks for how long a prompt over an engine's memory waits: its caller
-// is told soon to come back, and then, as it has no third try, waits while it can be in time
-// by the second.
+// TestOversizedPromptDeadline checks how long an oversized prompt waits. Its caller is told early
+// to retry; that second try, the last one, waits while it can be in time.
 func TestOversizedPromptDeadline(t *testing.T) {
 	const objective = 8 * time.Second
 	least := cost.Prefill(oversizedPrompt)/17 + cost.Pass()
 	cases := map[string]struct {
-		earlier time.Duration // earlier is how long ago the first try was that was refused.
-		taken   time.Duration // taken is for how long the box has had the request.
+		earlier time.Duration // earlier is how long ago the caller's refused first try was.
+		taken   time.Duration // taken is how long ago the box received the request.
 		left    time.Duration
 		want    time.Duration
 	}{
-		"first try":               {0, 0, 30 * time.Second, objective / 4},
-		"first try, just taken":   {0, 3 * time.Millisecond, 30 * time.Second, objective / 4},
-		"first try, sent before":  {0, time.Second, 30 * time.Second, objective / 4},
-		"came back":               {5 * time.Second, 0, 30 * time.Second, objective - least},
-		"came back, has no time":  {5 * time.Second, 0, 4 * time.Second, 4*time.Second - least},
-		"first try, has no time":  {0, 0, least + time.Second, time.Second},
-		"first try, time unknown": {0, 0, 0, objective / 4},
+		"first try":                    {0, 0, 30 * time.Second, objective / 4},
+		"first try, just arrived":      {0, 3 * time.Millisecond, 30 * time.Second, objective / 4},
+		"first try, arrived 1 s ago":   {0, time.Second, 30 * time.Second, objective / 4},
+		"caller retry":                 {5 * time.Second, 0, 30 * time.Second, objective - least},
+		"caller retry, short deadline": {5 * time.Second, 0, 4 * time.Second, 4*time.Second - least},
+		"first try, short deadline":    {0, 0, least + time.Second, time.Second},
+		"first try, no deadline":       {0, 0, 0, objective / 4},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -92,20 +91,20 @@
 	}
 }
 
-// TestInVain checks that a long prompt that has waited in vain leaves a line that says what
-// its engines lacked the last time that it was tried.
+// TestTimedOutPromptIsLogged checks that a long prompt that timed out is logged with the reason why
+// it could not be placed the last time.
 func TestTimedOutPromptIsLogged(t *testing.T) {
 	cases := map[string]struct {
 		work   balance.Work
-		before int // before is the prompt of a job that waits before this one, if any.
+		before int // before is the prompt of a job that waits ahead of this one, if any.
 		prompt int
 		want   string
 	}{
-		"its engines read":       {work: balance.Work{Backlog: time.Minute}, prompt: oversizedPrompt, want: "engines read"},
-		"its helpers are full":   {work: balance.Work{KVTokens: 420_000}, prompt: oversizedPrompt, want: "memory is lacking"},
-		"another one is before":  {work: balance.Work{Backlog: time.Minute}, before: longPrompt, prompt: oversizedPrompt, want: "behind another"},
-		"not over memory":        {work: balance.Work{Backlog: time.Minute}, prompt: longPrompt, want: "engines read"},
-		"its streams are better": {work: balance.Work{Short: 500}, prompt: oversizedPrompt, want: "streams are worth more"},
+		"engines prefill":        {work: balance.Work{Backlog: time.Minute}, prompt: oversizedPrompt, want: "engines read"},
+		"helpers lack KV cache":  {work: balance.Work{KVTokens: 420_000}, prompt: oversizedPrompt, want: "memory is lacking"},
+		"another one is ahead":   {work: balance.Work{Backlog: time.Minute}, before: longPrompt, prompt: oversizedPrompt, want: "behind another"},
+		"not oversized":          {work: balance.Work{Backlog: time.Minute}, prompt: longPrompt, want: "engines read"},
+		"streams are worth more": {work: balance.Work{Short: 500}, prompt: oversizedPrompt, want: "streams are worth more"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/balance/planrequest_test.go
+++ b/internal/balance/planrequest_test.go
@@ -11,53 +11,54 @@
 	"github.com/barleystep/barleystep/internal/balance"
 )
 
-// askedLead is a lead without a place that keeps what it was asked.
+// requestRecordingLead is a lead that has no target and records the job it was asked to place.
 type requestRecordingLead struct {
 	fullLead
 	requested balance.Job
 }
 
-// Place keeps the job.
+// Place records the job.
 func (l *requestRecordingLead) Place(_ context.Context, j balance.Job) (balance.Plan, error) {
 	l.requested = j
 	return balance.Plan{}, balance.ErrFull
 }
 
-// TestLeadIsToldWhoDeclines checks that a question to the lead names the targets that leave or
-// rest, for as long as they do: only these are looked at, not all that the box knows.
+// TestPlanRequestNamesDecliningTargets checks that a plan request to the lead names the targets
+// that are leaving or resting, for as long as they do. The box looks only at these, not at all
+// targets that it knows.
 func TestPlanRequestNamesDecliningTargets(t *testing.T) {
 	const length = 3 * time.Second
-	says := func(f *fixture, said barleystep.Statement) {
+	answerWith := func(f *fixture, statement barleystep.Statement) {
 		p := f.place(t, f.only("i-00"))
-		p.NoteStatement(p.Target.ID, said, f.clock.Now())
+		p.NoteStatement(p.Target.ID, statement, f.clock.Now())
 		p.Done(balance.Report{Full: true})
 	}
 	cases := map[string]struct {
 		then func(f *fixture)
 		want bool
 	}{
-		"says nothing": {func(*fixture) {}, false},
-		"leaves":       {func(f *fixture) { says(f, barleystep.Statement{Leaving: true}) }, true},
-		"rests":        {func(f *fixture) { says(f, barleystep.Statement{Rest: length}) }, true},
-		"has rested": {func(f *fixture) {
-			says(f, barleystep.Statement{Rest: length})
+		"no statement": {func(*fixture) {}, false},
+		"leaves":       {func(f *fixture) { answerWith(f, barleystep.Statement{Leaving: true}) }, true},
+		"rests":        {func(f *fixture) { answerWith(f, barleystep.Statement{Rest: length}) }, true},
+		"rest is over": {func(f *fixture) {
+			answerWith(f, barleystep.Statement{Rest: length})
 			f.clock.Advance(2 * length)
 		}, false},
-		"has one request after its rest": {func(f *fixture) {
-			says(f, barleystep.Statement{Rest: length})
+		"probe after its rest": {func(f *fixture) {
+			answerWith(f, barleystep.Statement{Rest: length})
 			f.clock.Advance(2 * length)
 			f.place(t, f.only("i-00"))
 		}, true},
 		"leaves after its rest": {func(f *fixture) {
-			says(f, barleystep.Statement{Rest: length})
+			answerWith(f, barleystep.Statement{Rest: length})
 			f.clock.Advance(2 * length)
 			p := f.place(t, f.only("i-00"))
 			p.NoteFirstEvent()
 			p.Done(balance.Report{})
 			f.planRequestExcludesFirst()
-			says(f, barleystep.Statement{Leaving: true})
+			answerWith(f, barleystep.Statement{Leaving: true})
 		}, true},
-		"another box is told": {func(f *fixture) {
+		"leaving, told to a peer": {func(f *fixture) {
 			news := balance.NewSnapshot()
 			news.Statements[balance.KeyOf("i-00")] = balance.TimedStatement{Leaving: balance.Timed[bool]{Value: true, At: f.clock.Now()}}
 			f.SetOthers(news)
@@ -73,7 +74,8 @@
 	}
 }
 
-// ask asks a lead for a place and reports whether it was told that the first target declines.
+// planRequestExcludesFirst requests a plan and reports whether the lead was told that the first
+// target declines.
 func (f *fixture) planRequestExcludesFirst() bool {
 	l := &requestRecordingLead{}
 	f.Lead = l
--- a/internal/balance/queue_test.go
+++ b/internal/balance/queue_test.go
@@ -12,8 +12,8 @@
 	"github.com/barleystep/barleystep/internal/balance"
 )
 
-// TestWaits checks that a short prompt waits while all slots are taken, gets the
-// next one that is free, and is refused when its caller would not wait longer.
+// TestShortPromptWaits checks that a short prompt waits while all slots are taken, gets the next
+// free one, and is refused once its caller would no longer wait.
 func TestShortPromptWaits(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(1)
@@ -41,21 +41,21 @@
 	c.Check(eris.Is(<-got, balance.ErrFull), quicktest.IsTrue)
 }
 
-// TestOrder checks which of the waiting prompts gets the next free slot.
+// TestQueueOrder checks which of the queued prompts gets the next free slot.
 func TestQueueOrder(t *testing.T) {
 	type wait struct {
-		name string
-		rank int
-		// after is how long after the one before it came.
+		name     string
+		priority int
+		// after is how long after the one before it arrived.
 		after time.Duration
 	}
 	cases := map[string]struct {
 		waits []wait
 		want  string
 	}{
-		"the newest that can be in time": {[]wait{{"old", 1, 0}, {"new", 1, 50 * time.Millisecond}}, "new"},
-		"the better rank":                {[]wait{{"first", 0, 0}, {"new", 1, 50 * time.Millisecond}}, "first"},
-		"not one that is late":           {[]wait{{"late", 1, 0}, {"new", 1, 250 * time.Millisecond}}, "new"},
+		"newest that can be in time": {[]wait{{"old", 1, 0}, {"new", 1, 50 * time.Millisecond}}, "new"},
+		"the higher priority":        {[]wait{{"first", 0, 0}, {"new", 1, 50 * time.Millisecond}}, "first"},
+		"late prompts go last":       {[]wait{{"late", 1, 0}, {"new", 1, 250 * time.Millisecond}}, "new"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -69,7 +69,7 @@
 				f.clock.Advance(w.after)
 				go func() {
 					j := engineJob(shortPrompt)
-					j.Priority = w.rank
+					j.Priority = w.priority
 					if _, err := f.Place(context.Background(), j); err == nil {
 						served <- w.name
 					}
@@ -81,13 +81,13 @@
 			placed[0].Done(balance.Report{})
 			quicktest.Check(t, <-served, quicktest.Equals, tc.want)
 			quicktest.Check(t, served, quicktest.HasLen, 0)
-			f.clock.Advance(time.Minute) // The others give up.
+			f.clock.Advance(time.Minute) // The others time out.
 		})
 	}
 }
 
-// TestLongWaits checks that long prompts wait until their engine has read the one
-// before, and that of those that wait the shortest goes first.
+// TestLongPromptWaits checks that long prompts wait until their engine has prefilled the one
+// before, and that the shortest of those that wait goes first.
 func TestLongPromptWaits(t *testing.T) {
 	c := quicktest.New(t)
 	f := newFixture(1)
@@ -106,8 +106,8 @@
 	c.Check(long.Ready(), quicktest.HasLen, 0)
 }
 
-// TestLull checks that a long prompt waits for the streams that it would hold up to
-// end while it has time, and no longer when it has not.
+// TestLongPromptDeferred checks that a long prompt waits for the streams that it would stall to end
+// while it has time, and no longer.
 func TestLongPromptDeferred(t *testing.T) {
 	cases := map[string]struct {
 		streams int
@@ -115,11 +115,11 @@
 		waits   bool
 		refused bool
 	}{
-		"many streams":             {streams: 6, waits: true},
-		"many, and late anyway":    {streams: 6, waited: 1700 * time.Millisecond, waits: true},
-		"few streams":              {streams: 1},
-		"few, and it is still due": {streams: 1, waited: 1400 * time.Millisecond},
-		"many, after a long wait":  {streams: 6, waited: 1900 * time.Millisecond, refused: true},
+		"many streams":                    {streams: 6, waits: true},
+		"many streams, already late":      {streams: 6, waited: 1700 * time.Millisecond, waits: true},
+		"few streams":                     {streams: 1},
+		"few streams, near its objective": {streams: 1, waited: 1400 * time.Millisecond},
+		"many streams, after a long wait": {streams: 6, waited: 1900 * time.Millisecond, refused: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -149,21 +149,21 @@
 	}
 }
 
-// TestTimeLeft checks that a long prompt whose caller would be gone before an answer is
+// TestCallerDeadline checks that a long prompt whose caller would give up before an answer is
 // refused at once, and that one that waits is placed, or refused, while there is time.
 func TestCallerDeadline(t *testing.T) {
 	read := cost.Prefill(longPrompt)
 	cases := map[string]struct {
 		left   time.Duration
-		busy   time.Duration // busy is for how long the one engine reads something else.
+		busy   time.Duration // busy is the prefill backlog of the only engine.
 		waits  bool
 		placed bool
 	}{
-		"idle, time enough":           {left: 2 * read, placed: true},
-		"no time at all":              {left: 10 * time.Millisecond},
-		"busy, no time at all":        {left: 10 * time.Millisecond, busy: read},
-		"waits, and can still go":     {left: 3 * read, busy: read / 2, waits: true, placed: true},
-		"waits, and cannot go either": {left: read, busy: 2 * read, waits: true},
+		"idle, enough time":       {left: 2 * read, placed: true},
+		"idle, no time":           {left: 10 * time.Millisecond},
+		"busy, no time":           {left: 10 * time.Millisecond, busy: read},
+		"waits, is placed":        {left: 3 * read, busy: read / 2, waits: true, placed: true},
+		"waits, runs out of time": {left: read, busy: 2 * read, waits: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -193,8 +193,8 @@
 	}
 }
 
-// TestLongWait checks for how long a long prompt waits for its engines, by how much of
-// them callers ask for and when its own first tried.
+// TestLongPromptDeadline checks how long a long prompt waits for its engines, by demand and by when
+// its caller first tried.
 func TestLongPromptDeadline(t *testing.T) {
 	const objective = 10 * time.Second
 	const crowd, calm = 1.0, 0.1
@@ -203,11 +203,11 @@
 		earlier time.Duration
 		want    time.Duration
 	}{
-		"first try":             {crowd, 0, 6 * time.Second},
-		"came back soon":        {crowd, 2 * time.Second, 4 * time.Second},
-		"came back, late by it": {crowd, 20 * time.Second, objective / 8},
-		"on a calm day":         {calm, 0, 3 * objective},
-		"came back, calm day":   {calm, 20 * time.Second, 3 * objective},
+		"first try":              {crowd, 0, 6 * time.Second},
+		"early retry":            {crowd, 2 * time.Second, 4 * time.Second},
+		"late retry":             {crowd, 20 * time.Second, objective / 8},
+		"low demand":             {calm, 0, 3 * objective},
+		"late retry, low demand": {calm, 20 * time.Second, 3 * objective},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/balance/suspect_test.go
+++ b/internal/balance/suspect_test.go
@@ -15,7 +15,7 @@
 
 const bodySize = 100
 
-// trials is a balancer that knows of two suspects.
+// suspectFixture is a balancer that knows of two suspects.
 type suspectFixture struct {
 	*fixture
 	registry *suspect.Registry
@@ -25,26 +25,26 @@
 
 func newSuspectFixture(engines int) *suspectFixture {
 	f := newFixture(engines)
-	book := &suspect.Registry{Clock: f.clock}
-	f.Suspects = book
-	t := &suspectFixture{f, book, suspect.Request{RequestURI: "/a"}.Digest(), suspect.Request{RequestURI: "/b"}.Digest()}
+	registry := &suspect.Registry{Clock: f.clock}
+	f.Suspects = registry
+	t := &suspectFixture{f, registry, suspect.Request{RequestURI: "/a"}.Digest(), suspect.Request{RequestURI: "/b"}.Digest()}
 	t.recordEnd(t.first, 1)
 	t.recordEnd(t.second, 2)
 	return t
 }
 
-// ended notes a target that had the request.
+// recordEnd records the end of a target that had the request.
 func (t *suspectFixture) recordEnd(d suspect.Digest, key uint32) {
 	t.registry.RecordEnd(d, bodySize, suspect.NewEnd(key, t.clock.Now(), suspect.BeforeFirstEvent|suspect.RanAlone))
 }
 
-// ask asks for a place for a suspect.
+// tryPlace tries to place a suspect.
 func (t *suspectFixture) tryPlace(j balance.Job, d suspect.Digest) (*balance.Placement, *balance.QueuedJob, error) {
 	j.Suspect = d
 	return t.TryPlace(context.Background(), j)
 }
 
-// TestTrialIsAlone checks that a suspect gets the target with the least to lose, without
+// TestSuspectRunsAlone checks that a suspect gets the target with the least to lose, without
 // helpers, and that nothing else goes there for a while.
 func TestSuspectRunsAlone(t *testing.T) {
 	for name, j := range map[string]balance.Job{"plain": plainJob(), "short": engineJob(shortPrompt), "long": engineJob(longPrompt)} {
@@ -82,32 +82,32 @@
 	}
 }
 
-// TestOneTrialAtATime checks when the next attempt at the same request, or at another suspect,
-// gets a place.
+// TestOneSuspectAtATime checks when the next attempt at the same request, or at another suspect, is
+// placed.
 func TestOneSuspectAtATime(t *testing.T) {
 	cases := map[string]struct {
 		engines int
 		between func(f *suspectFixture)
-		other   bool // other asks for another suspect.
-		again   bool // again asks for the same attempt.
+		other   bool // other places another suspect.
+		again   bool // again places the same attempt.
 		placed  bool
 		err     error
 	}{
-		"while it runs":                      {12, func(*suspectFixture) {}, false, false, false, nil},
-		"its own attempt asks again":         {12, func(*suspectFixture) {}, false, true, true, nil},
-		"while it runs, another suspect":     {12, func(*suspectFixture) {}, true, false, true, nil},
-		"another one, where targets are few": {3, func(*suspectFixture) {}, true, false, false, nil},
-		"another one, a while later":         {3, func(f *suspectFixture) { f.clock.Advance(time.Second) }, true, false, true, nil},
-		"its target has ended":               {12, func(f *suspectFixture) { f.recordEnd(f.first, 7) }, false, false, true, nil},
-		"it was whole": {12, func(f *suspectFixture) {
+		"while it runs":                  {12, func(*suspectFixture) {}, false, false, false, nil},
+		"the same attempt asks again":    {12, func(*suspectFixture) {}, false, true, true, nil},
+		"while it runs, another suspect": {12, func(*suspectFixture) {}, true, false, true, nil},
+		"another suspect, few targets":   {3, func(*suspectFixture) {}, true, false, false, nil},
+		"another suspect, a while later": {3, func(f *suspectFixture) { f.clock.Advance(time.Second) }, true, false, true, nil},
+		"its target has ended":           {12, func(f *suspectFixture) { f.recordEnd(f.first, 7) }, false, false, true, nil},
+		"it succeeded": {12, func(f *suspectFixture) {
 			f.clock.Advance(time.Millisecond)
 			f.registry.RecordSuccess(f.first, bodySize)
 		}, false, false, true, nil},
-		"nothing was heard of it":             {12, func(f *suspectFixture) { f.clock.Advance(2 * time.Second) }, false, false, false, nil},
-		"nothing was heard of it, long after": {12, func(f *suspectFixture) { f.clock.Advance(4 * time.Second) }, false, false, true, nil},
-		"three have ended":                    {12, func(f *suspectFixture) { f.recordEnd(f.first, 7); f.recordEnd(f.first, 8) }, false, false, false, balance.ErrSuspectRefused},
-		"news of the end that was known":      {12, func(f *suspectFixture) { f.recordEnd(f.first, 1) }, false, false, false, nil},
-		"this box does not lead, none answers": {12, func(f *suspectFixture) {
+		"no outcome known":              {12, func(f *suspectFixture) { f.clock.Advance(2 * time.Second) }, false, false, false, nil},
+		"no outcome known, timed out":   {12, func(f *suspectFixture) { f.clock.Advance(4 * time.Second) }, false, false, true, nil},
+		"three targets have ended":      {12, func(f *suspectFixture) { f.recordEnd(f.first, 7); f.recordEnd(f.first, 8) }, false, false, false, balance.ErrSuspectRefused},
+		"a known end is reported again": {12, func(f *suspectFixture) { f.recordEnd(f.first, 1) }, false, false, false, nil},
+		"not the lead, and no lead answers": {12, func(f *suspectFixture) {
 			f.Lead = unusedLead{eris.New("no answer")}
 			f.SetRole(balance.Role{Boxes: 9, Reachable: 9})
 		}, false, false, false, balance.ErrFull},
@@ -136,8 +136,8 @@
 	}
 }
 
-// TestTrialWaits checks that a suspect which waits gets its place once the one before it is
-// known to have done no harm.
+// TestSuspectWaits checks that a queued suspect is placed once the run before it is known to have
+// done no harm.
 func TestSuspectWaits(t *testing.T) {
 	c := quicktest.New(t)
 	f := newSuspectFixture(12)
