--- a/internal/follow/calls.go
+++ b/internal/follow/calls.go
@@ -1,19 +1,19 @@
 package follow
 
-// Calls is how many calls to the store a follower has made for one reason, and with
-// which outcome.
+// CallCount is the number of calls to the store that a follower has made in one role and with
+// one outcome.
 type CallCount struct {
-	// Duty is what the box read for others when it called.
+	// Role is the box's role when it made the calls.
 	Role ReaderRole
-	// Failed is set for calls that were not answered, or refused.
+	// Failed is set for calls that were refused or got no answer.
 	Failed bool
 	Count  int64
 }
 
-// callKinds is one count for each duty and outcome.
+// callCounts holds one count for each role and outcome.
 type callCounts [RolePassive + 1][2]int64
 
-// count notes a call.
+// countCall counts a call.
 func (f *Follower) countCall(role ReaderRole, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -24,7 +24,7 @@
 	f.calls[role][failed]++
 }
 
-// Calls returns how many calls to the store were made, by reason and outcome.
+// CallCounts returns the number of calls to the store by role and outcome.
 func (f *Follower) CallCounts() []CallCount {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/follow/changelog.go
+++ b/internal/follow/changelog.go
@@ -7,22 +7,22 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Update is what a box that reads the store passes on to another one.
+// Update holds changes of a topic that a box passes on to another one.
 type Update struct {
-	// Records are the changes, or the whole topic if Whole is set.
+	// Records are the changes, or the whole topic if Full is set.
 	Records  []barleystep.Record
 	Full     bool
 	Revision barleystep.Revision
 }
 
-// feed is a copy of a topic that remembers when each record changed. Its zero
-// value holds nothing.
+// changeLog is a copy of a topic with the revision at which each record changed. Its zero value
+// is empty.
 type changeLog struct {
 	entries map[string]entry
 	removed map[string]barleystep.Revision
-	// floor is the revision from which on all changes are known.
+	// completeSince is the revision after which all changes are known.
 	completeSince barleystep.Revision
-	// changed is the revision of the last change.
+	// lastChange is the revision of the last change.
 	lastChange barleystep.Revision
 }
 
@@ -31,8 +31,8 @@
 	revision barleystep.Revision
 }
 
-// removalsKept bounds the removals that are remembered: some minutes of targets
-// that come and go.
+// maxRemovals bounds the removals that are remembered, which covers some minutes in which
+// targets come and go.
 const maxRemovals = 1024
 
 func (f *changeLog) reset(records []barleystep.Record, revision barleystep.Revision) {
@@ -61,7 +61,8 @@
 	}
 }
 
-// since returns what changed after the revision.
+// since returns the changes after the revision, or the whole topic if the log does not reach
+// back that far.
 func (f *changeLog) since(revision, now barleystep.Revision) Update {
 	u := Update{Full: revision < f.completeSince, Revision: now}
 	for _, key := range slices.Sorted(maps.Keys(f.entries)) {
--- a/internal/follow/configuration.go
+++ b/internal/follow/configuration.go
@@ -12,33 +12,32 @@
 	"github.com/barleystep/barleystep/internal/strict"
 )
 
-// Configuration is the configuration that a box goes by. It never goes back to
-// an older version. Its exported fields are set before use; it is safe for
-// concurrent use.
+// Configuration holds the configuration in force on this box. Its version never decreases. Its
+// exported fields are set before use; it is safe for concurrent use.
 type Configuration struct {
 	Clock  barleystep.Clock
 	Decode func(value []byte) (fleet.Configuration, error)
 	Log    *log.Logger
 
 	view      atomic.Pointer[fleet.View]
-	confirmed atomic.Int64 // proof is when the last proof was asked for, in nanoseconds after origin.
+	confirmed atomic.Int64 // confirmed is when the last confirmation was requested, in nanoseconds after origin.
 
 	mu     sync.Mutex
 	origin time.Time
-	// refused is set while the newest version cannot be used, so that nothing
-	// proves that keys are current.
+	// invalid is set while the newest version cannot be decoded, so that no confirmation proves
+	// that keys are current.
 	invalid bool
-	// refusals counts what cannot be used.
+	// refusals counts the configurations that could not be decoded.
 	refusals refusals
 }
 
-// recordName stands for the one record of the configuration.
+// recordName is the key of the configuration in refusals.
 const recordName = "configuration"
 
-// View returns the configuration in force, nil as long as there is none.
+// View returns the configuration in force, nil if there is none yet.
 func (c *Configuration) View() *fleet.View { return c.view.Load() }
 
-// Version returns the number of the configuration in force, 0 if there is none.
+// Version returns the version of the configuration in force, 0 if there is none.
 func (c *Configuration) Version() int64 {
 	if v := c.view.Load(); v != nil {
 		return v.Version()
@@ -46,9 +45,8 @@
 	return 0
 }
 
-// Age returns how long ago the box could last have missed a change: every
-// change acknowledged before that is in force. It is negative if there was no
-// proof yet.
+// Age returns the age of the last confirmation: every change acknowledged before it is in
+// force. It is negative without a confirmation.
 func (c *Configuration) Age() time.Duration {
 	c.mu.Lock()
 	origin := c.origin
@@ -73,8 +71,8 @@
 	}
 }
 
-// apply puts an encoded configuration in force unless it is older than the one
-// in force. One that cannot be read leaves the last good one in force.
+// install puts an encoded configuration in force unless it is older than the current one. If it
+// cannot be decoded, the last valid one stays in force.
 func (c *Configuration) install(value []byte) {
 	decoded, err := c.Decode(value)
 	c.mu.Lock()
@@ -82,7 +80,7 @@
 	c.invalid = err != nil
 	if err != nil {
 		if line := c.refusals.add(recordName, err, c.Clock.Now(), c.Log); line != nil {
-			line.Msg(logPrefix + "A configuration was refused. The last good one stays in force.")
+			line.Msg(logPrefix + "A configuration is invalid; the last valid one stays in force.")
 		}
 		return
 	}
@@ -93,18 +91,18 @@
 	}
 	c.view.Store(fleet.NewView(decoded))
 	c.Log.Info().Int64("version", decoded.Version).Int("routes", len(decoded.Routes)).
-		Int("accounts", len(decoded.Accounts)).Msg(logPrefix + "A configuration is in force.")
+		Int("accounts", len(decoded.Accounts)).Msg(logPrefix + "A new configuration is in force.")
 }
 
-// Reset is part of Handler.
+// Reset implements Handler.
 func (c *Configuration) Reset(records []barleystep.Record) {
 	for _, r := range records {
 		c.Apply(r)
 	}
 }
 
-// Change is part of Handler. The operator never removes the configuration, and
-// one that cannot be read proves nothing about keys.
+// Apply implements Handler. The operator never removes the configuration, so a removal leaves
+// the last one in force.
 func (c *Configuration) Apply(r barleystep.Record) {
 	if r.Removed() {
 		c.handleRemoval()
@@ -113,31 +111,31 @@
 	c.install(r.Value())
 }
 
-// errRemoved is why there is no configuration to read.
+// errRemoved is the reason that is counted when the configuration's record was removed.
 var errRemoved = strict.Errorf(strict.ReasonMissing, "the record was removed")
 
 func (c *Configuration) handleRemoval() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if line := c.refusals.add(recordName, errRemoved, c.Clock.Now(), c.Log); line != nil {
-		line.Msg(logPrefix + "The configuration was removed from the store. The last one stays in force.")
+		line.Msg(logPrefix + "The configuration was removed from the store; the last one stays in force.")
 	}
 }
 
-// Refused returns how many configurations could not be used since the start, by reason;
+// RefusalCounts returns how many configurations could not be used since the start, by reason;
 // one that is read again counts again.
 func (c *Configuration) RefusalCounts() []RefusalCount {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.refusals.byReason()
+	return c.refusals.list()
 }
 
-// Proved is part of Handler.
+// Confirmed implements Handler.
 func (c *Configuration) Confirmed(requestedAt time.Time, _ barleystep.Revision) {
 	if c.view.Load() != nil {
 		c.recordConfirmation(requestedAt)
 	}
 }
 
-// Lost is part of Handler. The age of the last proof says all that is needed.
+// Unavailable implements Handler. It does nothing, since Age covers it.
 func (c *Configuration) Unavailable(time.Time) {}
--- a/internal/follow/configuration_test.go
+++ b/internal/follow/configuration_test.go
@@ -17,7 +17,7 @@
 
 var quiet = &log.Logger{Level: log.PanicLevel}
 
-// decode reads a version as a bare number.
+// decode decodes a configuration whose value is its version number.
 func decode(value []byte) (c fleet.Configuration, err error) {
 	if err = json.Unmarshal(value, &c.Version); err != nil {
 		return c, eris.Wrap(err, "decode")
@@ -32,17 +32,17 @@
 
 func record(value string) barleystep.Record { return barleystep.NewRecord("config", []byte(value)) }
 
-// TestNeverBack checks that no source brings back an older version, and that one
-// that cannot be read leaves the last good one in force.
+// TestNoRollback checks that no source brings back an older version, and that a version that
+// cannot be decoded leaves the last valid one in force.
 func TestNoRollback(t *testing.T) {
 	cases := map[string]struct {
 		values []string
 		want   int64
 	}{
-		"rises":       {[]string{"1", "5"}, 5},
-		"older later": {[]string{"5", "3"}, 5},
-		"unreadable":  {[]string{"5", "zzz"}, 5},
-		"none":        {nil, 0},
+		"rises":            {[]string{"1", "5"}, 5},
+		"older afterwards": {[]string{"5", "3"}, 5},
+		"unreadable":       {[]string{"5", "zzz"}, 5},
+		"none":             {nil, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -56,28 +56,28 @@
 	}
 }
 
-// TestAge checks from when on keys are proved to be current.
+// TestAge checks that the age counts from the request of the newest confirmation.
 func TestAge(t *testing.T) {
 	c := quicktest.New(t)
 	conf, manual := newConfiguration()
 	conf.Confirmed(manual.Now(), 1)
-	c.Check(conf.Age() < 0, quicktest.IsTrue, quicktest.Commentf("nothing is known yet"))
+	c.Check(conf.Age() < 0, quicktest.IsTrue, quicktest.Commentf("no configuration has been read yet"))
 
 	conf.Apply(record("1"))
-	asked := manual.Now()
+	requestedAt := manual.Now()
 	manual.Advance(time.Second)
-	conf.Confirmed(asked, 1)
-	c.Check(conf.Age(), quicktest.Equals, time.Second, quicktest.Commentf("the proof counts from the question"))
+	conf.Confirmed(requestedAt, 1)
+	c.Check(conf.Age(), quicktest.Equals, time.Second, quicktest.Commentf("the age counts from the request"))
 
 	manual.Advance(time.Second)
 	conf.Confirmed(manual.Now().Add(-3*time.Second), 1)
-	c.Check(conf.Age(), quicktest.Equals, 2*time.Second, quicktest.Commentf("an older proof changes nothing"))
+	c.Check(conf.Age(), quicktest.Equals, 2*time.Second, quicktest.Commentf("an older confirmation changes nothing"))
 	conf.Confirmed(manual.Now(), 1)
 	c.Check(conf.Age(), quicktest.Equals, time.Duration(0))
 }
 
-// TestUnreadableProvesNothing checks that keys are not taken for current while
-// the newest version cannot be read.
+// TestUnreadableConfirmsNothing checks that keys are not regarded as current while the newest
+// version cannot be decoded.
 func TestUnreadableConfirmsNothing(t *testing.T) {
 	c := quicktest.New(t)
 	conf, manual := newConfiguration()
--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -1,10 +1,9 @@
-// Package follow keeps what a box believes of the configuration and of the
-// targets up to date with the platform's store, and knows how old its last
-// proof of that is.
+// Package follow keeps a box's copy of the configuration and of the targets up to date with the
+// platform's store, and tracks the age of its last confirmation that it has missed no change.
 //
-// One box reads the store for all: each call has its price. The others hear
-// through the gossip that it has missed nothing, and get changes from it or from
-// those that have them; a box that hears nothing for a while reads the store itself.
+// One box reads the store for all, because each call costs money. The other boxes learn through
+// the gossip that it has missed nothing, and fetch changes from it or from other boxes that
+// have them. A box that gets no confirmation for a while reads the store itself.
 package follow
 
 import (
@@ -19,55 +18,56 @@
 	"github.com/barleystep/barleystep/internal/clock"
 )
 
-// Handler takes what a Follower reads. Its calls come one after another.
+// Handler receives what a Follower reads. Its methods are called one at a time.
 type Handler interface {
-	// Reset replaces everything by a whole topic.
+	// Reset replaces all records by those of a whole topic.
 	Reset(records []barleystep.Record)
-	// Change applies one change.
+	// Apply applies one change.
 	Apply(record barleystep.Record)
-	// Proved is told that what is known includes all that was acknowledged before
-	// asked.
+	// Confirmed reports that the handler's state includes all changes that were acknowledged
+	// before requestedAt.
 	Confirmed(requestedAt time.Time, revision barleystep.Revision)
-	// Lost is told that the store cannot be read, with the time of the first
-	// failure in a row.
+	// Unavailable reports that the store cannot be read; since is the time of the first of the
+	// consecutive failures.
 	Unavailable(since time.Time)
 }
 
-// Peers gets updates from other boxes.
+// Peers fetches updates from other boxes.
 type Peers interface {
-	// Changes returns what changed at the box with the address after the revision.
+	// Changes fetches the changes after the revision since from the box at addr.
 	Changes(ctx context.Context, addr string, topic barleystep.Topic, since barleystep.Revision) (Update, error)
 }
 
-// Follower reads one topic for ever. Its exported fields are set before Serve.
+// Follower keeps one topic up to date. Its exported fields are set before Serve.
 type Follower struct {
 	Clock     barleystep.Clock
 	Catalogue barleystep.Catalogue
 	Topic     barleystep.Topic
 	Handler   Handler
 	Log       *log.Logger
-	// Within is how soon a change must be in force once the store has taken it; the
-	// default is 2 seconds. How long calls wait for a change, and how old the proof of
-	// other boxes may be, are parts of it.
+	// MaxDelay is how soon a change must be in force after the store has acknowledged it; the
+	// default is 2 seconds. The waits of calls and the limits on the age of confirmations are
+	// fractions of it.
 	MaxDelay time.Duration
-	// Duty returns what this box reads for others; without it the box always reads.
+	// Role returns this box's role; if nil, the box always reads.
 	Role func() ReaderRole
-	// Boxes returns how many boxes of the hall rely on the same ones; nil is one.
+	// HallBoxes returns the number of boxes of the hall that rely on the same readers; nil
+	// means one.
 	HallBoxes func() int
-	// Spread is this box's own place from 0 to 1 among those that would call the
-	// store at the same moment.
+	// Jitter is this box's offset from 0 to 1 among the boxes that would call the store at the
+	// same time.
 	Jitter float64
-	// Peers are other boxes that may have heard of a change; nil if there are none.
+	// Peers fetches changes from other boxes; nil if there are none.
 	Peers Peers
 
-	mu       sync.Mutex
-	loaded   bool
-	revision barleystep.Revision
-	changes  changeLog
-	// proved is the time before which no change was missed.
+	mu        sync.Mutex
+	loaded    bool
+	revision  barleystep.Revision
+	changeLog changeLog
+	// confirmedAt is the time before which no change was missed.
 	confirmedAt time.Time
-	pulling     bool // pulling is set while a change is read from another box.
-	relying     bool // relying is set while others read the store for this box.
+	pulling     bool // pulling is set while a change is fetched from another box.
+	relying     bool // relying is set while other boxes read the store for this one.
 
 	failingSince time.Time
 	failures     int
@@ -75,36 +75,37 @@
 }
 
 const (
-	// firstPause is the wait after a first failed call; it doubles up to
-	// longestPause. Calls are priced even when they are refused, and the first
-	// answer after an outage should not come later than this.
+	// minRetryPause is the pause after a first failed call; it doubles up to maxRetryPause.
+	// Refused calls cost money too, and the first answer after an outage must not come later
+	// than maxRetryPause.
 	minRetryPause = 50 * time.Millisecond
 	maxRetryPause = 400 * time.Millisecond
-	// changePause is the wait after an answer with changes: more of them often come
-	// soon after, and are then read by one call. It is little against the two seconds
-	// in which a change must be in force.
+	// batchDelay is the pause after an answer with changes: more changes often follow shortly
+	// and are then read by one call. It is small compared with the two seconds in which a
+	// change must be in force.
 	batchDelay = 100 * time.Millisecond
-	// relayLook is how often a box that relies on others looks at the age of their
-	// proof.
+	// ageCheckInterval is how often a box that relies on others checks the age of their
+	// confirmation.
 	ageCheckInterval = 100 * time.Millisecond
-	// pullPause is the least time between two updates from other boxes, so that
-	// changes in quick succession come together.
+	// minPullInterval is the minimum interval between two updates from other boxes, so that
+	// changes in quick succession are fetched together.
 	minPullInterval = 150 * time.Millisecond
 	// pullTimeout bounds the call to another box.
 	pullTimeout = time.Second
-	// defaultWithin is Within where none is set.
+	// defaultMaxDelay is MaxDelay if none is set.
 	defaultMaxDelay = 2 * time.Second
 )
 
 const logPrefix = "follow: "
 
-// errBehind means that the whole topic was read as it was before what this box knows.
-var errStaleSnapshot = eris.New("follow: the store answers with less than was read before")
+// errStaleSnapshot means that the store returned the whole topic at a revision older than one
+// read before.
+var errStaleSnapshot = eris.New("follow: the store returned a revision older than one read before")
 
-// String names the follower in the supervisor's lines.
+// String returns the follower's name in the supervisor's log lines.
 func (f *Follower) String() string { return "follower of " + f.Topic.String() }
 
-// Serve reads until ctx ends.
+// Serve follows the topic until ctx ends.
 func (f *Follower) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if f.reliesOnOthers() {
@@ -135,55 +136,54 @@
 	return ctx.Err()
 }
 
-// relies reports whether this box leaves the reading to others, and logs when
-// that changes. A box that starts reads at once: callers who waited for it to come back
-// are refused meanwhile, which costs them a try; 300 boxes make 600 calls of it.
+// reliesOnOthers reports whether this box leaves the reading to other boxes, and logs when that
+// changes. A box that starts reads at once: until it has, it refuses callers who waited for its
+// restart, which costs them a try. 300 boxes that start make 600 calls for this.
 func (f *Follower) reliesOnOthers() bool {
 	role := f.role()
 	age := f.Age()
-	_, known := f.position()
-	relies := role != RoleReader && known && age >= 0 && age < f.maxAge(role)
-	if relies != f.relying {
-		f.relying = relies
-		f.Log.Info().Str("topic", f.Topic.String()).Str("duty", role.String()).Bool("relies_on_others", relies).
-			Dur("age", age).Msg(logPrefix + "The source of changes is another one now.")
+	_, loaded := f.position()
+	reliesOnOthers := role != RoleReader && loaded && age >= 0 && age < f.maxAge(role)
+	if reliesOnOthers != f.relying {
+		f.relying = reliesOnOthers
+		f.Log.Info().Str("topic", f.Topic.String()).Str("duty", role.String()).Bool("relies_on_others", reliesOnOthers).
+			Dur("age", age).Msg(logPrefix + "The source of changes has switched.")
 	}
-	return relies
+	return reliesOnOthers
 }
 
-// Age returns how long ago a change could last have been missed, negative
-// without any proof.
+// Age returns the age of the last confirmation that no change was missed, negative without one.
 func (f *Follower) Age() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.confirmationAge()
+	return f.age()
 }
 
-func (f *Follower) confirmationAge() time.Duration {
+func (f *Follower) age() time.Duration {
 	if f.confirmedAt.IsZero() {
 		return -1
 	}
 	return f.Clock.Now().Sub(f.confirmedAt)
 }
 
-// State returns the revision of the last change, zero if nothing is known, and
-// the age of the proof.
+// State returns the revision of the last change, zero if nothing has been read, and the age of
+// the confirmation.
 func (f *Follower) State() (changed barleystep.Revision, age time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.changes.lastChange, f.confirmationAge()
+	return f.changeLog.lastChange, f.age()
 }
 
-// Since returns what changed after the revision; ok is false if nothing is
-// known.
+// ChangesSince returns the changes after the revision; ok is false if the topic has not been
+// read.
 func (f *Follower) ChangesSince(revision barleystep.Revision) (u Update, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.changes.since(revision, f.revision), f.loaded
+	return f.changeLog.since(revision, f.revision), f.loaded
 }
 
-// Vouch notes that a box whose last change has the given revision had missed
-// none before at. It is ignored unless this box has that change.
+// Confirm records that a box whose last change has the revision changed had missed none before
+// at. It is ignored unless this box has that change.
 func (f *Follower) Confirm(at time.Time, changed barleystep.Revision) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -192,8 +192,8 @@
 	}
 }
 
-// Offer tells of a box whose last change has the given revision. If that is news
-// here, it is read, from the store or from that box.
+// Offer reports that the box at addr has read changes up to the revision changed. If this box
+// has not, it fetches them from that box.
 func (f *Follower) Offer(ctx context.Context, addr string, changed barleystep.Revision) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -213,14 +213,14 @@
 func (f *Follower) pull(ctx context.Context, addr string) {
 	ctx, cancel := clock.WithDeadline(ctx, f.Clock, f.Clock.Now().Add(pullTimeout))
 	defer cancel()
-	since, known := f.position()
-	if !known {
+	since, loaded := f.position()
+	if !loaded {
 		since = 0
 	}
 	u, err := f.Peers.Changes(ctx, addr, f.Topic, since)
 	if err != nil {
 		f.Log.Warn().Str("topic", f.Topic.String()).Str("addr", addr).Uint64("since", uint64(since)).Err(err).
-			Msg(logPrefix + "A change could not be had from another box.")
+			Msg(logPrefix + "Cannot fetch changes from another box.")
 		return
 	}
 	f.mu.Lock()
@@ -228,18 +228,18 @@
 	f.applyUpdate(u)
 }
 
-func (f *Follower) position() (revision barleystep.Revision, known bool) {
+func (f *Follower) position() (revision barleystep.Revision, loaded bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.revision, f.loaded
 }
 
-// step makes one call to the store and applies its answer; changed reports whether
-// it held changes.
+// step makes one call to the store and applies its answer; changed reports whether the answer
+// held changes.
 func (f *Follower) step(ctx context.Context, requestedAt time.Time, wait time.Duration) (changed bool, err error) {
-	since, known := f.position()
+	since, loaded := f.position()
 	var b barleystep.Batch
-	if known {
+	if loaded {
 		b, err = f.Catalogue.Watch(ctx, f.Topic, since, wait)
 	} else {
 		b, err = f.Catalogue.Fetch(ctx, f.Topic)
@@ -249,31 +249,32 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.applyUpdate(Update{Records: b.Records(), Full: !known, Revision: b.Revision()}) {
+	if f.applyUpdate(Update{Records: b.Records(), Full: !loaded, Revision: b.Revision()}) {
 		f.recordConfirmation(requestedAt)
 	} else if !f.loaded {
 		return false, errStaleSnapshot
 	}
-	return known && len(b.Records()) > 0, nil
+	return loaded && len(b.Records()) > 0, nil
 }
 
-// take applies an update, unless it is older than what was read before, even if the topic is
-// to be read anew: another box may tell late of a target's lifetime that is over.
+// applyUpdate applies an update and reports whether it did. It ignores an update older than
+// what was read before, even after invalidate: another box may send a delayed record of a
+// target's earlier incarnation.
 func (f *Follower) applyUpdate(u Update) bool {
 	if u.Revision < f.revision {
 		return false
 	}
 	if !f.loaded && !u.Full {
-		return false // The topic is to be read anew, which has not happened yet.
+		return false // The topic has to be read again first.
 	}
 	if u.Full {
 		f.Handler.Reset(u.Records)
-		f.changes.reset(u.Records, u.Revision)
+		f.changeLog.reset(u.Records, u.Revision)
 	} else {
 		for _, r := range u.Records {
 			f.Handler.Apply(r)
 		}
-		f.changes.apply(u.Records, u.Revision)
+		f.changeLog.apply(u.Records, u.Revision)
 	}
 	f.loaded, f.revision = true, u.Revision
 	return true
@@ -286,20 +287,20 @@
 	f.Handler.Confirmed(at, f.revision)
 }
 
-// forget has the topic read anew.
+// invalidate causes the whole topic to be read again.
 func (f *Follower) invalidate() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.loaded = false
 	f.Log.Warn().Str("topic", f.Topic.String()).Uint64("revision", uint64(f.revision)).
-		Msg(logPrefix + "The store has dropped its history. The topic is read anew.")
+		Msg(logPrefix + "The store has dropped its history; reading the whole topic again.")
 }
 
 func (f *Follower) handleFailure(requestedAt time.Time, err error) {
 	f.failures++
 	if f.failingSince.IsZero() {
 		f.failingSince = requestedAt
-		f.Log.Warn().Str("topic", f.Topic.String()).Err(err).Msg(logPrefix + "The store does not answer.")
+		f.Log.Warn().Str("topic", f.Topic.String()).Err(err).Msg(logPrefix + "Cannot read the store.")
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -311,7 +312,7 @@
 		return
 	}
 	f.Log.Info().Str("topic", f.Topic.String()).Int("failed_calls", f.failures).
-		Dur("away", f.Clock.Now().Sub(f.failingSince)).Msg(logPrefix + "The store answers again.")
+		Dur("away", f.Clock.Now().Sub(f.failingSince)).Msg(logPrefix + "The store can be read again.")
 	f.failingSince = time.Time{}
 	f.failures = 0
 }
--- a/internal/follow/follower_test.go
+++ b/internal/follow/follower_test.go
@@ -12,11 +12,11 @@
 	"github.com/barleystep/barleystep/internal/follow"
 )
 
-// catalogue answers calls from a list and ends the test's context after it.
+// catalogue returns its replies in order, then ends the test's context.
 type catalogue struct {
-	replies []reply
-	asked   []barleystep.Revision
-	end     context.CancelFunc
+	replies  []reply
+	requests []barleystep.Revision
+	end      context.CancelFunc
 }
 
 type reply struct {
@@ -35,12 +35,12 @@
 }
 
 func (s *catalogue) Fetch(context.Context, barleystep.Topic) (barleystep.Batch, error) {
-	s.asked = append(s.asked, 0)
+	s.requests = append(s.requests, 0)
 	return s.next()
 }
 
 func (s *catalogue) Watch(_ context.Context, _ barleystep.Topic, since barleystep.Revision, _ time.Duration) (barleystep.Batch, error) {
-	s.asked = append(s.asked, since)
+	s.requests = append(s.requests, since)
 	return s.next()
 }
 
@@ -48,7 +48,7 @@
 
 func (*catalogue) Withdraw(context.Context, barleystep.Topic, string) error { return nil }
 
-// instant is a clock whose timers fire at once.
+// instantClock is a clock whose timers fire at once.
 type instantClock struct{ clock.Manual }
 
 func (i *instantClock) NewTimer(d time.Duration) barleystep.Timer {
@@ -67,15 +67,15 @@
 	failed := reply{err: barleystep.ErrUnavailable}
 	forgot := reply{err: barleystep.ErrHistoryLost}
 	cases := map[string]struct {
-		replies []reply
-		asked   []barleystep.Revision
-		version int64
+		replies  []reply
+		requests []barleystep.Revision
+		version  int64
 	}{
-		"follows changes":         {[]reply{batch(3, "1"), batch(5, "2"), batch(5)}, []barleystep.Revision{0, 3, 5, 5}, 2},
-		"reads anew after 410":    {[]reply{batch(3, "1"), forgot, batch(9, "4")}, []barleystep.Revision{0, 3, 0, 9}, 4},
-		"goes on after a fault":   {[]reply{failed, batch(3, "1"), failed, failed, batch(4, "2")}, []barleystep.Revision{0, 0, 3, 3, 3, 4}, 2},
-		"an old whole is refused": {[]reply{batch(5, "2"), forgot, batch(4, "1"), batch(6, "3")}, []barleystep.Revision{0, 5, 0, 0, 6}, 3},
-		"a stale page goes over":  {[]reply{batch(5, "2"), batch(4, "1")}, []barleystep.Revision{0, 5, 5}, 2},
+		"applies changes":            {[]reply{batch(3, "1"), batch(5, "2"), batch(5)}, []barleystep.Revision{0, 3, 5, 5}, 2},
+		"rereads after 410":          {[]reply{batch(3, "1"), forgot, batch(9, "4")}, []barleystep.Revision{0, 3, 0, 9}, 4},
+		"retries after a failure":    {[]reply{failed, batch(3, "1"), failed, failed, batch(4, "2")}, []barleystep.Revision{0, 0, 3, 3, 3, 4}, 2},
+		"ignores an older full read": {[]reply{batch(5, "2"), forgot, batch(4, "1"), batch(6, "3")}, []barleystep.Revision{0, 5, 0, 0, 6}, 3},
+		"ignores a stale batch":      {[]reply{batch(5, "2"), batch(4, "1")}, []barleystep.Revision{0, 5, 5}, 2},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -86,7 +86,7 @@
 			conf := &follow.Configuration{Clock: &clock.Manual{}, Decode: decode, Log: quiet}
 			f := &follow.Follower{Clock: &instantClock{}, Catalogue: source, Handler: conf, Log: quiet}
 			c.Check(f.Serve(ctx), quicktest.Equals, context.Canceled)
-			c.Check(source.asked, quicktest.DeepEquals, tc.asked)
+			c.Check(source.requests, quicktest.DeepEquals, tc.requests)
 			c.Check(conf.Version(), quicktest.Equals, tc.version)
 		})
 	}
--- a/internal/follow/incarnation_internal_test.go
+++ b/internal/follow/incarnation_internal_test.go
@@ -15,7 +15,7 @@
 	"github.com/barleystep/barleystep/internal/fleet"
 )
 
-// decodeBorn reads a target whose record is the time of its start.
+// decodeBorn decodes a target whose value is its start time.
 func decodeBorn(r barleystep.Record) (fleet.Target, error) {
 	born, err := strconv.ParseInt(string(r.Value()), 10, 64)
 	return fleet.Target{ID: barleystep.TargetID(r.Key()), StartMS: born}, eris.Wrap(err, "decode")
@@ -31,7 +31,7 @@
 	return &Follower{Clock: &clock.Manual{}, Handler: targets, Log: quiet}, targets
 }
 
-// bornNow returns when the only target started, -1 without one.
+// currentBorn returns the start time of the only target, -1 without one.
 func currentBorn(t *Targets) int64 {
 	if list := t.List(); len(list) == 1 {
 		return list[0].StartMS
@@ -39,8 +39,8 @@
 	return -1
 }
 
-// TestLateLifetime checks that what is relayed late of an old lifetime does not take the
-// place of a newer one, whose clock may have been set back.
+// TestLateIncarnation checks that a delayed update about an old incarnation does not replace a
+// newer one, even if the target's clock was set back.
 func TestLateIncarnation(t *testing.T) {
 	const (
 		oldBorn = 900
@@ -60,14 +60,14 @@
 		steps steps
 		want  int64
 	}{
-		"in order":                         {steps{whole(3, oldBorn), change(5, bornRecord(newBorn))}, newBorn},
-		"a late change":                    {steps{whole(5, newBorn), change(3, bornRecord(oldBorn))}, newBorn},
-		"a late whole topic":               {steps{whole(5, newBorn), whole(3, oldBorn)}, newBorn},
-		"late, after history was lost":     {steps{whole(5, newBorn), lost, whole(3, oldBorn)}, newBorn},
-		"a late change after that":         {steps{whole(5, newBorn), lost, change(6, bornRecord(oldBorn))}, newBorn},
-		"a late removal":                   {steps{whole(5, newBorn), change(4, barleystep.NewRemoval("i"))}, newBorn},
-		"gone between them":                {steps{whole(3, oldBorn), change(4, barleystep.NewRemoval("i")), change(5, bornRecord(newBorn))}, newBorn},
-		"the old one late, the new unread": {steps{whole(4, oldBorn), whole(3, oldBorn), change(5, bornRecord(newBorn))}, newBorn},
+		"in order":                        {steps{whole(3, oldBorn), change(5, bornRecord(newBorn))}, newBorn},
+		"a delayed change":                {steps{whole(5, newBorn), change(3, bornRecord(oldBorn))}, newBorn},
+		"a delayed full update":           {steps{whole(5, newBorn), whole(3, oldBorn)}, newBorn},
+		"delayed, after history was lost": {steps{whole(5, newBorn), lost, whole(3, oldBorn)}, newBorn},
+		"a delayed change after that":     {steps{whole(5, newBorn), lost, change(6, bornRecord(oldBorn))}, newBorn},
+		"a delayed removal":               {steps{whole(5, newBorn), change(4, barleystep.NewRemoval("i"))}, newBorn},
+		"removed in between":              {steps{whole(3, oldBorn), change(4, barleystep.NewRemoval("i")), change(5, bornRecord(newBorn))}, newBorn},
+		"old one delayed, new one unread": {steps{whole(4, oldBorn), whole(3, oldBorn), change(5, bornRecord(newBorn))}, newBorn},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -80,11 +80,12 @@
 	}
 }
 
-// TestLifetimesInOrder checks, over drawn histories of a store and any order in which parts of
-// them come from it and from other boxes, that a box never goes back to an earlier lifetime.
+// TestIncarnationsInOrder checks, with random histories of a store whose parts arrive in any
+// order from the store and from other boxes, that a box never returns to an earlier
+// incarnation.
 func TestIncarnationsInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		// The target's entry at each revision is the start of its lifetime then.
+		// Each revision holds the start time of the target's incarnation.
 		births := rapid.SliceOfN(rapid.Int64Range(1, 1000), 2, 12).Draw(t, "births")
 		slices.Sort(births)
 		births = slices.Compact(births)
@@ -104,7 +105,7 @@
 			f.applyUpdate(u)
 			seen := slices.Index(births, currentBorn(targets))
 			if seen < newest {
-				t.Fatalf("lifetime %d was taken after lifetime %d", seen, newest)
+				t.Fatalf("incarnation %d was applied after incarnation %d", seen, newest)
 			}
 			newest = seen
 		}
--- a/internal/follow/peers_test.go
+++ b/internal/follow/peers_test.go
@@ -13,7 +13,7 @@
 	"github.com/barleystep/barleystep/internal/follow"
 )
 
-// timed notes when the store was asked.
+// timedCatalogue records when the store was called.
 type timedCatalogue struct {
 	catalogue
 	clock *instantClock
@@ -36,17 +36,17 @@
 	return barleystep.NewBatch(records, revision)
 }
 
-// TestRelies checks when a box that does not read for others asks the store: not
-// before the last proof is too old.
+// TestReadTimingByRole checks when a box in each role calls the store: boxes that do not read
+// for others call it only once the last confirmation is too old.
 func TestReadTimingByRole(t *testing.T) {
 	cases := map[string]struct {
-		duty  follow.ReaderRole
+		role  follow.ReaderRole
 		least time.Duration
 		most  time.Duration
 	}{
-		"reads for others": {follow.RoleReader, 0, 0},
-		"stands in":        {follow.RoleStandby, 1100 * time.Millisecond, 1300 * time.Millisecond},
-		"relies on others": {follow.RolePassive, 1300 * time.Millisecond, 1600 * time.Millisecond},
+		"reader role":  {follow.RoleReader, 0, 0},
+		"standby role": {follow.RoleStandby, 1100 * time.Millisecond, 1300 * time.Millisecond},
+		"passive role": {follow.RolePassive, 1300 * time.Millisecond, 1600 * time.Millisecond},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -61,16 +61,16 @@
 			f := &follow.Follower{
 				Clock: clk, Catalogue: source, Log: quiet,
 				Handler: &follow.Configuration{Clock: clk, Decode: decode, Log: quiet},
-				Role:    func() follow.ReaderRole { return tc.duty },
+				Role:    func() follow.ReaderRole { return tc.role },
 			}
 			c.Check(f.Serve(ctx), quicktest.Equals, context.Canceled)
 			passed := source.at[1] - source.at[0]
-			c.Check(passed >= tc.least && passed <= tc.most, quicktest.IsTrue, quicktest.Commentf("asked again after %s", passed))
+			c.Check(passed >= tc.least && passed <= tc.most, quicktest.IsTrue, quicktest.Commentf("called again after %s", passed))
 		})
 	}
 }
 
-// read returns a follower that has read one batch, with its configuration.
+// newLoadedFollower returns a follower that has read one batch, with its configuration.
 func newLoadedFollower(t *testing.T, manual *clock.Manual, peers follow.Peers, records ...barleystep.Record) (*follow.Follower, *follow.Configuration) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -81,19 +81,19 @@
 	return f, conf
 }
 
-// TestVouch checks which proofs of other boxes count.
+// TestConfirm checks which confirmations of other boxes are accepted.
 func TestConfirm(t *testing.T) {
 	cases := map[string]struct {
 		age     time.Duration
 		changed barleystep.Revision
 		want    time.Duration
 	}{
-		"younger":               {0, 3, 0},
-		"of an older change":    {0, 2, 0},
-		"older than the own":    {3 * time.Second, 3, 2 * time.Second},
-		"of a change not read":  {0, 4, 2 * time.Second},
-		"of a box that is new":  {0, 0, 2 * time.Second},
-		"younger but not fresh": {time.Second, 3, time.Second},
+		"younger":                 {0, 3, 0},
+		"with an older change":    {0, 2, 0},
+		"older than its own":      {3 * time.Second, 3, 2 * time.Second},
+		"with a change not read":  {0, 4, 2 * time.Second},
+		"of a new box":            {0, 0, 2 * time.Second},
+		"younger but not current": {time.Second, 3, time.Second},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -107,44 +107,44 @@
 	}
 }
 
-// peers answers with one update and tells that it was asked.
+// fakePeers returns one update and reports each request.
 type fakePeers struct {
-	update follow.Update
-	asked  chan barleystep.Revision
+	update   follow.Update
+	requests chan barleystep.Revision
 }
 
 func (p *fakePeers) Changes(_ context.Context, _ string, _ barleystep.Topic, since barleystep.Revision) (follow.Update, error) {
-	p.asked <- since
+	p.requests <- since
 	return p.update, nil
 }
 
-// TestOffer checks that a change at another box is read there, and that what is
-// older than the own is not taken.
+// TestOffer checks that a change at another box is fetched from it, and that an update older
+// than the own state is ignored.
 func TestOffer(t *testing.T) {
 	newer := []barleystep.Record{record("9")}
 	cases := map[string]struct {
 		update follow.Update
 		want   int64
 	}{
-		"a change":              {follow.Update{Records: newer, Revision: 5}, 9},
-		"the whole topic":       {follow.Update{Records: newer, Revision: 5, Full: true}, 9},
-		"older than it claimed": {follow.Update{Records: newer, Revision: 2}, 1},
+		"a change":           {follow.Update{Records: newer, Revision: 5}, 9},
+		"the whole topic":    {follow.Update{Records: newer, Revision: 5, Full: true}, 9},
+		"older than offered": {follow.Update{Records: newer, Revision: 2}, 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			p := &fakePeers{update: tc.update, asked: make(chan barleystep.Revision, 1)}
+			p := &fakePeers{update: tc.update, requests: make(chan barleystep.Revision, 1)}
 			manual := clock.NewManual(time.Unix(1000, 0))
 			f, conf := newLoadedFollower(t, manual, p, record("1"))
-			f.Offer(context.Background(), "box", 3) // It is no news.
+			f.Offer(context.Background(), "box", 3) // Not newer than the own state.
 			f.Offer(context.Background(), "box", 5)
-			c.Assert(<-p.asked, quicktest.Equals, barleystep.Revision(3))
-			for again := false; !again; { // It asks again once the update was taken.
+			c.Assert(<-p.requests, quicktest.Equals, barleystep.Revision(3))
+			for again := false; !again; { // It requests again once the update was applied.
 				manual.Advance(time.Second)
 				f.Offer(context.Background(), "box", 9)
 				runtime.Gosched()
 				select {
-				case <-p.asked:
+				case <-p.requests:
 					again = true
 				default:
 				}
@@ -154,7 +154,7 @@
 	}
 }
 
-// TestSince checks what a box passes on.
+// TestChangesSince checks what a box passes on to others.
 func TestChangesSince(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -174,11 +174,11 @@
 		whole bool
 		keys  []string
 	}{
-		"nothing new":        {7, false, nil},
+		"no changes":         {7, false, nil},
 		"the last change":    {5, false, []string{"c"}},
 		"both changes":       {3, false, []string{"c", "-a"}},
-		"before all history": {2, true, []string{"b", "c"}},
-		"a box that is new":  {0, true, []string{"b", "c"}},
+		"before the history": {2, true, []string{"b", "c"}},
+		"a new box":          {0, true, []string{"b", "c"}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -200,8 +200,8 @@
 	}
 }
 
-// TestTogether checks that a box waits a moment after a change, so that those that
-// come soon after it take one call.
+// TestBatchDelay checks that a box pauses after a change, so that changes that follow shortly
+// are read by one call.
 func TestBatchDelay(t *testing.T) {
 	c := quicktest.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -222,8 +222,7 @@
 	c.Check(waits, quicktest.DeepEquals, []time.Duration{0, 100 * time.Millisecond, 0, 0})
 }
 
-// TestCalls checks that calls are counted by what the box reads for others and by their
-// outcome.
+// TestCallCounts checks that calls are counted by role and outcome.
 func TestCallCounts(t *testing.T) {
 	c := quicktest.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -240,7 +239,7 @@
 	for _, n := range f.CallCounts() {
 		got[n] = true
 	}
-	// The fourth call is the one with which the test ends.
+	// The fourth call is the one that ends the test.
 	c.Check(got[follow.CallCount{Role: follow.RoleStandby, Count: 2}], quicktest.IsTrue)
 	c.Check(got[follow.CallCount{Role: follow.RoleStandby, Failed: true, Count: 2}], quicktest.IsTrue)
 	c.Check(got[follow.CallCount{Role: follow.RoleReader}], quicktest.IsTrue)
--- a/internal/follow/refusals.go
+++ b/internal/follow/refusals.go
@@ -9,33 +9,33 @@
 )
 
 const (
-	// refusalLines is the most lines about refused records in refusalWindow: whoever
-	// writes such records writes as many as he likes, and the lines share their room
-	// with those about requests.
+	// maxRefusalLines bounds the log lines about refused records per refusalWindow: a faulty
+	// writer may write any number of invalid records, and their lines compete with those about
+	// requests.
 	maxRefusalLines = 20
 	refusalWindow   = 10 * time.Second
 )
 
-// refusal is why a record is refused now.
+// refusal is the reason why a record is currently refused.
 type refusal struct {
 	text string
-	// told is set if there was a line about it.
+	// logged is set if a log line reported it.
 	logged bool
 }
 
-// refusals holds the records of a topic that are refused, and counts how often that
-// was. Its zero value holds none.
+// refusals holds the records of a topic that are currently refused, and counts refusals by
+// reason. Its zero value is empty.
 type refusals struct {
 	current map[string]refusal
 	counts  [len(strict.Reasons)]int64
 
-	window   time.Time // window is when the lines began to be counted.
+	window   time.Time // window is the start of the current log window.
 	lines    int
 	unlogged int
 }
 
-// add notes that a record is refused, and returns the line to be written about it, nil
-// if its reason is the same as before or there were too many lines.
+// add records that a record is refused. It returns the log line to write about it, or nil if
+// the reason is unchanged or maxRefusalLines is reached.
 func (r *refusals) add(key string, err error, now time.Time, l *log.Logger) *log.Entry {
 	flaw := strict.ReasonOf(err)
 	r.counts[flaw]++
@@ -67,22 +67,22 @@
 	return true
 }
 
-// drop notes that a record is refused no longer. It reports whether it was refused
-// without a line, so that its return needs none.
+// drop records that a record is no longer refused. It reports whether the refusal was not
+// logged, in which case the record's return need not be logged either.
 func (r *refusals) drop(key string) (silent bool) {
 	old, found := r.current[key]
 	delete(r.current, key)
 	return found && !old.logged
 }
 
-// Refused is how many records were refused for a reason.
+// RefusalCount is the number of records that were refused for a reason.
 type RefusalCount struct {
 	Flaw  strict.Reason
 	Count int64
 }
 
 // list returns the counts by reason.
-func (r *refusals) byReason() []RefusalCount {
+func (r *refusals) list() []RefusalCount {
 	list := make([]RefusalCount, 0, len(r.counts))
 	for flaw, n := range r.counts {
 		list = append(list, RefusalCount{Flaw: strict.Reason(flaw), Count: n})
--- a/internal/follow/refusals_test.go
+++ b/internal/follow/refusals_test.go
@@ -17,20 +17,20 @@
 	"github.com/barleystep/barleystep/platform"
 )
 
-// noSlots and noState are two foreign entries.
+// noSlots and noState are two invalid values.
 var (
 	noSlots = strings.Replace(validValue, `"slots":16,`, ``, 1)
 	noState = strings.Replace(validValue, `"ready"`, `"up"`, 1)
 )
 
-// refusedLine and announcedLine are the lines whose number is bounded.
+// refusedLine and announcedLine are the log lines whose number is limited.
 const (
-	refusedLine   = "A record names no target."
+	refusedLine   = "A record is not a valid target."
 	announcedLine = "A target is announced."
 )
 
-// TestRefusalLines checks that there is one line a change, and that no writer fills the
-// log, while each refusal is counted.
+// TestRefusalLines checks that each change logs one line and no writer can fill the log, while
+// each refusal is counted.
 func TestRefusalLines(t *testing.T) {
 	const writes = 100
 	alternate := func(values ...string) func(i int) (key, value string) {
@@ -42,10 +42,10 @@
 		countMissing, count int64
 		unlogged            string
 	}{
-		"once and for all":  {alternate(noSlots), 1, 0, writes, writes, `"unlogged":0`},
-		"two reasons":       {alternate(noSlots, noState), 20, 0, writes / 2, writes, `"unlogged":80`},
-		"own and another's": {alternate(noSlots, validValue), 20, 20, writes / 2, writes / 2, `"unlogged":30`},
-		"many targets":      {func(i int) (key, value string) { return fmt.Sprint(i), noSlots }, 20, 0, writes, writes, `"unlogged":80`},
+		"same value repeated":       {alternate(noSlots), 1, 0, writes, writes, `"unlogged":0`},
+		"two reasons":               {alternate(noSlots, noState), 20, 0, writes / 2, writes, `"unlogged":80`},
+		"valid and invalid in turn": {alternate(noSlots, validValue), 20, 20, writes / 2, writes / 2, `"unlogged":30`},
+		"many targets":              {func(i int) (key, value string) { return fmt.Sprint(i), noSlots }, 20, 0, writes, writes, `"unlogged":80`},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -88,18 +88,19 @@
 	return n
 }
 
-// TestForeign checks that refused records are forgotten once they go or are mended.
+// TestInvalidRecords checks that invalid records no longer count once they are removed or
+// corrected.
 func TestInvalidRecords(t *testing.T) {
 	bad := barleystep.NewRecord("a", []byte(noSlots))
 	cases := map[string]struct {
 		then func(*follow.Targets)
 		want int
 	}{
-		"stays":                   {func(*follow.Targets) {}, 1},
-		"stays in a full reading": {func(s *follow.Targets) { s.Reset([]barleystep.Record{bad}) }, 1},
-		"goes":                    {func(s *follow.Targets) { s.Apply(barleystep.NewRemoval("a")) }, 0},
-		"goes in a full reading":  {func(s *follow.Targets) { s.Reset(nil) }, 0},
-		"is mended":               {func(s *follow.Targets) { s.Apply(barleystep.NewRecord("a", []byte(validValue))) }, 0},
+		"stays":                  {func(*follow.Targets) {}, 1},
+		"stays in a full read":   {func(s *follow.Targets) { s.Reset([]barleystep.Record{bad}) }, 1},
+		"goes":                   {func(s *follow.Targets) { s.Apply(barleystep.NewRemoval("a")) }, 0},
+		"removed by a full read": {func(s *follow.Targets) { s.Reset(nil) }, 0},
+		"is corrected":           {func(s *follow.Targets) { s.Apply(barleystep.NewRecord("a", []byte(validValue))) }, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -111,8 +112,8 @@
 	}
 }
 
-// TestServiceChanges checks that an entry that names another service names no target of
-// the one before.
+// TestServiceChanges checks that a record that changes to another service removes the target
+// from the former one.
 func TestServiceChanges(t *testing.T) {
 	s := &follow.Targets{Clock: clock.NewManual(time.Unix(1000, 0)), Decode: platform.DecodeTarget, Log: quiet}
 	s.Apply(barleystep.NewRecord("a", []byte(validValue)))
@@ -122,8 +123,8 @@
 	}
 }
 
-// TestConfigurationRefusalLines checks the same for the configuration, which nobody
-// removes either.
+// TestConfigurationRefusalLines checks the limit of log lines and the counts for the
+// configuration, including its removal.
 func TestConfigurationRefusalLines(t *testing.T) {
 	const writes = 100
 	record := func(value string) barleystep.Record { return barleystep.NewRecord("config", []byte(value)) }
@@ -132,9 +133,9 @@
 		lines int
 		count int64
 	}{
-		"once and for all": {func(int) barleystep.Record { return record("{") }, 1, writes},
-		"two reasons":      {func(i int) barleystep.Record { return record([]string{"{", "[]"}[i%2]) }, 20, writes},
-		"removed":          {func(int) barleystep.Record { return barleystep.NewRemoval("config") }, 1, writes},
+		"same value repeated": {func(int) barleystep.Record { return record("{") }, 1, writes},
+		"two reasons":         {func(i int) barleystep.Record { return record([]string{"{", "[]"}[i%2]) }, 20, writes},
+		"removed":             {func(int) barleystep.Record { return barleystep.NewRemoval("config") }, 1, writes},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/follow/role.go
+++ b/internal/follow/role.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Duty is what a box reads of the store for others.
+// Role is a box's role in reading the store for other boxes.
 type ReaderRole uint8
 
-// The duties.
+// The roles.
 const (
-	// DutyRead is that of the one box that reads for all.
+	// RoleReader is the role of the one box that reads for all.
 	RoleReader ReaderRole = iota
-	// DutyStandIn is that of boxes which tell others what they hear: they read as
-	// soon as the proof that they pass on is late.
+	// RoleStandby is the role of boxes that pass state on to others: they read as soon as the
+	// confirmation that they pass on is late.
 	RoleStandby
-	// DutyRely is that of all others.
+	// RolePassive is the role of all other boxes.
 	RolePassive
 )
 
-// String returns the duty's name for logs.
+// String returns the role's name in logs and metrics.
 func (d ReaderRole) String() string { return [...]string{"read", "stand in", "rely"}[d] }
 
 func (f *Follower) role() ReaderRole {
@@ -34,23 +34,23 @@
 }
 
 const (
-	// waitPart is the part of Within that one call may wait for a change. Each
-	// answer proves that none was missed until it was asked for, so that the proof is
-	// up to twice as old; with the time that gossip takes, and the time until another
-	// box reads in place of one that was lost, it stays below the limits here.
+	// waitFraction is the fraction of MaxDelay that one call may wait for a change. Each answer
+	// confirms only that no change was missed before the request, so a confirmation is up to
+	// twice as old. With the delay of the gossip, and the time until another box replaces a
+	// failed reader, its age stays below the limits here.
 	waitFraction = 0.15
-	// standInPart and relyPart are the parts of Within at which boxes read themselves
-	// since the others' proof is that old; relySpread parts those of one hall, so that
-	// few do where the first can tell the others. Their sum leaves some time to read.
+	// standbyFraction and passiveFraction are the confirmation ages, as fractions of MaxDelay,
+	// at which boxes read the store themselves. passiveJitter spreads the passive boxes of a
+	// hall, so that few of them call where the first can inform the others. passiveFraction and
+	// passiveJitter together leave some time to read.
 	standbyFraction = 0.6
 	passiveFraction = 0.7
 	passiveJitter   = 0.15
-	// relyGap is the least time between the calls that the boxes of a hall make
-	// together while nobody can read for them: an outage is to be noticed to be over
-	// by those that read for others, and the rest only looks whether it alone is
-	// served.
+	// hallCallInterval is the minimum interval between the calls that the passive boxes of a
+	// hall make together while no box can read for them. The readers detect the end of an
+	// outage; passive boxes only check whether the store serves them alone.
 	hallCallInterval = 400 * time.Millisecond
-	// relyPause is the least pause of one such box.
+	// minPassivePause is the minimum pause between the calls of one such box, before jitter.
 	minPassivePause = 2400 * time.Millisecond
 )
 
@@ -61,13 +61,13 @@
 	return f.MaxDelay
 }
 
-// part returns a part of Within.
+// fraction returns the fraction p of MaxDelay.
 func (f *Follower) fraction(p float64) time.Duration {
 	return time.Duration(p * float64(f.maxDelay()))
 }
 
-// wait returns how long a call may wait for a change: not at all where the proof is
-// old, since others wait for it.
+// callWait returns how long a call may wait for a change: zero if the confirmation is old,
+// since other boxes wait for a new one.
 func (f *Follower) callWait() time.Duration {
 	if age := f.Age(); age < 0 || age > f.fraction(2*waitFraction) {
 		return 0
@@ -75,7 +75,7 @@
 	return f.fraction(waitFraction)
 }
 
-// limit returns how old the others' proof may be before this box reads itself.
+// maxAge returns the age of the confirmation at which a box in the role reads the store itself.
 func (f *Follower) maxAge(role ReaderRole) time.Duration {
 	if role == RoleStandby {
 		return f.fraction(standbyFraction)
@@ -83,7 +83,7 @@
 	return f.fraction(passiveFraction + passiveJitter*f.Jitter)
 }
 
-// pause returns the wait after a failed call.
+// retryPause returns the pause after a failed call.
 func (f *Follower) retryPause() time.Duration {
 	short := min(minRetryPause<<min(f.failures, 10), maxRetryPause)
 	if f.role() != RolePassive {
--- a/internal/follow/targets.go
+++ b/internal/follow/targets.go
@@ -11,25 +11,25 @@
 	"github.com/barleystep/barleystep/internal/fleet"
 )
 
-// Targets is the set of targets that a box goes by. Its exported fields are set
-// before use; it is safe for concurrent use.
+// Targets is the set of targets that this box uses. Its exported fields are set before use; it
+// is safe for concurrent use.
 type Targets struct {
 	Clock  barleystep.Clock
 	Decode func(r barleystep.Record) (fleet.Target, error)
 	Log    *log.Logger
-	// Changed is called after each change of the list, in their order; it may be nil. It
-	// must not call the set, but for List.
+	// OnChange is called after each change of the list, in order; it may be nil. It must not
+	// call methods of the set other than List.
 	OnChange func()
 
 	mu      sync.Mutex
 	targets map[string]fleet.Target
-	// lapsed holds targets whose record went while the store was away, and
-	// until when they are still used.
+	// graceUntil holds the targets whose record disappeared while the store was unavailable,
+	// and until when they are still used.
 	graceUntil map[string]time.Time
-	// refused holds the records that name no target.
-	refusals refusals
-	// lostAt is when the store was found away, zero if it is there, and backAt when
-	// it came back.
+	// invalid holds the records that are not valid targets.
+	invalid refusals
+	// unavailableSince is when the store was found unavailable, zero while it is available, and
+	// availableSince when it became available again.
 	unavailableSince time.Time
 	availableSince   time.Time
 	loaded           bool
@@ -37,18 +37,17 @@
 }
 
 const (
-	// lapseGrace is how long a target whose record lapsed while the store was
-	// away is kept after the store's return. Targets that live write their
-	// record anew within about two seconds; work sent later than that to a
-	// target that left would break the promise to it.
+	// removalGrace is how long a target is kept after the store's return if its record expired
+	// during the outage. Live targets write their record again within about two seconds; work
+	// sent later than that to a target that left would break the promise to it.
 	removalGrace = 1800 * time.Millisecond
-	// returnWindow is how long after the store's return a vanished record may
-	// be a lapse: targets that miss three heartbeats of 1.2 s are dropped.
+	// recoveryWindow is how long after the store's return a removed record may be one that
+	// expired during the outage: targets that miss three heartbeats of 1.2 s are removed.
 	recoveryWindow = 4 * time.Second
 )
 
-// List returns the targets that may get work, in no order. The slice must not
-// be changed.
+// List returns the targets that may get work, in no particular order. The slice must not be
+// modified.
 func (t *Targets) List() []fleet.Target {
 	if p := t.list.Load(); p != nil {
 		return *p
@@ -56,29 +55,29 @@
 	return nil
 }
 
-// Known reports whether the targets were read at least once.
+// Loaded reports whether the targets have been read at least once.
 func (t *Targets) Loaded() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.loaded
 }
 
-// Refused returns how many records named no target since the start, by reason; a record
+// RefusalCounts returns how many invalid records were read since the start, by reason; a record
 // that is read again counts again.
 func (t *Targets) RefusalCounts() []RefusalCount {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.refusals.byReason()
+	return t.invalid.list()
 }
 
-// Foreign returns how many records name no target now.
+// InvalidRecords returns how many records are currently invalid.
 func (t *Targets) InvalidRecords() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.refusals.current)
+	return len(t.invalid.current)
 }
 
-// Reset is part of Handler.
+// Reset implements Handler.
 func (t *Targets) Reset(records []barleystep.Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -87,13 +86,13 @@
 		seen[r.Key()] = true
 		t.put(r)
 	}
-	for key := range t.refusals.current {
+	for key := range t.invalid.current {
 		if !seen[key] {
-			t.refusals.drop(key)
+			t.invalid.drop(key)
 		}
 	}
-	t.Log.Info().Int("targets", len(records)-len(t.refusals.current)).Int("refused", len(t.refusals.current)).
-		Msg(logPrefix + "All targets were read.")
+	t.Log.Info().Int("targets", len(records)-len(t.invalid.current)).Int("refused", len(t.invalid.current)).
+		Msg(logPrefix + "Read all targets.")
 	for key := range t.targets {
 		if !seen[key] {
 			t.remove(key)
@@ -103,7 +102,7 @@
 	t.publish()
 }
 
-// Change is part of Handler.
+// Apply implements Handler.
 func (t *Targets) Apply(r barleystep.Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -121,7 +120,7 @@
 		t.reject(r.Key(), err)
 		return
 	}
-	silent := t.refusals.drop(r.Key())
+	silent := t.invalid.drop(r.Key())
 	if t.targets == nil {
 		t.targets = make(map[string]fleet.Target)
 		t.graceUntil = make(map[string]time.Time)
@@ -130,7 +129,7 @@
 	t.targets[r.Key()] = target
 	delete(t.graceUntil, r.Key())
 	if !t.loaded || silent {
-		return // The first reading has one line for all; what had no line needs none now.
+		return // The first read logs one line for all targets. A refusal without a line needs none for its end.
 	}
 	if !had || old.Draining != target.Draining || old.Addr != target.Addr || target.Restarted(old.StartMS) {
 		t.Log.Info().Str("target", r.Key()).Str("service", target.Service).Str("addr", target.Addr).
@@ -138,21 +137,21 @@
 	}
 }
 
-// refuse drops a target whose record another writer has replaced. Work that it has goes
-// on; whether it lives, and where, nobody says any longer.
+// reject removes a target whose record was overwritten with an invalid value. Work that it
+// already has continues; no valid record states any longer whether and where it runs.
 func (t *Targets) reject(key string, err error) {
 	_, used := t.targets[key]
 	delete(t.targets, key)
 	delete(t.graceUntil, key)
-	if line := t.refusals.add(key, err, t.Clock.Now(), t.Log); line != nil {
-		line.Str("target", key).Bool("was_used", used).Msg(logPrefix + "A record names no target.")
+	if line := t.invalid.add(key, err, t.Clock.Now(), t.Log); line != nil {
+		line.Str("target", key).Bool("was_used", used).Msg(logPrefix + "A record is not a valid target.")
 	}
 }
 
-// gone drops a target, at once or, if its record may merely have lapsed, after
-// a grace.
+// remove removes a target, at once or, if its record may have expired during a store outage,
+// after removalGrace.
 func (t *Targets) remove(key string) {
-	t.refusals.drop(key)
+	t.invalid.drop(key)
 	if _, had := t.targets[key]; !had {
 		return
 	}
@@ -160,17 +159,17 @@
 	recent := !t.unavailableSince.IsZero() || (!t.availableSince.IsZero() && now.Sub(t.availableSince) < recoveryWindow)
 	if !recent || t.targets[key].Draining {
 		delete(t.targets, key)
-		t.Log.Info().Str("target", key).Msg(logPrefix + "A target is gone.")
+		t.Log.Info().Str("target", key).Msg(logPrefix + "A target was removed.")
 		return
 	}
 	if _, noted := t.graceUntil[key]; !noted {
 		t.graceUntil[key] = now.Add(removalGrace)
 		t.Log.Info().Str("target", key).Dur("grace", removalGrace).
-			Msg(logPrefix + "A target's record is missing after an outage of the store. It is kept for the grace.")
+			Msg(logPrefix + "A target's record is missing after a store outage; the target is kept for the grace period.")
 	}
 }
 
-// Expire drops the targets whose grace is over. It is called now and then.
+// Expire removes the targets whose grace period is over. It is called periodically.
 func (t *Targets) Expire() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -183,7 +182,7 @@
 		delete(t.graceUntil, key)
 		delete(t.targets, key)
 		changed = true
-		t.Log.Info().Str("target", key).Msg(logPrefix + "A target's record did not come back. The target is gone.")
+		t.Log.Info().Str("target", key).Msg(logPrefix + "A target's record did not return within the grace period; the target was removed.")
 	}
 	if changed {
 		t.publish()
@@ -201,8 +200,8 @@
 	}
 }
 
-// Proved is part of Handler. A proof from before the loss, which another box may
-// have told, does not mean that the store is back.
+// Confirmed implements Handler. A confirmation from before the outage, which another box may
+// have sent, does not mean that the store is available again.
 func (t *Targets) Confirmed(requestedAt time.Time, _ barleystep.Revision) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -212,7 +211,7 @@
 	}
 }
 
-// Lost is part of Handler.
+// Unavailable implements Handler.
 func (t *Targets) Unavailable(since time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/follow/targets_test.go
+++ b/internal/follow/targets_test.go
@@ -12,12 +12,12 @@
 	"github.com/barleystep/barleystep/internal/follow"
 )
 
-// announce reads a target whose record says "draining" or anything else.
+// decodeDraining decodes a target that is draining if its value is "draining".
 func decodeDraining(r barleystep.Record) (fleet.Target, error) {
 	return fleet.Target{ID: barleystep.TargetID(r.Key()), Draining: string(r.Value()) == "draining"}, nil
 }
 
-// TestGone checks when a target whose record vanishes gets no more work.
+// TestRemovedTargets checks when a target whose record disappears is no longer used.
 func TestRemovedTargets(t *testing.T) {
 	ready := barleystep.NewRecord("i", []byte("ready"))
 	gone := barleystep.NewRemoval("i")
@@ -37,15 +37,15 @@
 		steps steps
 		want  int
 	}{
-		"gone while the store is well":    {steps{change(ready), change(gone)}, 0},
-		"missing after a restart of sort": {steps{change(ready), reset()}, 0},
-		"lapsed while the store was away": {steps{change(ready), lost, back, change(gone), at(time.Second)}, 1},
-		"lapsed, found by a full read":    {steps{change(ready), lost, reset(), at(time.Second)}, 1},
-		"lapsed and still missing":        {steps{change(ready), lost, back, change(gone), at(2 * time.Second)}, 0},
-		"lapsed and back":                 {steps{change(ready), lost, back, change(gone), change(ready), at(3 * time.Second)}, 1},
-		"gone long after the return":      {steps{change(ready), lost, back, at(5 * time.Second), change(gone)}, 0},
-		"it was leaving anyway":           {steps{change(barleystep.NewRecord("i", []byte("draining"))), lost, back, change(gone)}, 0},
-		"kept while the store is away":    {steps{change(ready), lost, at(time.Hour)}, 1},
+		"removed, store available":      {steps{change(ready), change(gone)}, 0},
+		"missing from a full read":      {steps{change(ready), reset()}, 0},
+		"expired in a store outage":     {steps{change(ready), lost, back, change(gone), at(time.Second)}, 1},
+		"expired, found by a full read": {steps{change(ready), lost, reset(), at(time.Second)}, 1},
+		"expired and still missing":     {steps{change(ready), lost, back, change(gone), at(2 * time.Second)}, 0},
+		"expired and back":              {steps{change(ready), lost, back, change(gone), change(ready), at(3 * time.Second)}, 1},
+		"removed long after recovery":   {steps{change(ready), lost, back, at(5 * time.Second), change(gone)}, 0},
+		"it was draining already":       {steps{change(barleystep.NewRecord("i", []byte("draining"))), lost, back, change(gone)}, 0},
+		"kept during the outage":        {steps{change(ready), lost, at(time.Hour)}, 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestChanged checks that each change of the list is told after it was made.
+// TestOnChange checks that OnChange is called after each change of the list.
 func TestOnChange(t *testing.T) {
 	c := quicktest.New(t)
 	manual := clock.NewManual(time.Unix(1000, 0))
--- a/internal/gossip/udp.go
+++ b/internal/gossip/udp.go
@@ -13,7 +13,7 @@
 // use.
 type UDP struct{}
 
-// Listen opens an IPv4 UDP socket.
+// Listen opens an IPv4 socket for UDP.
 func (UDP) Listen(addr netip.AddrPort) (s barleystep.Socket, err error) {
 	c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
