--- a/internal/plane/box_test.go
+++ b/internal/plane/box_test.go
@@ -48,7 +48,7 @@
 	configuration *follow.Configuration
 	targets       *follow.Targets
 	handler       http.Handler
-	incarnations  map[barleystep.TargetID]int // incarnations are the number of each target's incarnation seen last.
+	incarnations  map[barleystep.TargetID]int // incarnations holds the number of each target's last seen incarnation.
 	stop          context.CancelFunc
 	done          sync.WaitGroup
 	ctx           context.Context
--- a/internal/plane/statement_test.go
+++ b/internal/plane/statement_test.go
@@ -218,10 +218,10 @@
 		return &statementWorkload{count: 6, perSecond: 40, restFrom: 6 * time.Second, restingCount: 6}
 	}
 	cases := map[string]struct {
-		scenario scenario
-		load     *statementWorkload
-		apart    bool    // apart is set if some boxes cannot hear others.
-		served   float64 // served is the minimum share of requests that are served.
+		scenario    scenario
+		load        *statementWorkload
+		partitioned bool    // partitioned is set if some boxes cannot hear others.
+		served      float64 // served is the minimum share of requests that are served.
 	}{
 		"nine boxes":         {nine(), load(), false, 0.97},
 		"all rest":           {nine(), allRest(), false, 0.6},
@@ -250,7 +250,7 @@
 			quicktest.Check(t, w.afterStatement, quicktest.Equals, 0)
 			quicktest.Check(t, w.duringRest <= maxDuringRest, quicktest.IsTrue, quicktest.Commentf("%d during a rest", w.duringRest))
 			quicktest.Check(t, served >= tc.served, quicktest.IsTrue, quicktest.Commentf("%.3f", served))
-			if !tc.apart {
+			if !tc.partitioned {
 				quicktest.Check(t, w.afterGossip, quicktest.Equals, 0)
 			}
 		})
--- a/internal/plane/suspect_test.go
+++ b/internal/plane/suspect_test.go
@@ -296,10 +296,10 @@
 	harmless := crashing(6)
 	harmless.deadlyShare = 0
 	cases := map[string]struct {
-		scenario scenario
-		load     *deadlyWorkload
-		anew     int     // anew is how often boxes have to learn it separately.
-		served   float64 // served is the minimum share of harmless requests answered whole.
+		scenario  scenario
+		load      *deadlyWorkload
+		relearned int     // relearned is how often boxes have to learn it separately.
+		served    float64 // served is the minimum share of harmless requests answered whole.
 	}{
 		"nine boxes":             {nine(), deadlyOnly(), 0, 0.97},
 		"often":                  {nine(), &deadlyWorkload{engines: 18, perSecond: 40, deadlyShare: 0.3}, 0, 0.95},
@@ -322,9 +322,9 @@
 			simulate(t, tc.scenario)
 			served := float64(w.answered) / float64(w.requests)
 			t.Logf("%d ended, sent early %d, late %d, %d refused, %.3f of %d served", w.ended, w.earlySends, w.lateSends, w.refused, served, w.requests)
-			most := max(maxEnded, w.earlySends+1) + tc.anew*maxEnded
+			most := max(maxEnded, w.earlySends+1) + tc.relearned*maxEnded
 			quicktest.Check(t, w.ended <= most, quicktest.IsTrue, quicktest.Commentf("%d ended", w.ended))
-			quicktest.Check(t, w.lateSends <= tc.anew*maxEnded, quicktest.IsTrue, quicktest.Commentf("sent late %d", w.lateSends))
+			quicktest.Check(t, w.lateSends <= tc.relearned*maxEnded, quicktest.IsTrue, quicktest.Commentf("sent late %d", w.lateSends))
 			quicktest.Check(t, w.refused, quicktest.Equals, 0)
 			quicktest.Check(t, served >= tc.served, quicktest.IsTrue, quicktest.Commentf("%.3f", served))
 		})
