--- a/internal/box/entry.go
+++ b/internal/box/entry.go
@@ -155,7 +155,7 @@
 		Clock:         e.Clock,
 		Endpoint:      e.endpoint,
 		Configuration: e.node.follower,
-		Targets:       targets,
+		Engines:       targets,
 		Meter:         e.meter,
 	}
 	e.top = supervisor.New("entry", e.Log, e.grace())
@@ -185,10 +185,10 @@
 func (e *Entry) capacity() capacity.Settings {
 	c := e.Settings.Capacity
 	return capacity.Settings{
-		Window:      time.Duration(c.Window),
-		LongPart:    c.LongShare,
-		ShortMemory: c.ShortMemoryShare,
-		Interval:    time.Duration(c.Interval),
+		Window:           time.Duration(c.Window),
+		LongShare:        c.LongShare,
+		ShortMemoryShare: c.ShortMemoryShare,
+		Interval:         time.Duration(c.Interval),
 	}
 }
 
--- a/internal/box/node.go
+++ b/internal/box/node.go
@@ -55,7 +55,7 @@
 		Boxes:  n.boxes,
 		Meter:  n.meter,
 		Log:    n.log,
-		OnGone: endpoint.Gone,
+		OnGone: endpoint.RemoveBox,
 		Self: member.Update{
 			Box:         n.source.Box(),
 			Addr:        n.advert,
--- a/internal/capacity/allocator.go
+++ b/internal/capacity/allocator.go
@@ -69,13 +69,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.used = now
-	return p.holder.Try(now, d)
+	return p.holder.TryStart(now, d)
 }
 
 // ask asks one endpoint after the other until one answers or ctx ends.
 func (a *Allocator) ask(ctx context.Context, p *pool, d barleystep.Demand) (barleystep.Allocation, error) {
 	s := a.share(d)
-	question := Ask{Demand: d, Box: a.Box, Weight: s.Weight, Rank: s.Rank, Limit: s.Limit}
+	question := GrantRequest{Demand: d, Box: a.Box, Weight: s.Weight, Rank: s.Rank, Limit: s.Limit}
 	for {
 		id := a.dispenser(p.name)
 		endpoint := a.endpoint(id)
@@ -93,7 +93,7 @@
 
 // askOne asks one endpoint. When the pool's dispenser moves meanwhile, the question
 // is withdrawn.
-func (a *Allocator) askOne(ctx context.Context, id barleystep.BoxID, pool string, endpoint Endpoint, q Ask) (Grant, error) {
+func (a *Allocator) askOne(ctx context.Context, id barleystep.BoxID, pool string, endpoint Endpoint, q GrantRequest) (Grant, error) {
 	asking, cancel := context.WithCancel(ctx)
 	defer cancel()
 	moved := a.whenMoved(asking, id, pool, cancel)
@@ -142,7 +142,7 @@
 func (p *pool) hold(now time.Time, d barleystep.Demand, targets []barleystep.TargetID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.holder.Hold(now, d, targets)
+	p.holder.AddGrant(now, d, targets)
 }
 
 // allotment wires what becomes of an attempt back to the holder, and to the
@@ -168,7 +168,7 @@
 func (p *pool) first(now time.Time, id barleystep.AttemptID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.holder.First(now, id)
+	p.holder.FirstToken(now, id)
 }
 
 func (p *pool) end(id barleystep.AttemptID, u barleystep.Usage) {
--- a/internal/capacity/allocator_test.go
+++ b/internal/capacity/allocator_test.go
@@ -23,7 +23,7 @@
 }
 
 // Ask grants e0 unless the function fails.
-func (d *fakeEndpoint) Ask(ctx context.Context, _ string, a capacity.Ask) (capacity.Grant, error) {
+func (d *fakeEndpoint) Ask(ctx context.Context, _ string, a capacity.GrantRequest) (capacity.Grant, error) {
 	d.asked <- a.Demand.Attempt
 	if err := d.ask(ctx); err != nil {
 		return capacity.Grant{}, err
--- a/internal/capacity/bench_test.go
+++ b/internal/capacity/bench_test.go
@@ -31,13 +31,13 @@
 				// These wait for memory that no engine has.
 				a := p.ask(fmt.Sprint("a", i%s.accounts), 15_000)
 				a.Demand.MaxOutputTokens = engineTokens * 3 / 10
-				p.Ask(p.now, a)
+				p.Enqueue(p.now, a)
 			}
 			p.tick()
 			b.ReportAllocs()
 			for b.Loop() {
 				a := p.ask("bench", 1_000)
-				p.Ask(p.now, a)
+				p.Enqueue(p.now, a)
 				for id := range p.tick() {
 					p.done(id)
 				}
@@ -54,9 +54,9 @@
 	for range targets * running {
 		a := p.ask("busy", 100)
 		a.Demand.MaxOutputTokens = engineTokens * 3 / 4 / running
-		p.Ask(p.now, a)
+		p.Enqueue(p.now, a)
 		for id := range p.tick() {
-			p.First(p.now, id, 0)
+			p.FirstToken(p.now, id, 0)
 		}
 	}
 	return p
@@ -69,12 +69,12 @@
 			p := busyPool(targets, 8)
 			r := capacity.Report{Box: "b1"}
 			for i := range targets {
-				r.Uses = append(r.Uses, capacity.Use{Target: engine(i), Reading: 100, Memory: 500, Running: 2})
+				r.Uses = append(r.Uses, capacity.CreditUse{Target: engine(i), PrefillTokens: 100, KVTokens: 500, Running: 2})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				p.now = p.now.Add(time.Millisecond)
-				p.Report(p.now, r)
+				p.ApplyReport(p.now, r)
 			}
 		})
 	}
@@ -87,7 +87,7 @@
 			h := capacity.NewHolder("b1")
 			c := capacity.Credits{Until: start.Add(time.Hour)}
 			for i := range targets {
-				c.Credits = append(c.Credits, capacity.Credit{Target: engine(i), Reading: 1 << 30, Memory: 1 << 30, Rate: 1, Slow: 1})
+				c.Credits = append(c.Credits, capacity.Credit{Target: engine(i), PrefillTokens: 1 << 30, KVTokens: 1 << 30, PrefillRate: 1, Slowdown: 1})
 			}
 			h.SetCredits(c)
 			n := uint64(0)
@@ -95,8 +95,8 @@
 			for b.Loop() {
 				n++
 				d := demand(n, 1_000)
-				h.Try(start, d)
-				h.First(start, d.Attempt)
+				h.TryStart(start, d)
+				h.FirstToken(start, d.Attempt)
 				h.End(d.Attempt, barleystep.Usage{Outcome: barleystep.OutcomeDone})
 			}
 		})
--- a/internal/capacity/dispenser.go
+++ b/internal/capacity/dispenser.go
@@ -35,7 +35,7 @@
 
 // waiter is a request in a queue.
 type waiter struct {
-	ask    Ask
+	ask    GrantRequest
 	tokens int
 }
 
@@ -60,7 +60,7 @@
 
 // SetTargets replaces the set of targets. What is known of those that stay is
 // kept.
-func (d *Dispenser) SetTargets(specs []Spec) {
+func (d *Dispenser) SetTargets(specs []TargetSpec) {
 	keep := make(map[barleystep.TargetID]*target, len(specs))
 	for _, s := range specs {
 		t, ok := d.targets[s.ID]
@@ -85,7 +85,7 @@
 
 // Load takes in a target's load report. Older reports than the last are
 // ignored.
-func (d *Dispenser) Load(id barleystep.TargetID, l barleystep.Load) {
+func (d *Dispenser) UpdateLoad(id barleystep.TargetID, l barleystep.Load) {
 	if t, ok := d.targets[id]; ok {
 		t.noteLoad(l)
 	}
@@ -93,7 +93,7 @@
 
 // Ask queues a request. The answer comes from Tick. It returns a refusal at
 // once if the request can never be served in time.
-func (d *Dispenser) Ask(now time.Time, a Ask) *barleystep.Refusal {
+func (d *Dispenser) Enqueue(now time.Time, a GrantRequest) *barleystep.Refusal {
 	if d.allAvoided(a.Demand.FailedTargets) {
 		// It has been everywhere: it begins anew instead of waiting for nobody.
 		a.Demand.FailedTargets = nil
@@ -127,7 +127,7 @@
 	return barleystep.NewRefusal(reason, barleystep.OutcomeNotRun, message).WithRetryAfter(after)
 }
 
-func flowName(a Ask) string {
+func flowName(a GrantRequest) string {
 	return a.Demand.Class + "/" + a.Demand.Account + "/" + barleystep.BandOf(a.Demand.PromptTokens).String()
 }
 
@@ -135,7 +135,7 @@
 // that ranks next below it.
 const classStep = 8
 
-func flowWeight(a Ask) float64 {
+func flowWeight(a GrantRequest) float64 {
 	w := max(a.Weight, minimumWeight)
 	for range min(a.Rank, maxRank) {
 		w /= classStep
@@ -159,7 +159,7 @@
 
 // First notes that the attempt's first token came. Ratio is the measured over
 // the expected time, zero if nothing was expected.
-func (d *Dispenser) First(now time.Time, id barleystep.AttemptID, ratio float64) {
+func (d *Dispenser) FirstToken(now time.Time, id barleystep.AttemptID, ratio float64) {
 	h, ok := d.holdings[id]
 	if !ok || !h.reading {
 		return
@@ -228,7 +228,7 @@
 }
 
 // Tick decides all that can be decided now.
-func (d *Dispenser) Tick(now time.Time) []Grant {
+func (d *Dispenser) Schedule(now time.Time) []Grant {
 	grants := d.expire(now)
 	grants = append(grants, d.tickGangs(now)...)
 	grants = append(grants, d.tickLane(now, laneLong)...)
--- a/internal/capacity/dispenser_test.go
+++ b/internal/capacity/dispenser_test.go
@@ -31,9 +31,9 @@
 // found starts a dispenser that knows only the configuration.
 func (p *pool) found(engines int) {
 	p.Dispenser = capacity.NewDispenser(capacity.Settings{}, p.now)
-	var specs []capacity.Spec
+	var specs []capacity.TargetSpec
 	for i := range engines {
-		specs = append(specs, capacity.Spec{ID: engine(i), Tokens: engineTokens, Rate: 10_000})
+		specs = append(specs, capacity.TargetSpec{ID: engine(i), KVTokens: engineTokens, PrefillRate: 10_000})
 	}
 	p.SetTargets(specs)
 }
@@ -41,7 +41,7 @@
 func engine(i int) barleystep.TargetID { return barleystep.TargetID(fmt.Sprintf("e%d", i)) }
 
 func (p *pool) load(i, free int) {
-	p.Load(engine(i), barleystep.Load{At: p.now, TotalTokens: engineTokens, FreeTokens: free})
+	p.UpdateLoad(engine(i), barleystep.Load{At: p.now, TotalTokens: engineTokens, FreeTokens: free})
 }
 
 func (p *pool) empty(engines int) {
@@ -50,9 +50,9 @@
 	}
 }
 
-func (p *pool) ask(account string, prompt int) capacity.Ask {
+func (p *pool) ask(account string, prompt int) capacity.GrantRequest {
 	p.serial++
-	return capacity.Ask{
+	return capacity.GrantRequest{
 		Box:    "b1",
 		Weight: 1,
 		Limit:  1,
@@ -71,7 +71,7 @@
 // want asks and returns the id of the attempt.
 func (p *pool) want(t *testing.T, account string, prompt int) barleystep.AttemptID {
 	a := p.ask(account, prompt)
-	if r := p.Ask(p.now, a); r != nil {
+	if r := p.Enqueue(p.now, a); r != nil {
 		t.Fatalf("refused: %v", r)
 	}
 	return a.Demand.Attempt
@@ -79,7 +79,7 @@
 
 func (p *pool) tick() map[barleystep.AttemptID]capacity.Grant {
 	grants := make(map[barleystep.AttemptID]capacity.Grant)
-	for _, g := range p.Tick(p.now) {
+	for _, g := range p.Schedule(p.now) {
 		grants[g.Attempt] = g
 	}
 	return grants
@@ -103,8 +103,8 @@
 	next := p.want(t, "a", 45_000)
 	c.Check(p.tick(), quicktest.HasLen, 0, quicktest.Commentf("before any load report"))
 	p.load(0, engineTokens-40_100)
-	held := capacity.Held{Attempt: first, Account: "a", Targets: []barleystep.TargetID{engine(0)}, Prompt: 40_000, Output: 100, Since: start, Reading: true}
-	p.Report(p.now, capacity.Report{Box: "b1", Held: []capacity.Held{held}})
+	held := capacity.HeldGrant{Attempt: first, Account: "a", Targets: []barleystep.TargetID{engine(0)}, PromptTokens: 40_000, OutputTokens: 100, Since: start, Prefilling: true}
+	p.ApplyReport(p.now, capacity.Report{Box: "b1", Held: []capacity.HeldGrant{held}})
 	c.Check(p.tick(), quicktest.HasLen, 0, quicktest.Commentf("while the engine reads another long prompt"))
 	p.done(first)
 	c.Check(p.tick()[next].Targets, quicktest.DeepEquals, []barleystep.TargetID{engine(0)})
@@ -134,7 +134,7 @@
 	for range 40 {
 		for id := range p.tick() {
 			granted++
-			p.First(p.now, id, 0)
+			p.FirstToken(p.now, id, 0)
 		}
 	}
 	c.Check(granted, quicktest.Equals, engineTokens/4_000)
@@ -147,11 +147,11 @@
 	p.want(t, "a", 40_000)
 	c.Assert(p.tick(), quicktest.HasLen, 1)
 	p.want(t, "a", 40_000)
-	p.Report(p.now, capacity.Report{Box: "b1"})
+	p.ApplyReport(p.now, capacity.Report{Box: "b1"})
 	c.Check(p.tick(), quicktest.HasLen, 0)
 	p.now = p.now.Add(4 * time.Second)
 	p.load(0, engineTokens)
-	p.Report(p.now, capacity.Report{Box: "b1"})
+	p.ApplyReport(p.now, capacity.Report{Box: "b1"})
 	c.Check(p.tick(), quicktest.HasLen, 1)
 }
 
@@ -165,13 +165,13 @@
 	c.Assert(p.tick(), quicktest.HasLen, 1)
 	p.now = p.now.Add(time.Second)
 	p.load(0, engineTokens-40_100)
-	p.Gone(p.now, "b1")
+	p.RemoveBox(p.now, "b1")
 	p.now = p.now.Add(time.Second)
 	p.load(0, engineTokens-40_100)
 	a := p.ask("a", 45_000)
 	a.Box = "b2"
 	a.Demand.MaxOutputTokens = 20_000
-	c.Assert(p.Ask(p.now, a) == nil, quicktest.IsTrue)
+	c.Assert(p.Enqueue(p.now, a) == nil, quicktest.IsTrue)
 	c.Check(p.tick(), quicktest.HasLen, 0)
 	p.now = p.now.Add(time.Second)
 	p.load(0, engineTokens)
@@ -208,7 +208,7 @@
 func (p *pool) finishAll() {
 	for n := uint64(1); n <= p.serial; n++ {
 		id := barleystep.NewAttemptID("b1", 1, n)
-		p.First(p.now, id, 0)
+		p.FirstToken(p.now, id, 0)
 		p.done(id)
 	}
 	p.now = p.now.Add(time.Second)
@@ -241,7 +241,7 @@
 	first := p.want(t, "a", 210_000)
 	second := p.want(t, "b", 210_000)
 	c.Check(p.tick(), quicktest.HasLen, 0, quicktest.Commentf("one engine still reads"))
-	c.Check(p.Aside(), quicktest.HasLen, 3)
+	c.Check(p.ReservedTargets(), quicktest.HasLen, 3)
 	c.Check(p.tick(), quicktest.HasLen, 0)
 	p.done(busy)
 	granted := p.tick()
@@ -262,9 +262,9 @@
 	c.Assert(running, quicktest.HasLen, 4)
 	giant := p.want(t, "b", 160_000)
 	p.tick()
-	lost := p.Aside()[0]
+	lost := p.ReservedTargets()[0]
 	for range 3 {
-		p.Report(p.now, capacity.Report{Box: "b1", Held: heldOf(running), Uses: []capacity.Use{{Target: lost, Failures: 2}}})
+		p.ApplyReport(p.now, capacity.Report{Box: "b1", Held: heldOf(running), Uses: []capacity.CreditUse{{Target: lost, Failures: 2}}})
 	}
 	for id := range running {
 		p.done(id)
@@ -276,10 +276,10 @@
 	}
 }
 
-func heldOf(grants map[barleystep.AttemptID]capacity.Grant) []capacity.Held {
-	var held []capacity.Held
+func heldOf(grants map[barleystep.AttemptID]capacity.Grant) []capacity.HeldGrant {
+	var held []capacity.HeldGrant
 	for id, g := range grants {
-		held = append(held, capacity.Held{Attempt: id, Targets: g.Targets, Prompt: 30_000, Output: 100, Reading: true})
+		held = append(held, capacity.HeldGrant{Attempt: id, Targets: g.Targets, PromptTokens: 30_000, OutputTokens: 100, Prefilling: true})
 	}
 	return held
 }
@@ -290,7 +290,7 @@
 	late := p.ask("a", 90_000)
 	late.Demand.Deadline = p.now.Add(time.Second)
 	cases := map[string]struct {
-		ask    capacity.Ask
+		ask    capacity.GrantRequest
 		reason barleystep.Reason
 	}{
 		"can't be read in time":       {late, barleystep.ReasonDeadlineCannotBeMet},
@@ -312,7 +312,7 @@
 					p.want(t, "a", 1_000)
 				}
 			}
-			r := p.Ask(p.now, tc.ask)
+			r := p.Enqueue(p.now, tc.ask)
 			c.Assert(r, quicktest.IsNotNil)
 			c.Check(r.Reason(), quicktest.Equals, tc.reason)
 			c.Check(r.Outcome(), quicktest.Equals, barleystep.OutcomeNotRun)
@@ -330,7 +330,7 @@
 			p.empty(2)
 			a := p.ask("a", 1_000)
 			a.Demand.FailedTargets = avoid
-			c.Assert(p.Ask(p.now, a) == nil, quicktest.IsTrue)
+			c.Assert(p.Enqueue(p.now, a) == nil, quicktest.IsTrue)
 			g := p.tick()[a.Demand.Attempt]
 			c.Assert(g.Targets, quicktest.HasLen, 1)
 			c.Check(len(avoid) == 2 || g.Targets[0] == engine(1), quicktest.IsTrue)
@@ -342,16 +342,16 @@
 func TestUnusableTargets(t *testing.T) {
 	cases := map[string]func(p *pool){
 		"drained": func(p *pool) {
-			p.SetTargets([]capacity.Spec{{ID: engine(0), Tokens: engineTokens, Rate: 10_000, Drain: true}})
+			p.SetTargets([]capacity.TargetSpec{{ID: engine(0), KVTokens: engineTokens, PrefillRate: 10_000, Drain: true}})
 		},
 		"leaving by its own word": func(p *pool) {
-			p.Load(engine(0), barleystep.Load{At: p.now.Add(1), TotalTokens: engineTokens, FreeTokens: engineTokens, Leaving: true})
+			p.UpdateLoad(engine(0), barleystep.Load{At: p.now.Add(1), TotalTokens: engineTokens, FreeTokens: engineTokens, Leaving: true})
 		},
 		"failing": func(p *pool) {
-			p.Report(p.now, capacity.Report{Box: "b1", Uses: []capacity.Use{{Target: engine(0), Failures: 2}}})
+			p.ApplyReport(p.now, capacity.Report{Box: "b1", Uses: []capacity.CreditUse{{Target: engine(0), Failures: 2}}})
 		},
 		"hung while its reports go on": func(p *pool) {
-			p.Report(p.now, capacity.Report{Box: "b1", Uses: []capacity.Use{{Target: engine(0), Silent: time.Minute}}})
+			p.ApplyReport(p.now, capacity.Report{Box: "b1", Uses: []capacity.CreditUse{{Target: engine(0), Overdue: time.Minute}}})
 		},
 	}
 	for name, spoil := range cases {
@@ -362,7 +362,7 @@
 			spoil(p)
 			p.want(t, "a", 1_000)
 			c.Check(p.tick(), quicktest.HasLen, 0)
-			c.Check(p.Report(p.now, capacity.Report{Box: "b1"}).Credits, quicktest.HasLen, 0)
+			c.Check(p.ApplyReport(p.now, capacity.Report{Box: "b1"}).Credits, quicktest.HasLen, 0)
 		})
 	}
 }
@@ -373,7 +373,7 @@
 	c := quicktest.New(t)
 	p := newPool(1)
 	p.empty(1)
-	p.Report(p.now, capacity.Report{Box: "b1", Uses: []capacity.Use{{Target: engine(0), Failures: 2}}})
+	p.ApplyReport(p.now, capacity.Report{Box: "b1", Uses: []capacity.CreditUse{{Target: engine(0), Failures: 2}}})
 	p.want(t, "a", 1_000)
 	c.Assert(p.tick(), quicktest.HasLen, 0)
 	p.now = p.now.Add(3 * time.Second)
--- a/internal/capacity/endpoint.go
+++ b/internal/capacity/endpoint.go
@@ -20,7 +20,7 @@
 type Endpoint interface {
 	// Ask waits for a grant. It returns a *barleystep.Refusal, or another error
 	// if the dispenser could not be asked; the request is then withdrawn.
-	Ask(ctx context.Context, pool string, a Ask) (Grant, error)
+	Ask(ctx context.Context, pool string, a GrantRequest) (Grant, error)
 	// First notes the first token of a granted attempt.
 	First(ctx context.Context, pool string, id barleystep.AttemptID) error
 	// Release takes a grant back.
@@ -64,7 +64,7 @@
 )
 
 // Ask waits for a grant of the pool's dispenser.
-func (l *LocalEndpoint) Ask(ctx context.Context, pool string, a Ask) (g Grant, err error) {
+func (l *LocalEndpoint) Ask(ctx context.Context, pool string, a GrantRequest) (g Grant, err error) {
 	p := l.pool(pool)
 	answer := make(chan Grant, 1)
 	id := a.Demand.Attempt
@@ -83,12 +83,12 @@
 	return g, nil
 }
 
-func (l *LocalEndpoint) enter(p *dispensed, a Ask, answer chan Grant) error {
+func (l *LocalEndpoint) enter(p *dispensed, a GrantRequest, answer chan Grant) error {
 	now := l.Clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l.refresh(p)
-	if r := p.dispenser.Ask(now, a); r != nil {
+	if r := p.dispenser.Enqueue(now, a); r != nil {
 		return r
 	}
 	p.used = now
@@ -113,7 +113,7 @@
 
 // First notes a first token.
 func (l *LocalEndpoint) First(_ context.Context, pool string, id barleystep.AttemptID) error {
-	l.change(pool, func(d *Dispenser, now time.Time) { d.First(now, id, 0) })
+	l.change(pool, func(d *Dispenser, now time.Time) { d.FirstToken(now, id, 0) })
 	return nil
 }
 
@@ -125,19 +125,19 @@
 
 // Report takes in a report.
 func (l *LocalEndpoint) Report(_ context.Context, pool string, r Report) (c Credits, err error) {
-	l.change(pool, func(d *Dispenser, now time.Time) { c = d.Report(now, r) })
+	l.change(pool, func(d *Dispenser, now time.Time) { c = d.ApplyReport(now, r) })
 	return c, nil
 }
 
 // Load takes in a load report of a target of the pool.
-func (l *LocalEndpoint) Load(pool string, id barleystep.TargetID, load barleystep.Load) {
-	l.decide(l.pool(pool), func(d *Dispenser, _ time.Time) { d.Load(id, load) })
+func (l *LocalEndpoint) UpdateLoad(pool string, id barleystep.TargetID, load barleystep.Load) {
+	l.decide(l.pool(pool), func(d *Dispenser, _ time.Time) { d.UpdateLoad(id, load) })
 }
 
 // Gone forgets a box in all pools.
-func (l *LocalEndpoint) Gone(id barleystep.BoxID) {
+func (l *LocalEndpoint) RemoveBox(id barleystep.BoxID) {
 	for _, name := range l.Pools() {
-		l.change(name, func(d *Dispenser, now time.Time) { d.Gone(now, id) })
+		l.change(name, func(d *Dispenser, now time.Time) { d.RemoveBox(now, id) })
 	}
 }
 
@@ -202,7 +202,7 @@
 	}
 	l.pools[name] = p
 	select {
-	case l.Opened() <- name:
+	case l.NewPools() <- name:
 	default: // The poller comes by soon.
 	}
 	return p
@@ -213,7 +213,7 @@
 
 // Opened tells of pools that were newly taken over: until their targets' load is
 // known, nothing is handed out.
-func (l *LocalEndpoint) Opened() chan string {
+func (l *LocalEndpoint) NewPools() chan string {
 	l.once.Do(func() { l.opened = make(chan string, openedQueue) })
 	return l.opened
 }
@@ -230,7 +230,7 @@
 
 // tick hands out what was decided. The caller holds the lock.
 func (p *dispensed) tick(now time.Time) {
-	for _, g := range p.dispenser.Tick(now) {
+	for _, g := range p.dispenser.Schedule(now) {
 		answer, ok := p.waiting[g.Attempt]
 		if !ok {
 			p.dispenser.Release(now, g.Attempt, barleystep.Usage{AtCapacity: true})
@@ -250,7 +250,7 @@
 	}
 	p.version = v.Version()
 	p.dispenser.SetWeighing(v.Weighing())
-	p.dispenser.SetTargets(Specs(v, string(l.Hall), p.name))
+	p.dispenser.SetTargets(TargetSpecs(v, string(l.Hall), p.name))
 }
 
 // servicePrefix begins the names of the pools of plain services.
@@ -258,14 +258,14 @@
 
 // ServicePool returns the name of the pool of a plain service. No model has
 // such a name.
-func ServicePool(service string) string { return servicePrefix + service }
+func ServicePoolName(service string) string { return servicePrefix + service }
 
 // serviceCalls is how many calls one server of a plain service is sent at a
 // time; a call counts as one token.
 const serviceCalls = 64
 
 // Specs returns the targets of a pool in a hall.
-func Specs(v *config.View, hall, pool string) []Spec {
+func TargetSpecs(v *config.View, hall, pool string) []TargetSpec {
 	service, isService := strings.CutPrefix(pool, servicePrefix)
 	model, _ := v.Model(pool)
 	targets := v.Targets(func(t config.Target) bool {
@@ -274,11 +274,11 @@
 		}
 		return t.Hall == hall && t.Model == pool
 	})
-	specs := make([]Spec, len(targets))
+	specs := make([]TargetSpec, len(targets))
 	for i, t := range targets {
-		specs[i] = Spec{ID: barleystep.TargetID(t.ID), Tokens: model.EngineTokens, Rate: model.PrefillRate, Drain: t.Drain}
+		specs[i] = TargetSpec{ID: barleystep.TargetID(t.ID), KVTokens: model.EngineTokens, PrefillRate: model.PrefillRate, Drain: t.Drain}
 		if isService {
-			specs[i].Tokens = serviceCalls
+			specs[i].KVTokens = serviceCalls
 		}
 	}
 	return specs
--- a/internal/capacity/gang.go
+++ b/internal/capacity/gang.go
@@ -72,7 +72,7 @@
 		return nil
 	}
 	n := d.gangSize(w.tokens, smallest(usable), len(usable))
-	if n > len(usable) || aside > 0 && float64(aside+n) > d.settings.AsidePart*float64(len(d.sorted)) {
+	if n > len(usable) || aside > 0 && float64(aside+n) > d.settings.ReservedShare*float64(len(d.sorted)) {
 		return nil
 	}
 	d.sortByReady(now, usable, (w.tokens+n-1)/n)
@@ -84,7 +84,7 @@
 // engines than there are.
 func (d *Dispenser) gangSize(tokens, memory, available int) int {
 	room := usableMemory * float64(memory)
-	n := engines(tokens, int(room-d.settings.ShortMemory*float64(memory)))
+	n := engines(tokens, int(room-d.settings.ShortMemoryShare*float64(memory)))
 	if n <= available {
 		return n
 	}
@@ -103,9 +103,9 @@
 }
 
 func smallest(targets []*target) int {
-	least := targets[0].spec.Tokens
+	least := targets[0].spec.KVTokens
 	for _, t := range targets[1:] {
-		least = min(least, t.spec.Tokens)
+		least = min(least, t.spec.KVTokens)
 	}
 	return least
 }
@@ -153,7 +153,7 @@
 	if l == laneShort {
 		return true
 	}
-	whole := seconds(float64(w.ask.Demand.PromptTokens)/t.spec.Rate) + time.Duration(w.ask.Demand.MaxOutputTokens)*d.pace
+	whole := seconds(float64(w.ask.Demand.PromptTokens)/t.spec.PrefillRate) + time.Duration(w.ask.Demand.MaxOutputTokens)*d.pace
 	return whole <= t.gang.readyIn(now, d.pace)
 }
 
@@ -163,7 +163,7 @@
 	a := g.waiter.ask
 	// The request was queued before; a refusal now would mean that the pool has
 	// shrunk below its need, which its deadline then ends.
-	_ = d.Ask(a.Demand.AdmittedAt, a)
+	_ = d.Enqueue(a.Demand.AdmittedAt, a)
 }
 
 // disband frees the members.
@@ -186,7 +186,7 @@
 }
 
 // Aside returns the targets that are set aside for large prompts.
-func (d *Dispenser) Aside() []barleystep.TargetID {
+func (d *Dispenser) ReservedTargets() []barleystep.TargetID {
 	var ids []barleystep.TargetID
 	for _, t := range d.sorted {
 		if t.gang != nil {
--- a/internal/capacity/holder.go
+++ b/internal/capacity/holder.go
@@ -56,7 +56,7 @@
 func (h *Holder) SetCredits(c Credits) { h.credits = c }
 
 // Try runs a short prompt on the credits, if there are any that allow it.
-func (h *Holder) Try(now time.Time, d barleystep.Demand) (target barleystep.TargetID, ok bool) {
+func (h *Holder) TryStart(now time.Time, d barleystep.Demand) (target barleystep.TargetID, ok bool) {
 	if barleystep.BandOf(d.PromptTokens).Long() {
 		return "", false
 	}
@@ -126,20 +126,20 @@
 
 func (h *Holder) allows(c Credit, d barleystep.Demand) bool {
 	u := h.use(c.Target)
-	if u.memory+d.Tokens() > c.Memory {
+	if u.memory+d.Tokens() > c.KVTokens {
 		return false
 	}
-	return u.reading == 0 || u.reading+d.PromptTokens <= c.Reading
+	return u.reading == 0 || u.reading+d.PromptTokens <= c.PrefillTokens
 }
 
 func (h *Holder) snapshot(c Credit) place.Target {
 	u := h.use(c.Target)
 	return place.Target{
 		ID:      c.Target,
-		Rate:    c.Rate,
-		Slow:    c.Slow,
-		Short:   c.Others + u.reading,
-		Long:    c.Long,
+		Rate:    c.PrefillRate,
+		Slow:    c.Slowdown,
+		Short:   c.OtherPrefillTokens + u.reading,
+		Long:    c.LongPrefillTokens,
 		Running: c.Running + u.running,
 	}
 }
@@ -154,7 +154,7 @@
 }
 
 // Hold notes a grant of the dispenser.
-func (h *Holder) Hold(now time.Time, d barleystep.Demand, targets []barleystep.TargetID) {
+func (h *Holder) AddGrant(now time.Time, d barleystep.Demand, targets []barleystep.TargetID) {
 	h.start(now, d, targets, 0, true)
 }
 
@@ -181,7 +181,7 @@
 }
 
 // First notes an attempt's first token.
-func (h *Holder) First(now time.Time, id barleystep.AttemptID) {
+func (h *Holder) FirstToken(now time.Time, id barleystep.AttemptID) {
 	r, ok := h.running[id]
 	if !ok || !r.reading {
 		return
@@ -219,7 +219,7 @@
 
 // Report returns what the dispenser has to know, and starts a new interval.
 func (h *Holder) Report(now time.Time) Report {
-	r := Report{Box: h.box, Wanted: h.wanted}
+	r := Report{Box: h.box, RequestedTokens: h.wanted}
 	h.wanted = 0
 	silent := h.silences(now)
 	for _, id := range h.sortedUses() {
@@ -234,18 +234,18 @@
 	return r
 }
 
-func (u *ownUse) report(id barleystep.TargetID, silent time.Duration) Use {
-	use := Use{
-		Target:   id,
-		Reading:  u.reading,
-		Memory:   u.memory,
-		Running:  u.running,
-		Answers:  u.answers,
-		Failures: u.failures,
-		Silent:   silent,
+func (u *ownUse) report(id barleystep.TargetID, silent time.Duration) CreditUse {
+	use := CreditUse{
+		Target:        id,
+		PrefillTokens: u.reading,
+		KVTokens:      u.memory,
+		Running:       u.running,
+		Answers:       u.answers,
+		Failures:      u.failures,
+		Overdue:       silent,
 	}
 	if u.answers > 0 {
-		use.Slow = u.slow / float64(u.answers)
+		use.Slowdown = u.slow / float64(u.answers)
 	}
 	return use
 }
@@ -273,18 +273,18 @@
 	return ids
 }
 
-func (h *Holder) held() []Held {
-	var held []Held
+func (h *Holder) held() []HeldGrant {
+	var held []HeldGrant
 	for _, r := range h.running {
 		if r.granted {
-			held = append(held, Held{
-				Attempt: r.attempt,
-				Account: r.account,
-				Targets: r.targets,
-				Prompt:  r.prompt,
-				Output:  r.output,
-				Since:   r.since,
-				Reading: r.reading,
+			held = append(held, HeldGrant{
+				Attempt:      r.attempt,
+				Account:      r.account,
+				Targets:      r.targets,
+				PromptTokens: r.prompt,
+				OutputTokens: r.output,
+				Since:        r.since,
+				Prefilling:   r.reading,
 			})
 		}
 	}
--- a/internal/capacity/holder_test.go
+++ b/internal/capacity/holder_test.go
@@ -16,8 +16,8 @@
 
 func credits(until time.Time, reading int) capacity.Credits {
 	return capacity.Credits{Until: until, Credits: []capacity.Credit{
-		{Target: "e0", Reading: reading, Memory: 50_000, Rate: 10_000, Slow: 1},
-		{Target: "e1", Reading: reading, Memory: 50_000, Rate: 10_000, Slow: 1, Others: 8_000},
+		{Target: "e0", PrefillTokens: reading, KVTokens: 50_000, PrefillRate: 10_000, Slowdown: 1},
+		{Target: "e1", PrefillTokens: reading, KVTokens: 50_000, PrefillRate: 10_000, Slowdown: 1, OtherPrefillTokens: 8_000},
 	}}
 }
 
@@ -34,14 +34,14 @@
 		"credits have run out":            {credits(until, 4_000), until, demand(1, 2_000), ""},
 		"long prompts ask":                {credits(until, 4_000), start, demand(1, 20_000), ""},
 		"memory is bounded": {capacity.Credits{Until: until, Credits: []capacity.Credit{
-			{Target: "e0", Reading: 4_000, Memory: 1_000, Rate: 1},
+			{Target: "e0", PrefillTokens: 4_000, KVTokens: 1_000, PrefillRate: 1},
 		}}, start, demand(1, 2_000), ""},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			h := capacity.NewHolder("b1")
 			h.SetCredits(tc.credits)
-			target, _ := h.Try(tc.now, tc.demand)
+			target, _ := h.TryStart(tc.now, tc.demand)
 			quicktest.Check(t, target, quicktest.Equals, tc.target)
 		})
 	}
@@ -55,19 +55,19 @@
 	h.SetCredits(credits(start.Add(time.Hour), 4_000))
 	sent := uint64(0)
 	for n := uint64(1); ; n++ {
-		if _, ok := h.Try(start, demand(n, 2_000)); !ok {
+		if _, ok := h.TryStart(start, demand(n, 2_000)); !ok {
 			break
 		}
 		sent++
 	}
 	c.Check(sent, quicktest.Equals, uint64(4))
-	h.First(start.Add(time.Millisecond), demand(1, 0).Attempt)
-	_, ok := h.Try(start, demand(9, 2_000))
+	h.FirstToken(start.Add(time.Millisecond), demand(1, 0).Attempt)
+	_, ok := h.TryStart(start, demand(9, 2_000))
 	c.Check(ok, quicktest.IsTrue)
 	r := h.Report(start)
 	total := 0
 	for _, u := range r.Uses {
-		total += u.Reading
+		total += u.PrefillTokens
 	}
 	c.Check(total, quicktest.Equals, 8_000)
 }
--- a/internal/capacity/lane.go
+++ b/internal/capacity/lane.go
@@ -24,12 +24,12 @@
 func (d *Dispenser) lane(w *waiter) (lane, *barleystep.Refusal) {
 	largest := 0
 	for _, t := range d.sorted {
-		largest = max(largest, t.spec.Tokens)
+		largest = max(largest, t.spec.KVTokens)
 	}
 	switch {
 	case len(d.sorted) == 0:
 		return 0, notRun(barleystep.ReasonNoTarget, "No target serves the model here.", time.Second)
-	case float64(w.tokens) > d.settings.GiantPart*float64(largest):
+	case float64(w.tokens) > d.settings.LargeShare*float64(largest):
 		return d.giantLane(w, largest)
 	case barleystep.BandOf(w.ask.Demand.PromptTokens).Long():
 		return laneLong, nil
@@ -50,7 +50,7 @@
 func (d *Dispenser) hopeless(now time.Time, w *waiter, l lane) *barleystep.Refusal {
 	fastest := 0.0
 	for _, t := range d.sorted {
-		fastest = max(fastest, t.spec.Rate)
+		fastest = max(fastest, t.spec.PrefillRate)
 	}
 	members := 1
 	if l == laneGiant {
@@ -68,7 +68,7 @@
 func (d *Dispenser) drainTime(l lane) time.Duration {
 	rate := 0.0
 	for _, t := range d.sorted {
-		rate += t.spec.Rate
+		rate += t.spec.PrefillRate
 	}
 	if rate == 0 {
 		return time.Second
@@ -128,7 +128,7 @@
 	}
 	total, held := 0, 0
 	for _, t := range d.sorted {
-		total += t.spec.Tokens
+		total += t.spec.KVTokens
 	}
 	for _, h := range d.holdings {
 		if h.account == w.ask.Demand.Account {
@@ -145,16 +145,16 @@
 		return false
 	}
 	short := t.shortReading()
-	window := int(t.spec.Rate * d.settings.Window.Seconds())
+	window := int(t.spec.PrefillRate * d.settings.Window.Seconds())
 	return short == 0 || short+w.ask.Demand.PromptTokens <= window
 }
 
 func (d *Dispenser) roomForLong(now time.Time, t *target, w *waiter) bool {
-	if t.sums.longs >= d.settings.LongReads {
+	if t.sums.longs >= d.settings.LongPrefills {
 		return false
 	}
 	memory := t.sums.longMemory
-	most := int(float64(t.spec.Tokens) * (1 - d.settings.ShortMemory))
+	most := int(float64(t.spec.KVTokens) * (1 - d.settings.ShortMemoryShare))
 	alone := memory == 0
 	return t.free(now) >= w.tokens && (alone || memory+w.tokens <= most)
 }
@@ -172,6 +172,6 @@
 
 // longEngines returns how many engines may read long prompts at the same time.
 func (d *Dispenser) longEngines() int {
-	part := d.settings.LongPart + (1-d.settings.LongPart)*d.settings.Weighing
+	part := d.settings.LongShare + (1-d.settings.LongShare)*d.settings.Weighing
 	return max(1, int(part*float64(len(d.sorted))+0.5))
 }
--- a/internal/capacity/message.go
+++ b/internal/capacity/message.go
@@ -15,7 +15,7 @@
 )
 
 // Ask is a request for a grant.
-type Ask struct {
+type GrantRequest struct {
 	Demand barleystep.Demand
 	Box    barleystep.BoxID
 	// Weight, Rank and Limit are what the policy gives to the account.
@@ -35,25 +35,25 @@
 }
 
 // Held is a grant that a box says it holds.
-type Held struct {
-	Attempt barleystep.AttemptID
-	Account string
-	Targets []barleystep.TargetID
-	Prompt  int
-	Output  int
-	Since   time.Time
+type HeldGrant struct {
+	Attempt      barleystep.AttemptID
+	Account      string
+	Targets      []barleystep.TargetID
+	PromptTokens int
+	OutputTokens int
+	Since        time.Time
 	// Reading is set until the first token has come.
-	Reading bool
+	Prefilling bool
 }
 
 // Use is what a box runs on credits at one target, and what it has learnt of
 // the target since its last report.
-type Use struct {
+type CreditUse struct {
 	Target barleystep.TargetID
 	// Reading is the prompt tokens that are being read.
-	Reading int
+	PrefillTokens int
 	// Memory is the KV memory in use, in tokens.
-	Memory int
+	KVTokens int
 	// Running counts attempts.
 	Running int
 	// Answers and Failures count attempts that got a first token or failed
@@ -61,37 +61,37 @@
 	Answers  int
 	Failures int
 	// Slow is the mean ratio of measured to expected time over Answers.
-	Slow float64
+	Slowdown float64
 	// Silent is how long the oldest unanswered attempt has waited beyond what
 	// was expected.
-	Silent time.Duration
+	Overdue time.Duration
 }
 
 // Report is what a box tells a pool's dispenser at intervals.
 type Report struct {
 	Box  barleystep.BoxID
-	Uses []Use
-	Held []Held
+	Uses []CreditUse
+	Held []HeldGrant
 	// Wanted is the short prompt tokens that the box has been asked for since
 	// its last report.
-	Wanted int
+	RequestedTokens int
 }
 
 // Credit is what a box may run at one target without asking.
 type Credit struct {
 	Target barleystep.TargetID
 	// Reading bounds the box's own prompt tokens being read.
-	Reading int
+	PrefillTokens int
 	// Memory bounds the box's own KV memory, in tokens.
-	Memory int
+	KVTokens int
 	// Others is the prompt tokens that other boxes' work has waiting there.
-	Others int
+	OtherPrefillTokens int
 	// Long is the long prompts' tokens that wait to be read there.
-	Long int
+	LongPrefillTokens int
 	// Running counts the attempts of all boxes.
-	Running int
-	Rate    float64
-	Slow    float64
+	Running     int
+	PrefillRate float64
+	Slowdown    float64
 }
 
 // Credits is a dispenser's answer to a report. They are void after Until.
@@ -101,9 +101,9 @@
 }
 
 // Spec is what the configuration says of a target.
-type Spec struct {
-	ID     barleystep.TargetID
-	Tokens int
-	Rate   float64
-	Drain  bool
+type TargetSpec struct {
+	ID          barleystep.TargetID
+	KVTokens    int
+	PrefillRate float64
+	Drain       bool
 }
--- a/internal/capacity/poller.go
+++ b/internal/capacity/poller.go
@@ -12,7 +12,7 @@
 )
 
 // Loads asks a target for its load report.
-type Loads interface {
+type EngineSource interface {
 	// Engine returns the adapter of a configured target.
 	Engine(id barleystep.TargetID, fresh bool) (e barleystep.Engine, ok bool)
 }
@@ -23,24 +23,24 @@
 	Clock         barleystep.Clock
 	Endpoint      *LocalEndpoint
 	Configuration config.Source
-	Targets       Loads
+	Engines       EngineSource
 	Meter         *metric.Meter
 	// Every is the time between reports of one target; the default is 1 second.
-	Every time.Duration
+	Interval time.Duration
 }
 
 // Serve polls until ctx ends.
 func (p *Poller) Serve(ctx context.Context) error {
-	if p.Every == 0 {
-		p.Every = time.Second
+	if p.Interval == 0 {
+		p.Interval = time.Second
 	}
 	for {
-		t := p.Clock.NewTimer(p.Every)
+		t := p.Clock.NewTimer(p.Interval)
 		select {
 		case <-ctx.Done():
 			t.Stop()
 			return ctx.Err()
-		case name := <-p.Endpoint.Opened():
+		case name := <-p.Endpoint.NewPools():
 			t.Stop()
 			p.round(ctx, []string{name})
 		case <-t.C():
@@ -54,11 +54,11 @@
 	if v == nil {
 		return
 	}
-	ctx, cancel := clock.WithDeadline(ctx, p.Clock, p.Clock.Now().Add(p.Every))
+	ctx, cancel := clock.WithDeadline(ctx, p.Clock, p.Clock.Now().Add(p.Interval))
 	defer cancel()
 	var wait sync.WaitGroup
 	for _, name := range pools {
-		for _, s := range Specs(v, string(p.Endpoint.Hall), name) {
+		for _, s := range TargetSpecs(v, string(p.Endpoint.Hall), name) {
 			wait.Go(func() { p.poll(ctx, name, s.ID) })
 		}
 	}
@@ -66,7 +66,7 @@
 }
 
 func (p *Poller) poll(ctx context.Context, pool string, id barleystep.TargetID) {
-	e, ok := p.Targets.Engine(id, false)
+	e, ok := p.Engines.Engine(id, false)
 	if !ok {
 		return
 	}
@@ -77,5 +77,5 @@
 	}
 	// Targets' clocks differ from ours; a report counts from its arrival.
 	l.At = p.Clock.Now()
-	p.Endpoint.Load(pool, id, l)
+	p.Endpoint.UpdateLoad(pool, id, l)
 }
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -15,14 +15,14 @@
 const wantedLearning = 0.3
 
 // Report takes in what a box runs and answers with its credits.
-func (d *Dispenser) Report(now time.Time, r Report) Credits {
+func (d *Dispenser) ApplyReport(now time.Time, r Report) Credits {
 	b, ok := d.boxes[r.Box]
 	if !ok {
 		b = &box{}
 		d.boxes[r.Box] = b
 	}
 	b.reported = now
-	b.wanted += wantedLearning * (float64(r.Wanted) - b.wanted)
+	b.wanted += wantedLearning * (float64(r.RequestedTokens) - b.wanted)
 	d.takeUses(now, r)
 	d.takeHeld(now, r)
 	return d.credits(now, b)
@@ -35,7 +35,7 @@
 	}
 	for _, t := range d.sorted {
 		if !used[t.spec.ID] {
-			t.setUse(r.Box, Use{})
+			t.setUse(r.Box, CreditUse{})
 		}
 	}
 	for _, u := range r.Uses {
@@ -45,12 +45,12 @@
 		}
 		t.setUse(r.Box, u)
 		if u.Answers > 0 {
-			t.health.answered(u.Slow)
+			t.health.answered(u.Slowdown)
 		}
 		for range u.Failures {
 			t.health.failed(now)
 		}
-		t.health.silent(now, u.Silent)
+		t.health.silent(now, u.Overdue)
 	}
 }
 
@@ -61,7 +61,7 @@
 	for _, h := range r.Held {
 		has[h.Attempt] = true
 		if known, ok := d.holdings[h.Attempt]; ok {
-			if known.reading && !h.Reading {
+			if known.reading && !h.Prefilling {
 				d.readDone(now, known)
 			}
 			continue
@@ -71,12 +71,12 @@
 			box:     r.Box,
 			account: h.Account,
 			targets: h.Targets,
-			prompt:  h.Prompt,
-			output:  h.Output,
+			prompt:  h.PromptTokens,
+			output:  h.OutputTokens,
 			since:   h.Since,
 			firstAt: now,
-			reading: h.Reading,
-			long:    barleystep.BandOf(h.Prompt).Long(),
+			reading: h.Prefilling,
+			long:    barleystep.BandOf(h.PromptTokens).Long(),
 		})
 	}
 	for id, h := range d.holdings {
@@ -88,10 +88,10 @@
 
 // Gone forgets a box that has died. Its work counts as foreign until the
 // clean-up has freed it: the targets' load shows it.
-func (d *Dispenser) Gone(now time.Time, id barleystep.BoxID) {
+func (d *Dispenser) RemoveBox(now time.Time, id barleystep.BoxID) {
 	delete(d.boxes, id)
 	for _, t := range d.sorted {
-		t.setUse(id, Use{})
+		t.setUse(id, CreditUse{})
 	}
 	for _, h := range d.holdings {
 		if h.box == id {
@@ -151,15 +151,15 @@
 
 func (d *Dispenser) credit(now time.Time, t *target, part float64) Credit {
 	s := t.snapshot(now)
-	window := t.spec.Rate * d.settings.Window.Seconds()
+	window := t.spec.PrefillRate * d.settings.Window.Seconds()
 	return Credit{
-		Target:  t.spec.ID,
-		Reading: max(int(window*part), d.settings.Least),
-		Memory:  max(int(float64(s.Free)*part), 0),
-		Others:  s.Short,
-		Long:    s.Long,
-		Running: s.Running,
-		Rate:    s.Rate,
-		Slow:    s.Slow,
+		Target:             t.spec.ID,
+		PrefillTokens:      max(int(window*part), d.settings.MinPrefillCredit),
+		KVTokens:           max(int(float64(s.Free)*part), 0),
+		OtherPrefillTokens: s.Short,
+		LongPrefillTokens:  s.Long,
+		Running:            s.Running,
+		PrefillRate:        s.Rate,
+		Slowdown:           s.Slow,
 	}
 }
--- a/internal/capacity/settings.go
+++ b/internal/capacity/settings.go
@@ -10,19 +10,19 @@
 	Window time.Duration
 	// LongReads is how many long prompts an engine reads at a time; the default
 	// is 1.
-	LongReads int
+	LongPrefills int
 	// LongPart is the part of the engines that may read long prompts at the same
 	// time, from 0 to 1; the default is 1. It grows with Weighing.
-	LongPart float64
+	LongShare float64
 	// ShortMemory is the part of an engine's memory that long prompts leave
 	// free; the default is 0.1.
-	ShortMemory float64
+	ShortMemoryShare float64
 	// GiantPart is the part of an engine's memory beyond which a prompt has
 	// engines set aside for it; the default is 0.4.
-	GiantPart float64
+	LargeShare float64
 	// AsidePart bounds the part of the engines that are set aside at the same
 	// time, unless a single prompt needs more; the default is 0.4.
-	AsidePart float64
+	ReservedShare float64
 	// Weighing moves the balance from short prompts (0) to long ones (1).
 	Weighing float64
 	// Interval is the time between a box's reports; the default is 1 second.
@@ -31,27 +31,27 @@
 	QueueLimit int
 	// Least is the reading credit, in tokens, that every box gets at every
 	// usable target of a pool that is not contended; the default is 4,096.
-	Least int
+	MinPrefillCredit int
 }
 
 func (s Settings) withDefaults() Settings {
 	if s.Window == 0 {
 		s.Window = 600 * time.Millisecond
 	}
-	if s.LongReads == 0 {
-		s.LongReads = 1
+	if s.LongPrefills == 0 {
+		s.LongPrefills = 1
 	}
-	if s.LongPart == 0 {
-		s.LongPart = 1
+	if s.LongShare == 0 {
+		s.LongShare = 1
 	}
-	if s.ShortMemory == 0 {
-		s.ShortMemory = 0.1
+	if s.ShortMemoryShare == 0 {
+		s.ShortMemoryShare = 0.1
 	}
-	if s.GiantPart == 0 {
-		s.GiantPart = 0.4
+	if s.LargeShare == 0 {
+		s.LargeShare = 0.4
 	}
-	if s.AsidePart == 0 {
-		s.AsidePart = 0.4
+	if s.ReservedShare == 0 {
+		s.ReservedShare = 0.4
 	}
 	if s.Interval == 0 {
 		s.Interval = time.Second
@@ -59,8 +59,8 @@
 	if s.QueueLimit == 0 {
 		s.QueueLimit = 20_000
 	}
-	if s.Least == 0 {
-		s.Least = 4_096
+	if s.MinPrefillCredit == 0 {
+		s.MinPrefillCredit = 4_096
 	}
 	return s
 }
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -12,12 +12,12 @@
 // target is what a dispenser knows of one target. The sums are kept up to date
 // with each change, as they are read for every decision.
 type target struct {
-	spec     Spec
+	spec     TargetSpec
 	load     barleystep.Load
 	held     map[barleystep.AttemptID]*holding
 	sums     sums
-	uses     map[barleystep.BoxID]Use
-	useSums  Use // useSums adds up what boxes run on credits.
+	uses     map[barleystep.BoxID]CreditUse
+	useSums  CreditUse // useSums adds up what boxes run on credits.
 	released []release
 	foreign  int // foreign is the memory in the last load report that own work does not explain.
 	health   health
@@ -65,11 +65,11 @@
 // loadLife is how long a load report counts.
 const loadLife = 15 * time.Second
 
-func newTarget(s Spec, unsure time.Time) *target {
+func newTarget(s TargetSpec, unsure time.Time) *target {
 	return &target{
 		spec:   s,
 		held:   make(map[barleystep.AttemptID]*holding),
-		uses:   make(map[barleystep.BoxID]Use),
+		uses:   make(map[barleystep.BoxID]CreditUse),
 		unsure: unsure,
 	}
 }
@@ -89,7 +89,7 @@
 	ready := time.Duration(0)
 	ends := make([]end, 0, len(t.held))
 	for _, h := range t.held {
-		read, whole := h.endsIn(now, t.spec.Rate, perToken)
+		read, whole := h.endsIn(now, t.spec.PrefillRate, perToken)
 		if h.long && h.reading {
 			ready = max(ready, read)
 		}
@@ -141,7 +141,7 @@
 
 // memory returns the KV memory, in tokens, that is known to be taken by the
 // system's own work.
-func (t *target) memory() int { return t.sums.memory + t.useSums.Memory }
+func (t *target) memory() int { return t.sums.memory + t.useSums.KVTokens }
 
 // free returns the memory that new work may take. Before its first load report
 // a target that may hold work of an earlier dispenser has none.
@@ -149,7 +149,7 @@
 	if t.load.At.IsZero() && now.Before(t.unsure) {
 		return 0
 	}
-	free := t.spec.Tokens - t.memory()
+	free := t.spec.KVTokens - t.memory()
 	if now.Sub(t.load.At) <= loadLife {
 		free -= t.foreign
 	}
@@ -169,7 +169,7 @@
 // report shows beyond it is work of other dispensers, of boxes that are gone,
 // or not yet reported.
 func (t *target) ownAt(at time.Time) int {
-	own := t.useSums.Memory
+	own := t.useSums.KVTokens
 	for _, h := range t.held {
 		if !h.since.After(at) {
 			own += h.share()
@@ -207,10 +207,10 @@
 }
 
 // setUse replaces what a box runs on credits; a zero Use removes it.
-func (t *target) setUse(id barleystep.BoxID, u Use) {
+func (t *target) setUse(id barleystep.BoxID, u CreditUse) {
 	old := t.uses[id]
-	t.useSums.Reading += u.Reading - old.Reading
-	t.useSums.Memory += u.Memory - old.Memory
+	t.useSums.PrefillTokens += u.PrefillTokens - old.PrefillTokens
+	t.useSums.KVTokens += u.KVTokens - old.KVTokens
 	t.useSums.Running += u.Running - old.Running
 	if u.Running == 0 {
 		delete(t.uses, id)
@@ -220,13 +220,13 @@
 }
 
 // shortReading returns the short prompts' tokens that wait to be read.
-func (t *target) shortReading() int { return t.sums.shortReading + t.useSums.Reading }
+func (t *target) shortReading() int { return t.sums.shortReading + t.useSums.PrefillTokens }
 
 // snapshot returns the target as placement sees it.
 func (t *target) snapshot(now time.Time) place.Target {
 	return place.Target{
 		ID:      t.spec.ID,
-		Rate:    t.spec.Rate,
+		Rate:    t.spec.PrefillRate,
 		Slow:    t.health.slowness(),
 		Short:   t.shortReading(),
 		Long:    t.sums.longReading,
--- a/internal/gate/attempt.go
+++ b/internal/gate/attempt.go
@@ -68,7 +68,7 @@
 		PrefixHashes:    x.prompt.prefix,
 	}
 	if x.isService() {
-		d.Model = capacity.ServicePool(x.service)
+		d.Model = capacity.ServicePoolName(x.service)
 		d.MaxOutputTokens = 1
 	}
 	return d
--- a/internal/peer/bench_internal_test.go
+++ b/internal/peer/bench_internal_test.go
@@ -66,12 +66,12 @@
 func BenchmarkCapacityReportSize(b *testing.B) {
 	for _, targets := range []int{1, 8, 32, 92} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
-			r := capacity.Report{Box: "cluj-hala1-e001", Wanted: 100_000}
+			r := capacity.Report{Box: "cluj-hala1-e001", RequestedTokens: 100_000}
 			c := capacity.Credits{Until: now.Add(time.Second)}
 			for i := range targets {
 				id := barleystep.TargetID(fmt.Sprintf("cluj-hala1-t%03d", i))
-				r.Uses = append(r.Uses, capacity.Use{Target: id, Reading: 5_000, Memory: 50_000, Running: 9, Answers: 4, Slow: 1.1})
-				c.Credits = append(c.Credits, capacity.Credit{Target: id, Reading: 4_096, Memory: 90_000, Others: 4_000, Running: 20, Rate: 8_000, Slow: 1})
+				r.Uses = append(r.Uses, capacity.CreditUse{Target: id, PrefillTokens: 5_000, KVTokens: 50_000, Running: 9, Answers: 4, Slowdown: 1.1})
+				c.Credits = append(c.Credits, capacity.Credit{Target: id, PrefillTokens: 4_096, KVTokens: 90_000, OtherPrefillTokens: 4_000, Running: 20, PrefillRate: 8_000, Slowdown: 1})
 			}
 			up, down := 0, 0
 			var out, back names
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -104,7 +104,7 @@
 }
 
 // Ask waits for a grant.
-func (d *remoteEndpoint) Ask(ctx context.Context, pool string, a capacity.Ask) (g capacity.Grant, err error) {
+func (d *remoteEndpoint) Ask(ctx context.Context, pool string, a capacity.GrantRequest) (g capacity.Grant, err error) {
 	resp, err := d.client.at(d.addr).Ask(ctx, connect.NewRequest(toAsk(pool, a, d.client.Clock.Now())))
 	if err != nil {
 		return capacity.Grant{}, eris.Wrap(err, "peer: ask")
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -36,7 +36,7 @@
 	return out
 }
 
-func toAsk(pool string, a capacity.Ask, now time.Time) *peerv1.AskRequest {
+func toAsk(pool string, a capacity.GrantRequest, now time.Time) *peerv1.AskRequest {
 	d := a.Demand
 	return &peerv1.AskRequest{
 		Pool:    pool,
@@ -56,8 +56,8 @@
 	}
 }
 
-func fromAsk(r *peerv1.AskRequest, now time.Time) capacity.Ask {
-	return capacity.Ask{
+func fromAsk(r *peerv1.AskRequest, now time.Time) capacity.GrantRequest {
+	return capacity.GrantRequest{
 		Box:    barleystep.BoxID(r.GetBox()),
 		Weight: r.GetWeight(),
 		Rank:   int(r.GetRank()),
@@ -129,28 +129,28 @@
 func toReport(n *names, r capacity.Report, now time.Time) *peerv1.Report {
 	return &peerv1.Report{
 		Box:    n.number(string(r.Box)),
-		Wanted: uint32(r.Wanted),
-		Uses: convert(r.Uses, func(u capacity.Use) *peerv1.Use {
+		Wanted: uint32(r.RequestedTokens),
+		Uses: convert(r.Uses, func(u capacity.CreditUse) *peerv1.Use {
 			return &peerv1.Use{
 				Target:   n.number(string(u.Target)),
-				Reading:  uint32(u.Reading),
-				Memory:   uint32(u.Memory),
+				Reading:  uint32(u.PrefillTokens),
+				Memory:   uint32(u.KVTokens),
 				Running:  uint32(u.Running),
 				Answers:  uint32(u.Answers),
 				Failures: uint32(u.Failures),
-				Slow:     float32(u.Slow),
-				SilentMs: u.Silent.Milliseconds(),
+				Slow:     float32(u.Slowdown),
+				SilentMs: u.Overdue.Milliseconds(),
 			}
 		}),
-		Held: convert(r.Held, func(h capacity.Held) *peerv1.Held {
+		Held: convert(r.Held, func(h capacity.HeldGrant) *peerv1.Held {
 			return &peerv1.Held{
 				Attempt: toAttempt(h.Attempt),
 				Account: n.number(h.Account),
 				Targets: convert(h.Targets, func(id barleystep.TargetID) uint32 { return n.number(string(id)) }),
-				Prompt:  uint32(h.Prompt),
-				Output:  uint32(h.Output),
+				Prompt:  uint32(h.PromptTokens),
+				Output:  uint32(h.OutputTokens),
 				AgeMs:   now.Sub(h.Since).Milliseconds(),
-				Reading: h.Reading,
+				Reading: h.Prefilling,
 			}
 		}),
 	}
@@ -159,29 +159,29 @@
 func fromReport(k known, r *peerv1.Report, now time.Time) capacity.Report {
 	target := func(i uint32) barleystep.TargetID { return barleystep.TargetID(k.name(i)) }
 	return capacity.Report{
-		Box:    barleystep.BoxID(k.name(r.GetBox())),
-		Wanted: int(r.GetWanted()),
-		Uses: convert(r.GetUses(), func(u *peerv1.Use) capacity.Use {
-			return capacity.Use{
-				Target:   target(u.GetTarget()),
-				Reading:  int(u.GetReading()),
-				Memory:   int(u.GetMemory()),
-				Running:  int(u.GetRunning()),
-				Answers:  int(u.GetAnswers()),
-				Failures: int(u.GetFailures()),
-				Slow:     float64(u.GetSlow()),
-				Silent:   millis(u.GetSilentMs()),
+		Box:             barleystep.BoxID(k.name(r.GetBox())),
+		RequestedTokens: int(r.GetWanted()),
+		Uses: convert(r.GetUses(), func(u *peerv1.Use) capacity.CreditUse {
+			return capacity.CreditUse{
+				Target:        target(u.GetTarget()),
+				PrefillTokens: int(u.GetReading()),
+				KVTokens:      int(u.GetMemory()),
+				Running:       int(u.GetRunning()),
+				Answers:       int(u.GetAnswers()),
+				Failures:      int(u.GetFailures()),
+				Slowdown:      float64(u.GetSlow()),
+				Overdue:       millis(u.GetSilentMs()),
 			}
 		}),
-		Held: convert(r.GetHeld(), func(h *peerv1.Held) capacity.Held {
-			return capacity.Held{
-				Attempt: fromAttempt(h.GetAttempt()),
-				Account: k.name(h.GetAccount()),
-				Targets: convert(h.GetTargets(), target),
-				Prompt:  int(h.GetPrompt()),
-				Output:  int(h.GetOutput()),
-				Since:   now.Add(-millis(h.GetAgeMs())),
-				Reading: h.GetReading(),
+		Held: convert(r.GetHeld(), func(h *peerv1.Held) capacity.HeldGrant {
+			return capacity.HeldGrant{
+				Attempt:      fromAttempt(h.GetAttempt()),
+				Account:      k.name(h.GetAccount()),
+				Targets:      convert(h.GetTargets(), target),
+				PromptTokens: int(h.GetPrompt()),
+				OutputTokens: int(h.GetOutput()),
+				Since:        now.Add(-millis(h.GetAgeMs())),
+				Prefilling:   h.GetReading(),
 			}
 		}),
 	}
@@ -193,13 +193,13 @@
 		Credits: convert(c.Credits, func(c capacity.Credit) *peerv1.Credit {
 			return &peerv1.Credit{
 				Target:  n.number(string(c.Target)),
-				Reading: uint32(c.Reading),
-				Memory:  uint32(c.Memory),
-				Others:  uint32(c.Others),
-				Long:    uint32(c.Long),
+				Reading: uint32(c.PrefillTokens),
+				Memory:  uint32(c.KVTokens),
+				Others:  uint32(c.OtherPrefillTokens),
+				Long:    uint32(c.LongPrefillTokens),
 				Running: uint32(c.Running),
-				Rate:    float32(c.Rate),
-				Slow:    float32(c.Slow),
+				Rate:    float32(c.PrefillRate),
+				Slow:    float32(c.Slowdown),
 			}
 		}),
 	}
@@ -212,14 +212,14 @@
 		Until: now.Add(millis(r.GetLifeMs())),
 		Credits: convert(r.GetCredits(), func(c *peerv1.Credit) capacity.Credit {
 			return capacity.Credit{
-				Target:  barleystep.TargetID(k.name(c.GetTarget())),
-				Reading: int(c.GetReading()),
-				Memory:  int(c.GetMemory()),
-				Others:  int(c.GetOthers()),
-				Long:    int(c.GetLong()),
-				Running: int(c.GetRunning()),
-				Rate:    float64(c.GetRate()),
-				Slow:    float64(c.GetSlow()),
+				Target:             barleystep.TargetID(k.name(c.GetTarget())),
+				PrefillTokens:      int(c.GetReading()),
+				KVTokens:           int(c.GetMemory()),
+				OtherPrefillTokens: int(c.GetOthers()),
+				LongPrefillTokens:  int(c.GetLong()),
+				Running:            int(c.GetRunning()),
+				PrefillRate:        float64(c.GetRate()),
+				Slowdown:           float64(c.GetSlow()),
 			}
 		}),
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -107,13 +107,13 @@
 		Addr:  func(barleystep.BoxID) (string, bool) { return l.Addr().String(), true },
 		Base:  ctx,
 	}
-	endpoint.Load(pool, "e1", barleystep.Load{At: clock.System{}.Now(), TotalTokens: 100_000, FreeTokens: 100_000})
+	endpoint.UpdateLoad(pool, "e1", barleystep.Load{At: clock.System{}.Now(), TotalTokens: 100_000, FreeTokens: 100_000})
 	return e
 }
 
-func ask(n uint64) capacity.Ask {
+func ask(n uint64) capacity.GrantRequest {
 	now := clock.System{}.Now()
-	return capacity.Ask{Box: "b2", Weight: 1, Limit: 1, Demand: barleystep.Demand{
+	return capacity.GrantRequest{Box: "b2", Weight: 1, Limit: 1, Demand: barleystep.Demand{
 		Attempt: barleystep.NewAttemptID("b2", 7, n), Account: "conversia", Class: "normal", Model: pool,
 		PromptTokens: 20_000, MaxOutputTokens: 1_000, AdmittedAt: now, Deadline: now.Add(time.Hour), PrefixHashes: make([]uint64, 5),
 	}}
@@ -146,7 +146,7 @@
 			for n := uint64(1); n <= 3; n++ {
 				c.Assert(endpoint.Release(t.Context(), pool, ask(n).Demand.Attempt, barleystep.Usage{Outcome: barleystep.OutcomeDone, TimeToFirstEvent: 1}), quicktest.IsNil)
 			}
-			credits, err := endpoint.Report(t.Context(), pool, capacity.Report{Box: "b2", Wanted: 1_000})
+			credits, err := endpoint.Report(t.Context(), pool, capacity.Report{Box: "b2", RequestedTokens: 1_000})
 			c.Assert(err, quicktest.IsNil)
 			c.Assert(credits.Credits, quicktest.HasLen, 1)
 			c.Check(credits.Credits[0].Target, quicktest.Equals, barleystep.TargetID("e1"))
@@ -249,7 +249,7 @@
 		_ = endpoint.Release(ctx, pool, a.Demand.Attempt, barleystep.Usage{Outcome: barleystep.OutcomeDone, TimeToFirstEvent: 1})
 	}
 	report := func(uint64) {
-		_, err := endpoint.Report(ctx, pool, capacity.Report{Box: "b2", Uses: []capacity.Use{{Target: "e1", Running: 1, Reading: 5_000}}})
+		_, err := endpoint.Report(ctx, pool, capacity.Report{Box: "b2", Uses: []capacity.CreditUse{{Target: "e1", Running: 1, PrefillTokens: 5_000}}})
 		quicktest.Assert(b, err, quicktest.IsNil)
 	}
 	for name, f := range map[string]func(uint64){"grant": grant, "report": report} {
--- a/internal/trial/ours.go
+++ b/internal/trial/ours.go
@@ -51,9 +51,9 @@
 // found starts a dispenser that knows nothing yet.
 func (o *ours) found() {
 	o.dispenser = capacity.NewDispenser(o.settings, o.fleet.sim.Now())
-	var specs []capacity.Spec
+	var specs []capacity.TargetSpec
 	for _, e := range o.fleet.engines {
-		specs = append(specs, capacity.Spec{ID: e.id, Tokens: o.fleet.speed.Tokens, Rate: o.fleet.speed.Rate})
+		specs = append(specs, capacity.TargetSpec{ID: e.id, KVTokens: o.fleet.speed.Tokens, PrefillRate: o.fleet.speed.Rate})
 	}
 	o.dispenser.SetTargets(specs)
 	o.down = false
@@ -68,7 +68,7 @@
 	id := o.fleet.nextID(r.box)
 	d := r.demand(id)
 	if o.credits {
-		if target, ok := o.holders[r.box].Try(now, d); ok {
+		if target, ok := o.holders[r.box].TryStart(now, d); ok {
 			o.fleet.send(r, id, []barleystep.TargetID{target}, capacity.Priority(o.settings.Weighing, r.rank, r.prompt))
 			return
 		}
@@ -81,8 +81,8 @@
 		o.fleet.sim.After(takeOver, func() { o.ask(r, id) })
 		return
 	}
-	a := capacity.Ask{Demand: r.demand(id), Box: boxName(r.box), Weight: weightOf(r.account), Rank: r.rank, Limit: 1}
-	if o.dispenser.Ask(o.fleet.sim.Now(), a) != nil {
+	a := capacity.GrantRequest{Demand: r.demand(id), Box: boxName(r.box), Weight: weightOf(r.account), Rank: r.rank, Limit: 1}
+	if o.dispenser.Enqueue(o.fleet.sim.Now(), a) != nil {
 		r.refused = true
 		return
 	}
@@ -94,7 +94,7 @@
 	if o.down {
 		return
 	}
-	for _, g := range o.dispenser.Tick(o.fleet.sim.Now()) {
+	for _, g := range o.dispenser.Schedule(o.fleet.sim.Now()) {
 		r, ok := o.waiting[g.Attempt]
 		delete(o.waiting, g.Attempt)
 		switch {
@@ -109,15 +109,15 @@
 
 func (o *ours) start(r *request, g capacity.Grant) {
 	o.granted[g.Attempt] = true
-	o.holders[r.box].Hold(o.fleet.sim.Now(), r.demand(g.Attempt), g.Targets)
+	o.holders[r.box].AddGrant(o.fleet.sim.Now(), r.demand(g.Attempt), g.Targets)
 	o.fleet.send(r, g.Attempt, g.Targets, g.Priority)
 }
 
 func (o *ours) first(a *attempt) {
 	now := o.fleet.sim.Now()
-	o.holders[a.request.box].First(now, a.id)
+	o.holders[a.request.box].FirstToken(now, a.id)
 	if o.granted[a.id] && !o.down {
-		o.dispenser.First(now, a.id, 0)
+		o.dispenser.FirstToken(now, a.id, 0)
 		o.tick()
 	}
 }
@@ -141,7 +141,7 @@
 
 func (o *ours) load(id barleystep.TargetID, l barleystep.Load) {
 	if !o.down {
-		o.dispenser.Load(id, l)
+		o.dispenser.UpdateLoad(id, l)
 	}
 }
 
@@ -152,7 +152,7 @@
 	now := o.fleet.sim.Now()
 	for i, h := range o.holders {
 		if !o.dead[i] {
-			h.SetCredits(o.dispenser.Report(now, h.Report(now)))
+			h.SetCredits(o.dispenser.ApplyReport(now, h.Report(now)))
 		}
 	}
 }
@@ -162,7 +162,7 @@
 func (o *ours) boxDied(box int) {
 	o.dead[box] = true
 	if box != o.owner {
-		o.dispenser.Gone(o.fleet.sim.Now(), boxName(box))
+		o.dispenser.RemoveBox(o.fleet.sim.Now(), boxName(box))
 		return
 	}
 	o.down = true
