--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -27,7 +27,7 @@
 	Membership barleystep.Membership
 	Meter      *metric.Meter
 	// Every is the time between divisions; the default is 5 seconds.
-	Every time.Duration
+	Interval time.Duration
 
 	mu      sync.Mutex
 	buckets map[string]*bucket
@@ -94,11 +94,11 @@
 			own = n.Accounts[account]
 		}
 	}
-	return Part(own, sum, halls)
+	return HallShare(own, sum, halls)
 }
 
 // Part divides a rate: the least part evenly among the halls, the rest by need.
-func Part(own, sum float64, halls int) float64 {
+func HallShare(own, sum float64, halls int) float64 {
 	switch {
 	case halls <= 1:
 		return 1
@@ -111,15 +111,15 @@
 
 // Serve divides the rates anew at intervals until ctx ends.
 func (l *Limiter) Serve(ctx context.Context) error {
-	if l.Every == 0 {
-		l.Every = defaultEvery
+	if l.Interval == 0 {
+		l.Interval = defaultEvery
 	}
-	return clock.Repeat(ctx, l.Clock, l.Every, l.Round)
+	return clock.Repeat(ctx, l.Clock, l.Interval, l.Rebalance)
 }
 
 // Round writes the hall's needs, if that is this box's duty, and reads those of
 // all halls. Serve calls it; tests may.
-func (l *Limiter) Round(ctx context.Context) {
+func (l *Limiter) Rebalance(ctx context.Context) {
 	own := l.collect()
 	if l.writes() && len(own.Accounts) > 0 {
 		l.write(ctx, own)
@@ -149,7 +149,7 @@
 // collect takes what this box was asked for since the last round, times the
 // boxes of the hall: the balancer spreads callers evenly.
 func (l *Limiter) collect() needs {
-	every := l.Every
+	every := l.Interval
 	if every == 0 {
 		every = defaultEvery
 	}
--- a/internal/limit/limiter_test.go
+++ b/internal/limit/limiter_test.go
@@ -66,8 +66,8 @@
 	rounds := func(n int, limiters ...*limit.Limiter) (tokens int) {
 		for range n {
 			tokens += spend(clk, 200, 5, limiters...)
-			one.Round(ctx)
-			two.Round(ctx)
+			one.Rebalance(ctx)
+			two.Rebalance(ctx)
 		}
 		return tokens
 	}
