--- a/internal/capacity/dispenser.go
+++ b/internal/capacity/dispenser.go
@@ -22,7 +22,7 @@
 	holdings map[barleystep.AttemptID]*holding
 	lanes    [laneCount]queue.Fair[*waiter]
 	gangs    []*gang
-	prefixes place.Prefixes
+	prefixes place.PrefixIndex
 	pace     time.Duration // pace is the smoothed time per generated token.
 	expired  time.Time     // expired is when the queues were last searched for expired requests.
 }
@@ -270,7 +270,7 @@
 		long:    l != laneShort,
 	}
 	d.keep(h)
-	d.prefixes.Note(dem.PrefixHashes, ids[0])
+	d.prefixes.Record(dem.PrefixHashes, ids[0])
 	return Grant{
 		Attempt:  dem.Attempt,
 		Box:      w.ask.Box,
--- a/internal/capacity/holder.go
+++ b/internal/capacity/holder.go
@@ -16,7 +16,7 @@
 	credits  Credits
 	uses     map[barleystep.TargetID]*ownUse
 	running  map[barleystep.AttemptID]*run
-	prefixes place.Prefixes
+	prefixes place.PrefixIndex
 	wanted   int
 }
 
@@ -84,7 +84,7 @@
 		if c.Target == warm {
 			cached = int(part * float64(d.PromptTokens))
 		}
-		e := place.Expect(h.snapshot(c), d.PromptTokens, cached)
+		e := place.ExpectedTTFT(h.snapshot(c), d.PromptTokens, cached)
 		if best == "" || e < expected {
 			best, expected = c.Target, e
 		}
@@ -135,12 +135,12 @@
 func (h *Holder) snapshot(c Credit) place.Target {
 	u := h.use(c.Target)
 	return place.Target{
-		ID:      c.Target,
-		Rate:    c.PrefillRate,
-		Slow:    c.Slowdown,
-		Short:   c.OtherPrefillTokens + u.reading,
-		Long:    c.LongPrefillTokens,
-		Running: c.Running + u.running,
+		ID:                 c.Target,
+		PrefillRate:        c.PrefillRate,
+		Slowdown:           c.Slowdown,
+		ShortPrefillTokens: c.OtherPrefillTokens + u.reading,
+		LongPrefillTokens:  c.LongPrefillTokens,
+		Running:            c.Running + u.running,
 	}
 }
 
@@ -170,7 +170,7 @@
 		reading:  true,
 		granted:  granted,
 	}
-	h.prefixes.Note(d.PrefixHashes, targets[0])
+	h.prefixes.Record(d.PrefixHashes, targets[0])
 	if granted {
 		return
 	}
--- a/internal/capacity/lane.go
+++ b/internal/capacity/lane.go
@@ -98,7 +98,7 @@
 		if t.spec.ID == warm {
 			cached = int(part * float64(w.ask.Demand.PromptTokens))
 		}
-		e := place.Expect(t.snapshot(now), w.ask.Demand.PromptTokens, cached)
+		e := place.ExpectedTTFT(t.snapshot(now), w.ask.Demand.PromptTokens, cached)
 		if best == nil || e < bestTime {
 			best, bestTime = t, e
 		}
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -155,11 +155,11 @@
 	return Credit{
 		Target:             t.spec.ID,
 		PrefillTokens:      max(int(window*part), d.settings.MinPrefillCredit),
-		KVTokens:           max(int(float64(s.Free)*part), 0),
-		OtherPrefillTokens: s.Short,
-		LongPrefillTokens:  s.Long,
+		KVTokens:           max(int(float64(s.FreeKVTokens)*part), 0),
+		OtherPrefillTokens: s.ShortPrefillTokens,
+		LongPrefillTokens:  s.LongPrefillTokens,
 		Running:            s.Running,
-		PrefillRate:        s.Rate,
-		Slowdown:           s.Slow,
+		PrefillRate:        s.PrefillRate,
+		Slowdown:           s.Slowdown,
 	}
 }
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -225,12 +225,12 @@
 // snapshot returns the target as placement sees it.
 func (t *target) snapshot(now time.Time) place.Target {
 	return place.Target{
-		ID:      t.spec.ID,
-		Rate:    t.spec.PrefillRate,
-		Slow:    t.health.slowness(),
-		Short:   t.shortReading(),
-		Long:    t.sums.longReading,
-		Running: len(t.held) + t.useSums.Running,
-		Free:    t.free(now),
+		ID:                 t.spec.ID,
+		PrefillRate:        t.spec.PrefillRate,
+		Slowdown:           t.health.slowness(),
+		ShortPrefillTokens: t.shortReading(),
+		LongPrefillTokens:  t.sums.longReading,
+		Running:            len(t.held) + t.useSums.Running,
+		FreeKVTokens:       t.free(now),
 	}
 }
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -14,18 +14,18 @@
 type Target struct {
 	ID barleystep.TargetID
 	// Rate is the reading speed in tokens per second.
-	Rate float64
+	PrefillRate float64
 	// Slow is how much longer than expected the target has lately taken; 1 is
 	// as expected.
-	Slow float64
+	Slowdown float64
 	// Short and Long are the prompt tokens that wait to be read, ahead of a
 	// short and in addition ahead of a long prompt.
-	Short int
-	Long  int
+	ShortPrefillTokens int
+	LongPrefillTokens  int
 	// Running counts attempts.
 	Running int
 	// Free is the KV memory that may be used, in tokens.
-	Free int
+	FreeKVTokens int
 }
 
 // Delays that reading does not explain. Measured effects on the fake engine are
@@ -40,19 +40,19 @@
 
 // Expect returns the expected time to first token of a prompt at the target, of
 // which cached tokens need not be read.
-func Expect(t Target, prompt, cached int) time.Duration {
+func ExpectedTTFT(t Target, prompt, cached int) time.Duration {
 	long := barleystep.BandOf(prompt).Long()
-	ahead := t.Short
+	ahead := t.ShortPrefillTokens
 	if long {
-		ahead += t.Long
+		ahead += t.LongPrefillTokens
 	}
-	read := float64(ahead+max(prompt-cached, 0)) / t.Rate
+	read := float64(ahead+max(prompt-cached, 0)) / t.PrefillRate
 	d := time.Duration(read * float64(time.Second))
-	if !long && t.Long > 0 {
+	if !long && t.LongPrefillTokens > 0 {
 		d += besideLong
 	}
 	d += time.Duration(t.Running) * perRunning
-	return time.Duration(float64(d) * max(t.Slow, minimumSlow))
+	return time.Duration(float64(d) * max(t.Slowdown, minimumSlow))
 }
 
 const minimumSlow = 0.1
@@ -75,12 +75,12 @@
 	for i, id := range alive {
 		names[i] = string(id)
 	}
-	return barleystep.BoxID(Highest(key, names))
+	return barleystep.BoxID(HighestRanked(key, names))
 }
 
 // Highest returns the node with the highest rank for the key, "" if there are
 // no nodes.
-func Highest(key string, nodes []string) string {
+func HighestRanked(key string, nodes []string) string {
 	best, bestRank := "", uint64(0)
 	for _, n := range nodes {
 		r := Rank(key, n)
--- a/internal/place/prefix.go
+++ b/internal/place/prefix.go
@@ -8,9 +8,9 @@
 
 // Prefixes records which prompt prefixes were sent to which targets lately. It
 // forgets what was used longest ago. It is not safe for concurrent use.
-type Prefixes struct {
+type PrefixIndex struct {
 	// Limit bounds the number of prefixes; the default is 16,384.
-	Limit int
+	MaxEntries int
 
 	order  list.List
 	places map[uint64]*list.Element
@@ -25,7 +25,7 @@
 
 // Note records that a prompt with the prefixes was sent to the target. The
 // latest target of a prefix counts.
-func (p *Prefixes) Note(prefixes []uint64, target barleystep.TargetID) {
+func (p *PrefixIndex) Record(prefixes []uint64, target barleystep.TargetID) {
 	if p.places == nil {
 		p.places = make(map[uint64]*list.Element)
 	}
@@ -40,8 +40,8 @@
 	p.trim()
 }
 
-func (p *Prefixes) trim() {
-	limit := p.Limit
+func (p *PrefixIndex) trim() {
+	limit := p.MaxEntries
 	if limit == 0 {
 		limit = defaultPrefixes
 	}
@@ -53,7 +53,7 @@
 }
 
 // Forget drops what is known of a target, after it has lost its cache.
-func (p *Prefixes) Forget(target barleystep.TargetID) {
+func (p *PrefixIndex) Forget(target barleystep.TargetID) {
 	for e := p.order.Front(); e != nil; {
 		next := e.Next()
 		if place := e.Value.(prefixPlace); place.target == target {
@@ -67,7 +67,7 @@
 // Find returns the target that was sent the longest known prefix, and how much
 // of the prompt the prefix makes up, from 0 to 1. Prefixes must be those of the
 // prompt, shortest first.
-func (p *Prefixes) Find(prefixes []uint64) (target barleystep.TargetID, part float64) {
+func (p *PrefixIndex) Find(prefixes []uint64) (target barleystep.TargetID, part float64) {
 	for i := len(prefixes) - 1; i >= 0; i-- {
 		if e, ok := p.places[prefixes[i]]; ok {
 			return e.Value.(prefixPlace).target, portion(i, len(prefixes))
