--- a/internal/box/entry.go
+++ b/internal/box/entry.go
@@ -82,7 +82,7 @@
 func (e *Entry) leave(ctx context.Context) {
 	e.Log.Info().Msg(logPrefix + "Stopping. New callers are sent elsewhere.")
 	e.node.tracker.Leave()
-	e.server.Leave()
+	e.server.BeginShutdown()
 	clock.Sleep(ctx, e.Clock, e.Settings.Limits.Notice.Or(defaultNotice))
 	e.finish(ctx)
 }
@@ -95,7 +95,7 @@
 	grace := e.grace()
 	ending, cancel := clock.WithDeadline(ctx, e.Clock, e.Clock.Now().Add(grace-min(endMargin, grace/endPart)))
 	defer cancel()
-	defer context.AfterFunc(ending, e.server.End)()
+	defer context.AfterFunc(ending, e.server.CancelAll)()
 	ctx, cancel = clock.WithDeadline(ctx, e.Clock, e.Clock.Now().Add(grace))
 	defer cancel()
 	_ = e.top.RemoveAndWait(e.accepting, grace) // It has logged what it cut.
@@ -231,7 +231,7 @@
 	l := e.Settings.Limits
 	return &gate.Server{
 		Clock:         e.Clock,
-		Source:        e.node.source,
+		IDs:           e.node.source,
 		Configuration: e.node.follower,
 		Allocator:     a,
 		Targets:       t,
@@ -240,7 +240,7 @@
 		Meter:         e.meter,
 		Log:           e.Log,
 		Limits:        gate.Limits{Body: l.MaxBody, MinTime: time.Duration(l.MinTime), MaxTime: time.Duration(l.MaxTime)},
-		Stall:         time.Duration(l.StallTimeout),
+		StallTimeout:  time.Duration(l.StallTimeout),
 	}
 }
 
--- a/internal/box/status.go
+++ b/internal/box/status.go
@@ -18,7 +18,7 @@
 func (e *Entry) readyz(w http.ResponseWriter, _ *http.Request) {
 	v, confirmed := e.node.follower.View()
 	switch {
-	case e.server.Leaving():
+	case e.server.IsShuttingDown():
 		http.Error(w, fmt.Sprintf("stopping; %d requests run", e.Running()), http.StatusServiceUnavailable)
 	case v == nil:
 		http.Error(w, "no configuration yet", http.StatusServiceUnavailable)
--- a/internal/gate/attempt.go
+++ b/internal/gate/attempt.go
@@ -100,7 +100,7 @@
 	if err = r.run(ctx); err == nil {
 		r.usage.Outcome = barleystep.OutcomeDone
 		x.targetState = barleystep.OutcomeDone
-		a.estimator.Learn(x.prompt.model, x.prompt.textBytes, r.usage.PromptTokens)
+		a.estimator.Observe(x.prompt.model, x.prompt.textBytes, r.usage.PromptTokens)
 		return nil
 	}
 	if ctx.Err() == nil {
@@ -117,7 +117,7 @@
 		return &retryError{barleystep.ReasonTargetRefused, target, err}
 	}
 	for _, id := range r.allotment.Group() {
-		a.canceller.Add(id, r.id)
+		a.canceller.Enqueue(id, r.id)
 	}
 	if !x.repeatable {
 		x.targetState = barleystep.OutcomeUnknown
--- a/internal/gate/bench_test.go
+++ b/internal/gate/bench_test.go
@@ -68,7 +68,7 @@
 	configuration := config.NewFixed(view)
 	s = &gate.Server{
 		Clock:         clock.System{},
-		Source:        identity.NewGenerator("b", 1),
+		IDs:           identity.NewGenerator("b", 1),
 		Configuration: configuration,
 		Allocator:     allocator,
 		Targets:       &engine.Pool{Configuration: configuration},
--- a/internal/gate/cancel.go
+++ b/internal/gate/cancel.go
@@ -41,7 +41,7 @@
 func NewCanceller() *Canceller { return &Canceller{queue: make(chan cancellation, cancelQueue)} }
 
 // Add asks for the attempt to be cancelled. It does not wait.
-func (c *Canceller) Add(target barleystep.TargetID, id barleystep.AttemptID) {
+func (c *Canceller) Enqueue(target barleystep.TargetID, id barleystep.AttemptID) {
 	select {
 	case c.queue <- cancellation{target, id}:
 	default:
--- a/internal/gate/prompt.go
+++ b/internal/gate/prompt.go
@@ -126,7 +126,7 @@
 }
 
 // Learn corrects the model's bytes per token by one report of usage.
-func (e *Estimator) Learn(model string, textBytes, tokens int) {
+func (e *Estimator) Observe(model string, textBytes, tokens int) {
 	if textBytes <= 0 || tokens <= 0 {
 		return
 	}
--- a/internal/gate/server.go
+++ b/internal/gate/server.go
@@ -23,7 +23,7 @@
 // with a default may be left out.
 type Server struct {
 	Clock         barleystep.Clock
-	Source        *identity.Generator
+	IDs           *identity.Generator
 	Configuration config.Source
 	Allocator     barleystep.Allocator
 	Targets       Targets
@@ -40,7 +40,7 @@
 	Limits  Limits
 	// Stall is how long a target may send nothing in the midst of an answer; the
 	// default is 20 seconds.
-	Stall time.Duration
+	StallTimeout time.Duration
 
 	estimator Estimator
 	pipeline  Pipeline
@@ -55,11 +55,11 @@
 
 // Handler wires the stages and returns the handler for callers.
 func (s *Server) Handler() http.Handler {
-	if s.Stall == 0 {
-		s.Stall = defaultStall
+	if s.StallTimeout == 0 {
+		s.StallTimeout = defaultStall
 	}
 	s.ending, s.end = context.WithCancel(context.Background())
-	d := &dispatch{clock: s.Clock, targets: s.Targets, meter: s.Meter, stall: s.Stall}
+	d := &dispatch{clock: s.Clock, targets: s.Targets, meter: s.Meter, stall: s.StallTimeout}
 	s.pipeline = Pipeline{
 		&settle{clock: s.Clock, meter: s.Meter, log: s.Log},
 		authenticate{},
@@ -69,7 +69,7 @@
 		&claimOnce{book: s.Claims},
 		&attempt{
 			clock:     s.Clock,
-			source:    s.Source,
+			source:    s.IDs,
 			allocator: s.Allocator,
 			dispatch:  d,
 			canceller: s.Canceller,
@@ -90,14 +90,14 @@
 
 // Leave marks the box as stopping: callers' connections are closed after the
 // answers that are under way, so that they connect elsewhere.
-func (s *Server) Leave() { s.leaving.Store(true) }
+func (s *Server) BeginShutdown() { s.leaving.Store(true) }
 
 // End answers all requests that are still being served, and that still come: those that no
 // target has run are refused as such.
-func (s *Server) End() { s.end() }
+func (s *Server) CancelAll() { s.end() }
 
 // Leaving reports whether Leave was called.
-func (s *Server) Leaving() bool { return s.leaving.Load() }
+func (s *Server) IsShuttingDown() bool { return s.leaving.Load() }
 
 func (s *Server) complete(w http.ResponseWriter, r *http.Request) {
 	s.serve(w, r, &Exchange{path: r.URL.Path})
@@ -141,12 +141,12 @@
 func (s *Server) begin(w http.ResponseWriter, r *http.Request, x *Exchange) (ok bool) {
 	x.w = w
 	x.r = r
-	x.id = s.Source.NextRequest()
+	x.id = s.IDs.NextRequest()
 	x.started = s.Clock.Now()
 	x.answer = newAnswer(w)
 	x.answer.limit(s.Clock, x.started.Add(s.Limits.withDefaults().MaxTime))
 	w.Header().Set(HeaderRequest, x.id)
-	if s.Leaving() {
+	if s.IsShuttingDown() {
 		w.Header().Set("Connection", "close")
 	}
 	view, confirmed := s.Configuration.View()
--- a/internal/gate/stop_test.go
+++ b/internal/gate/stop_test.go
@@ -53,7 +53,7 @@
 			req.Header.Set(gate.HeaderTimeLimit, "30s")
 			go func() {
 				<-begun
-				s.End()
+				s.CancelAll()
 			}()
 			resp, err := http.DefaultClient.Do(req)
 			c.Assert(err, quicktest.IsNil)
