--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -31,8 +31,8 @@
 	HTTP *http.Client
 	// Fresh opens a connection for each attempt, so that a connection that the
 	// target closed while idle cannot leave the attempt's fate open.
-	Fresh      bool
-	EventLimit int // EventLimit bounds one event in bytes; the default is 1 MiB.
+	NewConnPerAttempt bool
+	MaxEventSize      int // EventLimit bounds one event in bytes; the default is 1 MiB.
 }
 
 const defaultEventLimit = 1 << 20
@@ -101,7 +101,7 @@
 		return nil, err
 	}
 	req.ContentLength = int64(len(a.Body))
-	req.Close = c.Fresh
+	req.Close = c.NewConnPerAttempt
 	setHeaders(req.Header, a)
 	return req, nil
 }
@@ -116,7 +116,7 @@
 		h.Set(HeaderDeadline, a.Deadline.UTC().Format(DeadlineLayout))
 	}
 	if a.ResumeFrom > 0 {
-		h.Set(HeaderFrom, strconv.FormatUint(a.ResumeFrom, 10))
+		h.Set(HeaderResumeFrom, strconv.FormatUint(a.ResumeFrom, 10))
 	}
 	if len(a.Group) > 1 {
 		h.Set(HeaderGroup, joinTargets(a.Group))
@@ -148,10 +148,10 @@
 }
 
 func (c *Client) eventLimit() int {
-	if c.EventLimit == 0 {
+	if c.MaxEventSize == 0 {
 		return defaultEventLimit
 	}
-	return c.EventLimit
+	return c.MaxEventSize
 }
 
 // Cancel ends the attempt at the target.
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -49,7 +49,7 @@
 	defer p.mu.Unlock()
 	c, ok := p.byURL[k]
 	if !ok {
-		c = &Client{URL: k.url, HTTP: p.http, Fresh: k.fresh}
+		c = &Client{URL: k.url, HTTP: p.http, NewConnPerAttempt: k.fresh}
 		p.byURL[k] = c
 	}
 	return c
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -67,7 +67,7 @@
 			return barleystep.Event{}, eris.Wrapf(barleystep.ErrBrokenStream, "event %d came in place of %d", number, s.want)
 		}
 		s.want++
-		s.ended = e.Data == Done
+		s.ended = e.Data == DoneData
 		return barleystep.NewEvent(number, []byte(e.Data), s.ended), nil
 	}
 }
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -9,7 +9,7 @@
 	// HeaderAttempt carries the attempt id; the target echoes it.
 	HeaderAttempt = "Barleystep-Attempt"
 	// HeaderFrom asks for the events from a number on; absent starts an attempt.
-	HeaderFrom = "Barleystep-From"
+	HeaderResumeFrom = "Barleystep-From"
 	// HeaderPriority orders work inside an engine, lower first.
 	HeaderPriority = "Barleystep-Priority"
 	// HeaderDeadline is the time by which the engine drops the attempt.
@@ -33,7 +33,7 @@
 )
 
 // Done is the data of the event that closes a streamed answer.
-const Done = "[DONE]"
+const DoneData = "[DONE]"
 
 // DeadlineLayout is the format of HeaderDeadline.
 const DeadlineLayout = time.RFC3339Nano
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -201,7 +201,7 @@
 	if err != nil {
 		return
 	}
-	from, resume := strconv.ParseUint(r.Header.Get(engine.HeaderFrom), 10, 64)
+	from, resume := strconv.ParseUint(r.Header.Get(engine.HeaderResumeFrom), 10, 64)
 	fault := FaultNone
 	if resume != nil {
 		from = 1
@@ -387,7 +387,7 @@
 	}
 	usage := fmt.Sprintf(`{"id":%q,"object":"chat.completion.chunk","choices":[],"usage":{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d}}`,
 		id, prompt, output, prompt+output)
-	return append(events, usage, engine.Done)
+	return append(events, usage, engine.DoneData)
 }
 
 func chunk(id, path, text string) string {
