--- a/internal/object/memory.go
+++ b/internal/object/memory.go
@@ -16,7 +16,7 @@
 type Memory struct {
 	// Fail is asked before each call; an error is returned in the call's place.
 	// Nil fails nothing.
-	Fail func(op, name string) error
+	FaultFunc func(op, name string) error
 
 	mu      sync.Mutex
 	objects map[string][]byte
@@ -64,8 +64,8 @@
 }
 
 func (m *Memory) fail(op, name string) error {
-	if m.Fail == nil {
+	if m.FaultFunc == nil {
 		return nil
 	}
-	return m.Fail(op, name)
+	return m.FaultFunc(op, name)
 }
--- a/internal/object/object_test.go
+++ b/internal/object/object_test.go
@@ -22,7 +22,7 @@
 		"memory": func(down bool) barleystep.ObjectStore {
 			m := &object.Memory{}
 			if down {
-				m.Fail = func(string, string) error { return barleystep.ErrUnavailable }
+				m.FaultFunc = func(string, string) error { return barleystep.ErrUnavailable }
 			}
 			return m
 		},
