--- a/internal/policy/program.go
+++ b/internal/policy/program.go
@@ -22,7 +22,7 @@
 	// each ten bytes that are made.
 	MaxCost = 10_000
 	// MaxProgram bounds the text of a program, in bytes.
-	MaxProgram = 16 << 10
+	MaxProgramSize = 16 << 10
 )
 
 // Input is all that a program can read.
@@ -65,8 +65,8 @@
 			err = eris.Wrapf(err, "policy %q", name)
 		}
 	}()
-	if len(text) > MaxProgram {
-		return nil, eris.Errorf("program has %d bytes; at most %d are allowed", len(text), MaxProgram)
+	if len(text) > MaxProgramSize {
+		return nil, eris.Errorf("program has %d bytes; at most %d are allowed", len(text), MaxProgramSize)
 	}
 	env, err := newEnv()
 	if err != nil {
--- a/internal/policy/program_test.go
+++ b/internal/policy/program_test.go
@@ -28,7 +28,7 @@
 		"weight of zero":   {`{"weight": 0}`, policy.Share{}, `.*must be above 0`},
 		"limit above one":  {`{"limit": 1.5}`, policy.Share{}, `.*at most 1`},
 		"division by zero": {`{"weight": 1 / (rank - 1)}`, policy.Share{}, `.*division by zero`},
-		"too long":         {strings.Repeat(" ", policy.MaxProgram+1), policy.Share{}, `.*at most 16384 are allowed`},
+		"too long":         {strings.Repeat(" ", policy.MaxProgramSize+1), policy.Share{}, `.*at most 16384 are allowed`},
 		"too much memory":  {`[1,2,3,4,5,6,7,8].map(a, [1,2,3,4,5,6,7,8].map(b, [1,2,3,4,5,6,7,8].map(c, [1,2,3,4,5,6,7,8].map(d, account + account)))).size() > 0 ? {} : {}`, policy.Share{}, `.*cost limit.*`},
 	}
 	for name, tc := range cases {
