--- a/internal/member/state.go
+++ b/internal/member/state.go
@@ -11,7 +11,7 @@
 // Settings tunes the detection. The zero value takes the defaults.
 type Settings struct {
 	// Every is the time between heartbeats; the default is 500 ms.
-	Every time.Duration
+	HeartbeatInterval time.Duration
 	// SuspectAfter is how long a watched box may be silent; the default is five
 	// heartbeats.
 	SuspectAfter time.Duration
@@ -37,14 +37,14 @@
 )
 
 func (s Settings) withDefaults() Settings {
-	if s.Every == 0 {
-		s.Every = defaultEvery
+	if s.HeartbeatInterval == 0 {
+		s.HeartbeatInterval = defaultEvery
 	}
 	if s.SuspectAfter == 0 {
-		s.SuspectAfter = defaultBeats * s.Every
+		s.SuspectAfter = defaultBeats * s.HeartbeatInterval
 	}
 	if s.DeadAfter == 0 {
-		s.DeadAfter = defaultBeats * s.Every
+		s.DeadAfter = defaultBeats * s.HeartbeatInterval
 	}
 	if s.ForgetAfter == 0 {
 		s.ForgetAfter = defaultForget
@@ -96,7 +96,7 @@
 // List takes in the platform's list of boxes. It only adds: the list lags, and
 // the heartbeats say who is alive. Boxes that are not listed and dead for long
 // are forgotten.
-func (s *State) List(now time.Time, boxes []barleystep.Box) {
+func (s *State) MergeList(now time.Time, boxes []barleystep.Box) {
 	listed := make(map[barleystep.BoxID]bool)
 	for _, b := range boxes {
 		if b.Hall() != s.hall || b.ID() == s.self.Box {
@@ -122,7 +122,7 @@
 func (s *State) Leave() { s.self.Status = StatusLeaving }
 
 // Receive takes in a heartbeat.
-func (s *State) Receive(now time.Time, b Beat) {
+func (s *State) Receive(now time.Time, b Heartbeat) {
 	if b.Hall != s.hall || b.From.Box == s.self.Box {
 		return
 	}
@@ -143,7 +143,7 @@
 // revive believes a suspect that is heard directly more than the update. A dead
 // box has to raise its number first, so that all hear of it.
 func (s *State) revive(now time.Time, p *peer, word Update) {
-	if p.Status == StatusSuspect && p.Number == word.Number {
+	if p.Status == StatusSuspect && p.Sequence == word.Sequence {
 		p.Status = word.Status
 		p.since = now
 		p.told = 0
@@ -194,8 +194,8 @@
 
 // contradict answers an update that this incarnation is suspect or dead.
 func (s *State) contradict(r Update) {
-	if r.Incarnation == s.self.Incarnation && r.Status >= StatusSuspect && r.Number >= s.self.Number {
-		s.self.Number = r.Number + 1
+	if r.Incarnation == s.self.Incarnation && r.Status >= StatusSuspect && r.Sequence >= s.self.Sequence {
+		s.self.Sequence = r.Sequence + 1
 	}
 }
 
@@ -207,8 +207,8 @@
 		return r.Status != StatusUnheard
 	case r.Incarnation != known.Incarnation:
 		return r.Incarnation > known.Incarnation
-	case r.Number != known.Number:
-		return r.Number > known.Number
+	case r.Sequence != known.Sequence:
+		return r.Sequence > known.Sequence
 	default:
 		return r.Status > known.Status
 	}
@@ -236,7 +236,7 @@
 }
 
 func (s *State) message(p *peer, updates []Update) Message {
-	return Message{To: p.Box, Addr: p.Addr, Beat: Beat{From: s.self, Hall: s.hall, Updates: updates}}
+	return Message{To: p.Box, Addr: p.Addr, Heartbeat: Heartbeat{From: s.self, Hall: s.hall, Updates: updates}}
 }
 
 // probeEvery is how many heartbeats pass between two probes.
--- a/internal/member/state_test.go
+++ b/internal/member/state_test.go
@@ -43,7 +43,7 @@
 // boot starts a box, anew if it ran before.
 func (h *hall) boot(b barleystep.BoxID, inc barleystep.Incarnation) {
 	s := member.NewState(member.Settings{}, member.Update{Box: b, Addr: "addr", Incarnation: inc}, "h")
-	s.List(h.now, h.list)
+	s.MergeList(h.now, h.list)
 	h.states[b] = s
 }
 
@@ -65,7 +65,7 @@
 		for i, m := range messages {
 			s, ok := h.states[m.To]
 			if ok && !h.frozen[m.To] && (h.cut == nil || !h.cut(from[i], m.To)) {
-				s.Receive(h.now, m.Beat)
+				s.Receive(h.now, m.Heartbeat)
 			}
 		}
 	}
--- a/internal/member/tracker.go
+++ b/internal/member/tracker.go
@@ -16,9 +16,9 @@
 // once is dropped.
 type Sender interface {
 	// Beat sends one heartbeat.
-	Beat(to barleystep.BoxID, addr string, b Beat)
+	SendHeartbeat(to barleystep.BoxID, addr string, b Heartbeat)
 	// Keep ends what is open towards all but the given addresses.
-	Keep(addrs map[string]bool)
+	CloseExcept(addrs map[string]bool)
 }
 
 // Tracker runs a State: it sends heartbeats, takes them in and reads the
@@ -36,7 +36,7 @@
 	// OnGone is called for each box that has died or was replaced; may be nil.
 	OnGone func(barleystep.BoxID)
 	// ListEvery is the time between reads of the list; the default is 5 seconds.
-	ListEvery time.Duration
+	ListInterval time.Duration
 
 	mu      sync.Mutex
 	state   *State
@@ -60,13 +60,13 @@
 
 // Serve runs until ctx ends.
 func (t *Tracker) Serve(ctx context.Context) error {
-	if t.ListEvery == 0 {
-		t.ListEvery = defaultListEvery
+	if t.ListInterval == 0 {
+		t.ListInterval = defaultListEvery
 	}
 	go t.list(ctx)
 	for {
 		t.tick()
-		if !clock.Sleep(ctx, t.Clock, t.Settings.withDefaults().Every) {
+		if !clock.Sleep(ctx, t.Clock, t.Settings.withDefaults().HeartbeatInterval) {
 			return ctx.Err()
 		}
 	}
@@ -76,10 +76,10 @@
 	for {
 		if boxes, err := t.Boxes.Boxes(ctx); err == nil {
 			t.mu.Lock()
-			t.locked().List(t.Clock.Now(), boxes)
+			t.locked().MergeList(t.Clock.Now(), boxes)
 			t.mu.Unlock()
 		}
-		if !clock.Sleep(ctx, t.Clock, t.ListEvery) {
+		if !clock.Sleep(ctx, t.Clock, t.ListInterval) {
 			return
 		}
 	}
@@ -93,14 +93,14 @@
 	addrs := make(map[string]bool, len(messages))
 	for _, m := range messages {
 		addrs[m.Addr] = true
-		t.Sender.Beat(m.To, m.Addr, m.Beat)
+		t.Sender.SendHeartbeat(m.To, m.Addr, m.Heartbeat)
 	}
-	t.Sender.Keep(addrs)
+	t.Sender.CloseExcept(addrs)
 	t.announce(events)
 }
 
 // Receive takes in a heartbeat of another box.
-func (t *Tracker) Receive(b Beat) {
+func (t *Tracker) Receive(b Heartbeat) {
 	t.mu.Lock()
 	t.locked().Receive(t.Clock.Now(), b)
 	events := t.state.Events()
--- a/internal/member/update.go
+++ b/internal/member/update.go
@@ -35,12 +35,12 @@
 	Addr        string
 	Incarnation barleystep.Incarnation
 	// Number grows whenever the box contradicts an update about itself.
-	Number uint64
-	Status Status
+	Sequence uint64
+	Status   Status
 }
 
 // Beat is one heartbeat.
-type Beat struct {
+type Heartbeat struct {
 	From    Update // From is the sender's word on itself.
 	Hall    barleystep.HallID
 	Updates []Update
@@ -48,9 +48,9 @@
 
 // Message is a heartbeat and where it goes.
 type Message struct {
-	To   barleystep.BoxID
-	Addr string
-	Beat Beat
+	To        barleystep.BoxID
+	Addr      string
+	Heartbeat Heartbeat
 }
 
 // updates returns the news that was passed on least often so far. Each change
--- a/internal/peer/beat.go
+++ b/internal/peer/beat.go
@@ -9,7 +9,7 @@
 
 // beatStream sends heartbeats to one address over one long-lived stream.
 type beatStream struct {
-	queue  chan member.Beat
+	queue  chan member.Heartbeat
 	cancel context.CancelFunc
 }
 
@@ -19,7 +19,7 @@
 
 // Beat sends a heartbeat. It does not wait: a heartbeat that can't be sent at
 // once is dropped, which is what its absence has to tell.
-func (c *Client) Beat(_ barleystep.BoxID, addr string, b member.Beat) {
+func (c *Client) SendHeartbeat(_ barleystep.BoxID, addr string, b member.Heartbeat) {
 	if addr == "" {
 		return
 	}
@@ -38,7 +38,7 @@
 		return s
 	}
 	ctx, cancel := context.WithCancel(c.Base)
-	s := &beatStream{queue: make(chan member.Beat, beatQueue), cancel: cancel}
+	s := &beatStream{queue: make(chan member.Heartbeat, beatQueue), cancel: cancel}
 	c.streams[addr] = s
 	go c.run(ctx, addr, s)
 	return s
@@ -72,7 +72,7 @@
 
 // Keep closes the heartbeat streams to all but the given addresses. Neighbours
 // change as boxes come and go.
-func (c *Client) Keep(addrs map[string]bool) {
+func (c *Client) CloseExcept(addrs map[string]bool) {
 	c.init()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/peer/bench_internal_test.go
+++ b/internal/peer/bench_internal_test.go
@@ -33,15 +33,15 @@
 			for i, box := range list {
 				self := member.Update{Box: box.ID(), Addr: box.Addr(), Incarnation: barleystep.Incarnation(1<<60 + i)}
 				states[box.ID()] = member.NewState(member.Settings{}, self, "cluj-hala1")
-				states[box.ID()].List(now, list)
+				states[box.ID()].MergeList(now, list)
 			}
 			at := now
 			tick := func() (bytes int) {
 				at = at.Add(500 * time.Millisecond)
 				for _, box := range list {
 					for _, m := range states[box.ID()].Tick(at) {
-						bytes += proto.Size(toBeat(m.Beat)) + framing
-						states[m.To].Receive(at, m.Beat)
+						bytes += proto.Size(toBeat(m.Heartbeat)) + framing
+						states[m.To].Receive(at, m.Heartbeat)
 					}
 				}
 				return bytes
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -239,30 +239,30 @@
 	return barleystep.Usage{Outcome: outcome, TimeToFirstEvent: millis(r.GetFirstMs()), AtCapacity: r.GetFull()}
 }
 
-func toBeat(b member.Beat) *peerv1.Beat {
+func toBeat(b member.Heartbeat) *peerv1.Beat {
 	return &peerv1.Beat{
 		Box:         string(b.From.Box),
 		Hall:        string(b.Hall),
 		Addr:        b.From.Addr,
 		Incarnation: uint64(b.From.Incarnation),
-		Number:      b.From.Number,
+		Number:      b.From.Sequence,
 		Leaving:     b.From.Status == member.StatusLeaving,
 		Updates:     convert(b.Updates, toMemberUpdate),
 	}
 }
 
-func fromBeat(b *peerv1.Beat) member.Beat {
+func fromBeat(b *peerv1.Beat) member.Heartbeat {
 	status := member.StatusAlive
 	if b.GetLeaving() {
 		status = member.StatusLeaving
 	}
-	return member.Beat{
+	return member.Heartbeat{
 		Hall: barleystep.HallID(b.GetHall()),
 		From: member.Update{
 			Box:         barleystep.BoxID(b.GetBox()),
 			Addr:        b.GetAddr(),
 			Incarnation: barleystep.Incarnation(b.GetIncarnation()),
-			Number:      b.GetNumber(),
+			Sequence:    b.GetNumber(),
 			Status:      status,
 		},
 		Updates: convert(b.GetUpdates(), fromMemberUpdate),
@@ -274,7 +274,7 @@
 		Box:         string(r.Box),
 		Addr:        r.Addr,
 		Incarnation: uint64(r.Incarnation),
-		Number:      r.Number,
+		Number:      r.Sequence,
 		Status:      peerv1.Status(r.Status),
 	}
 }
@@ -284,7 +284,7 @@
 		Box:         barleystep.BoxID(r.GetBox()),
 		Addr:        r.GetAddr(),
 		Incarnation: barleystep.Incarnation(r.GetIncarnation()),
-		Number:      r.GetNumber(),
+		Sequence:    r.GetNumber(),
 		Status:      fromStatus(r.GetStatus()),
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -55,10 +55,10 @@
 }
 
 // ears takes in heartbeats.
-type ears struct{ heard chan member.Beat }
+type ears struct{ heard chan member.Heartbeat }
 
 // Receive passes the heartbeat on.
-func (e ears) Receive(b member.Beat) { e.heard <- b }
+func (e ears) Receive(b member.Heartbeat) { e.heard <- b }
 
 // Members returns one box.
 func (e ears) Members() []member.Update { return []member.Update{{Box: "b1", Incarnation: 1}} }
@@ -84,7 +84,7 @@
 	follower := &version.Follower{Clock: clock.System{}, Meter: metric.Discard()}
 	c.Assert(follower.Load(version.Increment{Version: 1, Change: d.Entries(), Digest: d.Digest()}), quicktest.IsNil)
 	endpoint := &capacity.LocalEndpoint{Clock: clock.System{}, Hall: "h", Configuration: follower, Meter: metric.Discard()}
-	e := &end{endpoint: endpoint, follower: follower, ears: ears{make(chan member.Beat, 100)}, table: &table.Faulty{Table: &table.Memory{}}}
+	e := &end{endpoint: endpoint, follower: follower, ears: ears{make(chan member.Heartbeat, 100)}, table: &table.Faulty{Table: &table.Memory{}}}
 	server := &peer.Server{
 		Auth:  peer.Auth{Secret: serverSecret, Box: "b1", Clock: clock.System{}},
 		Clock: clock.System{}, Endpoint: endpoint, Receiver: e.ears, Follower: follower, Table: e.table,
@@ -185,8 +185,8 @@
 	e := newEnd(t, "s", "s")
 	addr := e.wire.Addr().String()
 	for n := range uint64(2) {
-		e.client.Beat("b1", addr, member.Beat{From: member.Update{Box: "b2", Incarnation: 7, Number: n}, Hall: "h"})
-		c.Check((<-e.ears.heard).From.Number, quicktest.Equals, n)
+		e.client.SendHeartbeat("b1", addr, member.Heartbeat{From: member.Update{Box: "b2", Incarnation: 7, Sequence: n}, Hall: "h"})
+		c.Check((<-e.ears.heard).From.Sequence, quicktest.Equals, n)
 	}
 	u, _ := e.client.Upstream("b1")
 	other := &version.Follower{Clock: clock.System{}, Meter: metric.Discard()}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -20,7 +20,7 @@
 // Receiver takes in heartbeats and tells who is alive.
 type Receiver interface {
 	// Receive takes in one heartbeat.
-	Receive(b member.Beat)
+	Receive(b member.Heartbeat)
 	// Members returns what is known of the boxes of the hall.
 	Members() []member.Update
 }
