--- a/internal/admin/service.go
+++ b/internal/admin/service.go
@@ -57,7 +57,7 @@
 		return refused(connect.CodeInvalidArgument, "%s", err.Error())
 	case eris.Is(err, version.ErrNotAccepted):
 		return refused(connect.CodeUnavailable, "The table service did not take it; nothing was and nothing will be changed. Try again later.")
-	case eris.Is(err, version.ErrUnknown):
+	case eris.Is(err, version.ErrUnknownOutcome):
 		return refused(connect.CodeUnknown, "The table service did not say whether it was accepted. Submit again with the same id.")
 	case eris.Is(err, version.ErrNoVersion):
 		return refused(connect.CodeNotFound, "There is no such version.")
@@ -82,7 +82,7 @@
 	if view, _ := s.Follower.View(); view != nil && view.Version() == v {
 		return view.Document(), nil
 	}
-	d, err := s.Store.At(ctx, v)
+	d, err := s.Store.DocumentAt(ctx, v)
 	if err != nil {
 		return config.Document{}, fault(err, 0)
 	}
--- a/internal/admin/service_test.go
+++ b/internal/admin/service_test.go
@@ -57,7 +57,7 @@
 func newServer(t *testing.T) *server {
 	c := quicktest.New(t)
 	s := &server{table: &table.Faulty{Table: &table.Memory{}}, dir: t.TempDir()}
-	store := &version.Store{Table: s.table, Objects: &object.Memory{}, Clock: clock.System{}, Meter: metric.Discard(), Patience: 200 * time.Millisecond}
+	store := &version.Store{Table: s.table, Objects: &object.Memory{}, Clock: clock.System{}, Meter: metric.Discard(), SubmitTimeout: 200 * time.Millisecond}
 	f, err := config.ParseFile([]byte(base))
 	c.Assert(err, quicktest.IsNil)
 	d, err := f.Document()
@@ -65,7 +65,7 @@
 	_, err = store.Submit(context.Background(), config.Document{}, version.Submission{ID: "first", Document: d})
 	c.Assert(err, quicktest.IsNil)
 	follower := &version.Follower{Clock: clock.System{}, Meter: metric.Discard()}
-	c.Assert(follower.Load(version.Increment{Version: 1, Change: d.Entries(), Digest: d.Digest()}), quicktest.IsNil)
+	c.Assert(follower.Load(version.Increment{Version: 1, Changes: d.Entries(), Digest: d.Digest()}), quicktest.IsNil)
 	service := &admin.Service{
 		Clock: clock.System{}, Store: store, Follower: follower, Boxes: &standin.BoxList{},
 		Targets: &engine.Pool{Configuration: follower}, Log: &log.Logger{Level: log.PanicLevel},
--- a/internal/admin/versions.go
+++ b/internal/admin/versions.go
@@ -97,7 +97,7 @@
 			Reason:  inc.Reason,
 			At:      inc.At.UTC().Format(time.RFC3339),
 			Id:      inc.ID,
-			Changes: int32(len(inc.Change)),
+			Changes: int32(len(inc.Changes)),
 		})
 	}
 	return connect.NewResponse(resp), nil
--- a/internal/box/admin.go
+++ b/internal/box/admin.go
@@ -52,7 +52,7 @@
 		Store:      store,
 		Follower:   a.follower,
 		Membership: member.NewFixed(self),
-		Peer:       func(barleystep.BoxID) (version.Upstream, bool) { return nil, false },
+		Upstream:   func(barleystep.BoxID) (version.Upstream, bool) { return nil, false },
 		Meter:      meter,
 		Log:        a.Log,
 	}
--- a/internal/box/keeper.go
+++ b/internal/box/keeper.go
@@ -57,7 +57,7 @@
 	targets := &engine.Pool{Configuration: follower}
 	top := supervisor.New("keeper", k.Log, 0)
 	for _, s := range []suture.Service{
-		&version.Follow{Clock: k.Clock, Follower: follower, Upstream: func() (version.Upstream, bool) { return client.Upstream(id) }, Meter: k.Meter},
+		&version.Subscriber{Clock: k.Clock, Follower: follower, Upstream: func() (version.Upstream, bool) { return client.Upstream(id) }, Meter: k.Meter},
 		watcher,
 		&keeper.Cleaner{
 			Clock: k.Clock, Box: id, Hall: hall, Configuration: follower, Targets: targets, Watcher: watcher, Meter: k.Meter, Log: k.Log,
--- a/internal/box/node.go
+++ b/internal/box/node.go
@@ -70,7 +70,7 @@
 		Store:      &version.Store{Table: n.table, Objects: n.objects, Clock: n.clock, Meter: n.meter},
 		Follower:   n.follower,
 		Membership: n.tracker,
-		Peer:       n.client.Upstream,
+		Upstream:   n.client.Upstream,
 		Meter:      n.meter,
 		Log:        n.log,
 	}
--- a/internal/peer/bench_internal_test.go
+++ b/internal/peer/bench_internal_test.go
@@ -91,7 +91,7 @@
 	body := []byte(`{"id":"cluj-hala1-t001","hall":"cluj-hala1","url":"http://10.20.30.41:8000","model":"document-reader-large","drain":true}`)
 	inc := version.Increment{
 		Version: 123_456, ID: "01890a5d-ac96-774b-bcce-b302099a8057", Author: "operator", Reason: "drain for maintenance",
-		At: now, Digest: config.HashKey(""), Change: []config.Change{{Kind: config.KindTarget, Name: "cluj-hala1-t001", Body: body}},
+		At: now, Digest: config.HashKey(""), Changes: []config.Change{{Kind: config.KindTarget, Name: "cluj-hala1-t001", Body: body}},
 	}
 	change, confirm := 0, 0
 	for b.Loop() {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -82,7 +82,7 @@
 	}.Document()
 	c.Assert(err, quicktest.IsNil)
 	follower := &version.Follower{Clock: clock.System{}, Meter: metric.Discard()}
-	c.Assert(follower.Load(version.Increment{Version: 1, Change: d.Entries(), Digest: d.Digest()}), quicktest.IsNil)
+	c.Assert(follower.Load(version.Increment{Version: 1, Changes: d.Entries(), Digest: d.Digest()}), quicktest.IsNil)
 	endpoint := &capacity.LocalEndpoint{Clock: clock.System{}, Hall: "h", Configuration: follower, Meter: metric.Discard()}
 	e := &end{endpoint: endpoint, follower: follower, ears: ears{make(chan member.Heartbeat, 100)}, table: &table.Faulty{Table: &table.Memory{}}}
 	server := &peer.Server{
@@ -190,7 +190,7 @@
 	}
 	u, _ := e.client.Upstream("b1")
 	other := &version.Follower{Clock: clock.System{}, Meter: metric.Discard()}
-	f := &version.Follow{Clock: clock.System{}, Follower: other, Meter: metric.Discard(), Upstream: func() (version.Upstream, bool) { return u, true }}
+	f := &version.Subscriber{Clock: clock.System{}, Follower: other, Meter: metric.Discard(), Upstream: func() (version.Upstream, bool) { return u, true }}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() { done <- f.Serve(ctx) }()
--- a/internal/version/bench_test.go
+++ b/internal/version/bench_test.go
@@ -50,7 +50,7 @@
 			before := heap()
 			d := large(b, s.accounts, s.targets, s.models)
 			f := &version.Follower{Clock: clock.NewManual(start), Meter: metric.Discard()}
-			whole := version.Increment{Version: 1, Change: d.Entries(), Digest: d.Digest()}
+			whole := version.Increment{Version: 1, Changes: d.Entries(), Digest: d.Digest()}
 			quicktest.Assert(b, f.Load(whole), quicktest.IsNil)
 			snapshot := len(whole.Encode())
 			whole = version.Increment{}
@@ -60,7 +60,7 @@
 				b.StopTimer()
 				n++
 				inc := drain(b, d, n)
-				d = d.Apply(inc.Change)
+				d = d.Apply(inc.Changes)
 				inc.Digest = d.Digest()
 				b.StartTimer()
 				quicktest.Assert(b, f.Apply([]version.Increment{inc}), quicktest.IsNil)
@@ -83,7 +83,7 @@
 		t.Drain = n%2 == 0
 		body, err := json.Marshal(t)
 		quicktest.Assert(b, err, quicktest.IsNil)
-		return version.Increment{Version: n, At: start.Add(time.Duration(n)), Change: []config.Change{{Kind: e.Kind, Name: e.Name, Body: body}}}
+		return version.Increment{Version: n, At: start.Add(time.Duration(n)), Changes: []config.Change{{Kind: e.Kind, Name: e.Name, Body: body}}}
 	}
 	return version.Increment{}
 }
--- a/internal/version/follow.go
+++ b/internal/version/follow.go
@@ -12,33 +12,33 @@
 // Follow keeps a Follower up to date from a peer: one of the hall's readers, or
 // any peer while this box has no version. Its exported fields are set before
 // Serve.
-type Follow struct {
+type Subscriber struct {
 	Clock    barleystep.Clock
 	Follower *Follower
 	// Upstream returns the peer to follow next; it is called by one goroutine.
 	Upstream func() (u Upstream, ok bool)
 	Meter    *metric.Meter
 	// Every is the pause after a stream has ended; the default is 1 second.
-	Every time.Duration
+	RetryInterval time.Duration
 }
 
 // Serve follows until ctx ends.
-func (f *Follow) Serve(ctx context.Context) error {
-	if f.Every == 0 {
-		f.Every = defaultEvery
+func (f *Subscriber) Serve(ctx context.Context) error {
+	if f.RetryInterval == 0 {
+		f.RetryInterval = defaultEvery
 	}
 	for ctx.Err() == nil {
 		if u, ok := f.Upstream(); ok {
 			_ = u.Follow(ctx, f.Follower.Version(), f.take) // The stream is opened anew.
 			f.Meter.ConfigurationChanged("stream_ended")
 		}
-		clock.Sleep(ctx, f.Clock, f.Every)
+		clock.Sleep(ctx, f.Clock, f.RetryInterval)
 	}
 	return ctx.Err()
 }
 
 // take brings a peer's update into force.
-func (f *Follow) take(u Update) (err error) {
+func (f *Subscriber) take(u Update) (err error) {
 	now := f.Clock.Now()
 	if u.Snapshot {
 		for _, inc := range u.Increments {
--- a/internal/version/follower.go
+++ b/internal/version/follower.go
@@ -19,7 +19,7 @@
 	Meter *metric.Meter
 	// ConfirmWithin is how long a version counts as confirmed to be the newest;
 	// the default is 4 seconds.
-	ConfirmWithin time.Duration
+	ConfirmationTTL time.Duration
 
 	mu        sync.Mutex
 	view      *config.View
@@ -42,7 +42,7 @@
 func (f *Follower) View() (v *config.View, confirmed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	within := f.ConfirmWithin
+	within := f.ConfirmationTTL
 	if within == 0 {
 		within = defaultConfirm
 	}
@@ -93,7 +93,7 @@
 		if inc.Version != f.version()+1 {
 			return ErrGap
 		}
-		if err = f.advance(inc, f.document().Apply(inc.Change)); err != nil {
+		if err = f.advance(inc, f.document().Apply(inc.Changes)); err != nil {
 			return err
 		}
 	}
@@ -108,7 +108,7 @@
 		return nil
 	}
 	f.history = nil
-	return f.advance(snapshot, config.Document{}.Apply(snapshot.Change))
+	return f.advance(snapshot, config.Document{}.Apply(snapshot.Changes))
 }
 
 // advance puts a document into force. The caller holds the lock.
@@ -180,7 +180,7 @@
 	}
 	if len(f.history) == 0 || f.history[0].Version > version+1 {
 		d := f.view.Document()
-		return []Increment{{Version: f.version(), Change: d.Entries(), Digest: d.Digest()}}, true
+		return []Increment{{Version: f.version(), Changes: d.Entries(), Digest: d.Digest()}}, true
 	}
 	for i, inc := range f.history {
 		if inc.Version > version {
--- a/internal/version/follower_test.go
+++ b/internal/version/follower_test.go
@@ -32,7 +32,7 @@
 }
 
 func store(tb barleystep.Table) *version.Store {
-	return &version.Store{Table: tb, Objects: &object.Memory{}, Clock: clock.System{}, Meter: metric.Discard(), Patience: 200 * time.Millisecond}
+	return &version.Store{Table: tb, Objects: &object.Memory{}, Clock: clock.System{}, Meter: metric.Discard(), SubmitTimeout: 200 * time.Millisecond}
 }
 
 // submitAll accepts versions 1 to n.
@@ -58,10 +58,10 @@
 	c.Assert(f.Apply(list), quicktest.IsNil)
 	c.Assert(f.Apply(list[:1]), quicktest.IsNil)
 	old := document(t, 1)
-	c.Assert(f.Load(version.Increment{Version: 2, Change: old.Entries(), Digest: old.Digest()}), quicktest.IsNil)
+	c.Assert(f.Load(version.Increment{Version: 2, Changes: old.Entries(), Digest: old.Digest()}), quicktest.IsNil)
 	c.Check(f.Version(), quicktest.Equals, int64(3))
 	torn := list[2]
-	torn.Version, torn.Change = 4, nil
+	torn.Version, torn.Changes = 4, nil
 	torn.Digest = old.Digest()
 	c.Check(f.Apply([]version.Increment{torn}), quicktest.ErrorMatches, ".*digest is .*")
 	c.Check(f.Version(), quicktest.Equals, int64(3))
@@ -72,7 +72,7 @@
 	clk := clock.NewManual(start)
 	f := &version.Follower{Clock: clk, Meter: metric.Discard()}
 	d := document(t, 1)
-	c.Assert(f.Load(version.Increment{Version: 1, Change: d.Entries(), Digest: d.Digest()}), quicktest.IsNil)
+	c.Assert(f.Load(version.Increment{Version: 1, Changes: d.Entries(), Digest: d.Digest()}), quicktest.IsNil)
 	f.Confirm(2, clk.Now())
 	_, confirmed := f.View()
 	c.Check(confirmed, quicktest.IsFalse, quicktest.Commentf("another version was confirmed"))
@@ -99,7 +99,7 @@
 		"answer lost after the effect":   {1, "new", onWrites(table.FailureAfter), nil},
 		"answer lost before the effect":  {1, "new", firstWrite(table.FailureLost), version.ErrNotAccepted},
 		"store down":                     {1, "new", onWrites(table.FailureBefore), version.ErrNotAccepted},
-		"answers lost until patience is": {1, "new", onWrites(table.FailureLost), version.ErrUnknown},
+		"answers lost until patience is": {1, "new", onWrites(table.FailureLost), version.ErrUnknownOutcome},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -162,7 +162,7 @@
 		Store:      s,
 		Follower:   f,
 		Membership: member.NewFixed("b1"),
-		Peer:       func(barleystep.BoxID) (version.Upstream, bool) { return nil, false },
+		Upstream:   func(barleystep.BoxID) (version.Upstream, bool) { return nil, false },
 		Meter:      metric.Discard(),
 		Log:        &log.Logger{Level: log.PanicLevel},
 	}
--- a/internal/version/reader.go
+++ b/internal/version/reader.go
@@ -41,11 +41,11 @@
 	Follower   *Follower
 	Membership barleystep.Membership
 	// Peer returns the way to a peer's versions.
-	Peer  func(barleystep.BoxID) (u Upstream, ok bool)
-	Meter *metric.Meter
-	Log   *log.Logger
+	Upstream func(barleystep.BoxID) (u Upstream, ok bool)
+	Meter    *metric.Meter
+	Log      *log.Logger
 	// Every is the time between reads of the head; the default is 1 second.
-	Every time.Duration
+	ReadInterval time.Duration
 	// Readers is how many boxes of the hall read the table; the default is 2.
 	Readers int
 }
@@ -61,14 +61,14 @@
 
 // Serve keeps the follower up to date until ctx ends.
 func (r *Reader) Serve(ctx context.Context) error {
-	if r.Every == 0 {
-		r.Every = defaultEvery
+	if r.ReadInterval == 0 {
+		r.ReadInterval = defaultEvery
 	}
 	if r.Readers == 0 {
 		r.Readers = defaultReaders
 	}
 	attempt := 0
-	f := &Follow{Clock: r.Clock, Follower: r.Follower, Meter: r.Meter, Every: r.Every, Upstream: func() (Upstream, bool) {
+	f := &Subscriber{Clock: r.Clock, Follower: r.Follower, Meter: r.Meter, RetryInterval: r.ReadInterval, Upstream: func() (Upstream, bool) {
 		attempt++
 		return r.upstream(attempt)
 	}}
@@ -77,7 +77,7 @@
 		if r.mustRead() {
 			r.read(ctx)
 		}
-		if !clock.Sleep(ctx, r.Clock, r.Every) {
+		if !clock.Sleep(ctx, r.Clock, r.ReadInterval) {
 			return ctx.Err()
 		}
 	}
@@ -162,5 +162,5 @@
 	if len(candidates) == 0 {
 		return nil, false
 	}
-	return r.Peer(candidates[attempt%len(candidates)])
+	return r.Upstream(candidates[attempt%len(candidates)])
 }
--- a/internal/version/store.go
+++ b/internal/version/store.go
@@ -22,7 +22,7 @@
 	Meter   *metric.Meter
 	// Patience is how long a submission waits for the store; the default is 10
 	// seconds.
-	Patience time.Duration
+	SubmitTimeout time.Duration
 }
 
 const (
@@ -39,7 +39,7 @@
 	ErrNotAccepted = eris.New("version: not accepted; the store did not take it")
 	// ErrUnknown means that the store gave no answer in time. Submitting again
 	// with the same id settles it.
-	ErrUnknown = eris.New("version: the store did not say whether it was accepted; submit again with the same id")
+	ErrUnknownOutcome = eris.New("version: the store did not say whether it was accepted; submit again with the same id")
 	// ErrInvalid wraps what is wrong with a configuration.
 	ErrInvalid = eris.New("version: invalid configuration")
 )
@@ -72,7 +72,7 @@
 		Author:  sub.Author,
 		Reason:  sub.Reason,
 		At:      s.Clock.Now(),
-		Change:  base.Changes(sub.Document),
+		Changes: base.Changes(sub.Document),
 		Digest:  sub.Document.Digest(),
 	}
 	m := s.drive(ctx, inc)
@@ -85,12 +85,12 @@
 	case verdictRefused:
 		return 0, ErrNotAccepted
 	default:
-		return 0, ErrUnknown
+		return 0, ErrUnknownOutcome
 	}
 }
 
 func (s *Store) drive(ctx context.Context, inc Increment) submission {
-	patience := s.Patience
+	patience := s.SubmitTimeout
 	if patience == 0 {
 		patience = defaultPatience
 	}
@@ -203,7 +203,7 @@
 	if version%snapshotEvery != 0 {
 		return
 	}
-	whole := Increment{Version: version, Change: d.Entries(), Digest: d.Digest(), At: s.Clock.Now()}
+	whole := Increment{Version: version, Changes: d.Entries(), Digest: d.Digest(), At: s.Clock.Now()}
 	if err := s.Objects.Put(ctx, snapshotObject(version), whole.Encode()); err != nil {
 		s.Meter.StoreFault("snapshot_put", barleystep.FaultOf(err).String())
 		return
@@ -237,7 +237,7 @@
 
 // At returns the document of a version, from the nearest snapshot before it and
 // the increments after that.
-func (s *Store) At(ctx context.Context, version int64) (d config.Document, err error) {
+func (s *Store) DocumentAt(ctx context.Context, version int64) (d config.Document, err error) {
 	defer func() {
 		if err != nil {
 			err = eris.Wrapf(err, "version %d", version)
@@ -259,7 +259,7 @@
 			return config.Document{}, ErrNoVersion
 		}
 		for _, inc := range list {
-			d = d.Apply(inc.Change)
+			d = d.Apply(inc.Changes)
 		}
 		have = list[len(list)-1].Version
 	}
@@ -275,5 +275,5 @@
 		return config.Document{}, err
 	}
 	inc, err := DecodeIncrement(data)
-	return config.Document{}.Apply(inc.Change), err
+	return config.Document{}.Apply(inc.Changes), err
 }
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -21,11 +21,11 @@
 	Version int64 `json:"version"`
 	// ID names the submission, so that its fate can be told when an answer is
 	// lost.
-	ID     string          `json:"id"`
-	Author string          `json:"author"`
-	Reason string          `json:"reason"`
-	At     time.Time       `json:"at"`
-	Change []config.Change `json:"changes"`
+	ID      string          `json:"id"`
+	Author  string          `json:"author"`
+	Reason  string          `json:"reason"`
+	At      time.Time       `json:"at"`
+	Changes []config.Change `json:"changes"`
 	// Digest is that of the whole document after the change.
 	Digest string `json:"digest"`
 }
