--- a/internal/box/keeper.go
+++ b/internal/box/keeper.go
@@ -41,11 +41,11 @@
 		return err
 	}
 	client := &peer.Client{
-		Auth:  peer.Auth{Secret: k.Settings.Peers.Secret, Box: id, Clock: k.Clock},
-		Clock: k.Clock,
-		Addr:  func(barleystep.BoxID) (string, bool) { return entry, true },
-		Base:  ctx,
-		TLS:   encryption,
+		Auth:        peer.Auth{Secret: k.Settings.Peers.Secret, Box: id, Clock: k.Clock},
+		Clock:       k.Clock,
+		Addr:        func(barleystep.BoxID) (string, bool) { return entry, true },
+		BaseContext: ctx,
+		TLS:         encryption,
 	}
 	follower := &version.Follower{Clock: k.Clock, Meter: k.Meter}
 	watcher := &keeper.Watcher{
--- a/internal/box/node.go
+++ b/internal/box/node.go
@@ -62,7 +62,7 @@
 			Incarnation: n.source.Incarnation(),
 		},
 	}
-	n.client = &peer.Client{Auth: auth, Clock: n.clock, Addr: n.tracker.Addr, Base: ctx, TLS: n.tls}
+	n.client = &peer.Client{Auth: auth, Clock: n.clock, Addr: n.tracker.Addr, BaseContext: ctx, TLS: n.tls}
 	n.tracker.Sender = n.client
 	n.reader = &version.Reader{
 		Clock:      n.clock,
@@ -100,7 +100,7 @@
 // serve makes the peer listener answer, with the handler for callers' requests
 // that boxes of other halls forward.
 func (n *node) serve(callers http.Handler) {
-	n.server.Callers = callers
+	n.server.Forwarded = callers
 	n.listener.Handler = n.server.Handler()
 }
 
--- a/internal/peer/beat.go
+++ b/internal/peer/beat.go
@@ -37,7 +37,7 @@
 	if s, ok := c.streams[addr]; ok {
 		return s
 	}
-	ctx, cancel := context.WithCancel(c.Base)
+	ctx, cancel := context.WithCancel(c.BaseContext)
 	s := &beatStream{queue: make(chan member.Heartbeat, beatQueue), cancel: cancel}
 	c.streams[addr] = s
 	go c.run(ctx, addr, s)
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -28,7 +28,7 @@
 	// TLS encrypts the connections; nil uses HTTP/2 in the clear.
 	TLS *tls.Config
 	// Base bounds the life of heartbeat streams; it ends with the process.
-	Base context.Context
+	BaseContext context.Context
 
 	once    sync.Once
 	http    *http.Client
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -73,7 +73,7 @@
 
 // Guard lets requests that other boxes have forwarded through to the callers'
 // handler.
-func (a Auth) Guard(next http.Handler) http.Handler {
+func (a Auth) RequireBox(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if a.check(r.Header, r.URL.Path) != nil {
 			http.Error(w, errPeer.Error(), http.StatusUnauthorized)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -102,10 +102,10 @@
 		h.Close()
 	})
 	e.client = &peer.Client{
-		Auth:  peer.Auth{Secret: clientSecret, Box: "b2", Clock: clock.System{}},
-		Clock: clock.System{},
-		Addr:  func(barleystep.BoxID) (string, bool) { return l.Addr().String(), true },
-		Base:  ctx,
+		Auth:        peer.Auth{Secret: clientSecret, Box: "b2", Clock: clock.System{}},
+		Clock:       clock.System{},
+		Addr:        func(barleystep.BoxID) (string, bool) { return l.Addr().String(), true },
+		BaseContext: ctx,
 	}
 	endpoint.UpdateLoad(pool, "e1", barleystep.Load{At: clock.System{}.Now(), TotalTokens: 100_000, FreeTokens: 100_000})
 	return e
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -35,7 +35,7 @@
 	// Table commits the transactions that other boxes hand over.
 	Table barleystep.Table
 	// Callers serves the requests that boxes of other halls forward; may be nil.
-	Callers http.Handler
+	Forwarded http.Handler
 }
 
 // confirmEvery is the time between messages of a stream of versions that only
@@ -46,8 +46,8 @@
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(peerv1connect.NewPeerHandler(handler{s}, connect.WithInterceptors(s.Auth)))
-	if s.Callers != nil {
-		mux.Handle("/v1/", s.Auth.Guard(s.Callers))
+	if s.Forwarded != nil {
+		mux.Handle("/v1/", s.Auth.RequireBox(s.Forwarded))
 	}
 	return mux
 }
--- a/internal/peer/talk.go
+++ b/internal/peer/talk.go
@@ -42,7 +42,7 @@
 	if t, ok := c.talks[addr]; ok {
 		return t
 	}
-	ctx, cancel := context.WithCancel(c.Base)
+	ctx, cancel := context.WithCancel(c.BaseContext)
 	t := &talk{stream: c.at(addr).Talk(ctx), cancel: cancel}
 	c.talks[addr] = t
 	go func() {
