--- a/internal/admin/service_test.go
+++ b/internal/admin/service_test.go
@@ -108,11 +108,11 @@
 	costly := base + "[[policy]]\nname = \"p\"\nprogram = '{\"weight\": [1,2,3,4,5,6,7,8,9].all(a, [1,2,3,4,5,6,7,8,9].all(b, [1,2,3,4,5,6,7,8,9].all(c, [1,2,3,4,5,6,7,8,9].all(d, a*b*c*d > 0)))) ? 1.0 : 2.0}'\n"
 	lost := func(c table.Call) table.Failure {
 		if c.Write() {
-			return table.FailureLost
+			return table.FailureDelayed
 		}
 		return table.FailureNone
 	}
-	down := func(table.Call) table.Failure { return table.FailureBefore }
+	down := func(table.Call) table.Failure { return table.FailureUnavailable }
 	cases := map[string]struct {
 		token string
 		args  []string
--- a/internal/box/node.go
+++ b/internal/box/node.go
@@ -38,7 +38,7 @@
 	follower *version.Follower
 	reader   *version.Reader
 	client   *peer.Client
-	group    *table.Group
+	group    *table.Batcher
 	relay    *table.Relay
 	server   *peer.Server
 	listener *web.Server
@@ -74,7 +74,7 @@
 		Meter:      n.meter,
 		Log:        n.log,
 	}
-	n.group = table.NewGroup(n.table, n.clock)
+	n.group = table.NewBatcher(n.table, n.clock)
 	n.relay = &table.Relay{Local: n.group, Box: n.source.Box(), Membership: n.tracker, Remote: n.client.Commit}
 	n.server = &peer.Server{
 		Auth:     auth,
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -173,7 +173,7 @@
 	// The announcement takes effect, its answer is lost, and the issuer pauses.
 	b.table.SetPlan(func(call table.Call) table.Failure {
 		if call.Write() && len(call.Keys()) > 0 && call.Keys()[0] == "order/intent/h/e" {
-			return table.FailureAfter
+			return table.FailureAnswerLost
 		}
 		return table.FailureNone
 	})
@@ -201,7 +201,7 @@
 	first, second := b.issuer("b1"), b.issuer("b2")
 	b.table.SetPlan(func(call table.Call) table.Failure {
 		if call.Write() && call.Keys()[0] == "order/intent/h/e" {
-			return table.FailureAfter
+			return table.FailureAnswerLost
 		}
 		return table.FailureNone
 	})
--- a/internal/limit/limiter_test.go
+++ b/internal/limit/limiter_test.go
@@ -78,7 +78,7 @@
 	rounds(70, one) // Hall 2's need becomes old.
 	alone := rounds(10, one)
 	c.Check(alone >= 200*50*8/10, quicktest.IsTrue, quicktest.Commentf("%d tokens in one hall", alone))
-	faulty.SetPlan(func(table.Call) table.Failure { return table.FailureBefore })
+	faulty.SetPlan(func(table.Call) table.Failure { return table.FailureUnavailable })
 	outage := rounds(10, one)
 	c.Check(outage, quicktest.Equals, alone)
 }
--- a/internal/local/hall_test.go
+++ b/internal/local/hall_test.go
@@ -258,7 +258,7 @@
 		down := &table.Faulty{Table: &table.Memory{}}
 		h := &local.Hall{Boxes: 1, Engines: 1, Table: down}
 		start(t, h)
-		down.SetPlan(func(call table.Call) table.Failure { return table.FailureBefore })
+		down.SetPlan(func(call table.Call) table.Failure { return table.FailureUnavailable })
 		r := send(t, h.URL(0)+chat, strict, question)
 		c.Check(r.outcome, quicktest.Equals, "not-run")
 		c.Check(r.reason, quicktest.Equals, string(barleystep.ReasonStoreUnavailable))
@@ -283,7 +283,7 @@
 		start(t, h)
 		lossy.SetPlan(func(call table.Call) table.Failure {
 			if call.Write() {
-				return table.FailureAfter
+				return table.FailureAnswerLost
 			}
 			return table.FailureNone
 		})
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -208,9 +208,9 @@
 		want    barleystep.Fault
 	}{
 		"applied":      {table.FailureNone, barleystep.FaultNone},
-		"not applied":  {table.FailureBefore, barleystep.FaultUnavailable},
-		"answer lost":  {table.FailureAfter, barleystep.FaultUnknownEffect},
-		"yet to apply": {table.FailureLost, barleystep.FaultUnknownEffect},
+		"not applied":  {table.FailureUnavailable, barleystep.FaultUnavailable},
+		"answer lost":  {table.FailureAnswerLost, barleystep.FaultUnknownEffect},
+		"yet to apply": {table.FailureDelayed, barleystep.FaultUnknownEffect},
 	}
 	txn := barleystep.Txn{
 		Conditions: []barleystep.Condition{barleystep.IfAbsent("k")},
--- a/internal/table/faulty.go
+++ b/internal/table/faulty.go
@@ -15,12 +15,12 @@
 	// FailureNone lets the call through.
 	FailureNone Failure = iota
 	// FailureBefore answers ErrUnavailable and has no effect.
-	FailureBefore
+	FailureUnavailable
 	// FailureAfter has the effect and loses the answer.
-	FailureAfter
+	FailureAnswerLost
 	// FailureLost has no effect yet and loses the answer; the commit takes
 	// effect when ReleaseLate is called.
-	FailureLost
+	FailureDelayed
 	// FailureHang waits until the context ends; there is no effect.
 	FailureHang
 	// FailureStale answers a read with the rows as they were at MarkStale.
@@ -76,7 +76,7 @@
 }
 
 // ReleaseLate lets the lost commits take effect now and returns how many did.
-func (f *Faulty) ReleaseLate(ctx context.Context) (applied int) {
+func (f *Faulty) ApplyDelayed(ctx context.Context) (applied int) {
 	f.mu.Lock()
 	late := f.late
 	f.late = nil
@@ -120,14 +120,14 @@
 // Commit commits to the table behind unless the plan says otherwise.
 func (f *Faulty) Commit(ctx context.Context, t barleystep.Txn) error {
 	switch f.failure(Call{write: true, keys: writtenKeys(t)}) {
-	case FailureBefore:
+	case FailureUnavailable:
 		return barleystep.ErrUnavailable
-	case FailureAfter:
+	case FailureAnswerLost:
 		if err := f.Table.Commit(ctx, t); err != nil {
 			return err
 		}
 		return barleystep.ErrUnknownEffect
-	case FailureLost:
+	case FailureDelayed:
 		f.mu.Lock()
 		f.late = append(f.late, t)
 		f.mu.Unlock()
--- a/internal/table/group.go
+++ b/internal/table/group.go
@@ -15,14 +15,14 @@
 // share no key are committed together; one whose condition does not hold is
 // taken out and told so, and the others go on. Its exported fields are set
 // before Serve; it is safe for concurrent use.
-type Group struct {
+type Batcher struct {
 	Table barleystep.Table
 	Clock barleystep.Clock
 	// Every is the least time between two commits; the default is 50 ms. The
 	// first after a pause goes at once.
-	Every time.Duration
+	Interval time.Duration
 	// Most bounds the transactions in one commit; the default is 100.
-	Most int
+	MaxTxns int
 	// Timeout bounds one commit, so that one that hangs does not hold up the next;
 	// the default is 5 seconds.
 	Timeout time.Duration
@@ -45,26 +45,26 @@
 	groupRounds = 3
 )
 
-var _ barleystep.Table = (*Group)(nil)
+var _ barleystep.Table = (*Batcher)(nil)
 
 // NewGroup returns a group before the table.
-func NewGroup(t barleystep.Table, clk barleystep.Clock) *Group {
-	return &Group{Table: t, Clock: clk, queue: make(chan *grouped, groupQueue)}
+func NewBatcher(t barleystep.Table, clk barleystep.Clock) *Batcher {
+	return &Batcher{Table: t, Clock: clk, queue: make(chan *grouped, groupQueue)}
 }
 
 // Read reads from the table behind.
-func (g *Group) Read(ctx context.Context, keys ...string) ([]barleystep.Row, error) {
+func (g *Batcher) Read(ctx context.Context, keys ...string) ([]barleystep.Row, error) {
 	return g.Table.Read(ctx, keys...)
 }
 
 // Scan scans the table behind.
-func (g *Group) Scan(ctx context.Context, prefix, after string, limit int) ([]barleystep.Row, error) {
+func (g *Batcher) Scan(ctx context.Context, prefix, after string, limit int) ([]barleystep.Row, error) {
 	return g.Table.Scan(ctx, prefix, after, limit)
 }
 
 // Commit commits t together with others. A caller that does not wait for the
 // answer cannot know the effect.
-func (g *Group) Commit(ctx context.Context, t barleystep.Txn) error {
+func (g *Batcher) Commit(ctx context.Context, t barleystep.Txn) error {
 	w := &grouped{txn: t, done: make(chan error, 1)}
 	select {
 	case g.queue <- w:
@@ -80,12 +80,12 @@
 }
 
 // Serve commits until ctx ends.
-func (g *Group) Serve(ctx context.Context) error {
-	if g.Every == 0 {
-		g.Every = defaultGroupEvery
+func (g *Batcher) Serve(ctx context.Context) error {
+	if g.Interval == 0 {
+		g.Interval = defaultGroupEvery
 	}
-	if g.Most == 0 {
-		g.Most = defaultGroupMost
+	if g.MaxTxns == 0 {
+		g.MaxTxns = defaultGroupMost
 	}
 	if g.Timeout == 0 {
 		g.Timeout = groupTimeout
@@ -98,7 +98,7 @@
 		}
 		left = next
 		g.commit(ctx, batch)
-		if !clock.Sleep(ctx, g.Clock, g.Every) {
+		if !clock.Sleep(ctx, g.Clock, g.Interval) {
 			return ctx.Err()
 		}
 	}
@@ -106,7 +106,7 @@
 
 // collect waits for one transaction and takes along those that wait already, up
 // to the first that shares a key.
-func (g *Group) collect(ctx context.Context, first *grouped) (batch []*grouped, left *grouped) {
+func (g *Batcher) collect(ctx context.Context, first *grouped) (batch []*grouped, left *grouped) {
 	if first == nil {
 		select {
 		case first = <-g.queue:
@@ -117,7 +117,7 @@
 	keys := make(map[string]bool)
 	claimKeys(keys, first.txn)
 	batch = []*grouped{first}
-	for len(batch) < g.Most {
+	for len(batch) < g.MaxTxns {
 		select {
 		case w := <-g.queue:
 			if !claimKeys(keys, w.txn) {
@@ -157,7 +157,7 @@
 }
 
 // commit commits the batch and answers each of its transactions.
-func (g *Group) commit(ctx context.Context, batch []*grouped) {
+func (g *Batcher) commit(ctx context.Context, batch []*grouped) {
 	ctx, cancel := clock.WithDeadline(ctx, g.Clock, g.Clock.Now().Add(g.Timeout))
 	defer cancel()
 	for range groupRounds {
@@ -196,7 +196,7 @@
 
 // takeOut answers the transactions whose conditions do not hold and returns the
 // others. A read that fails, or that shows no reason, takes nothing out.
-func (g *Group) takeOut(ctx context.Context, batch []*grouped) []*grouped {
+func (g *Batcher) takeOut(ctx context.Context, batch []*grouped) []*grouped {
 	var keys []string
 	for _, w := range batch {
 		for _, c := range w.txn.Conditions {
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -33,11 +33,11 @@
 
 // storeFaults are the failures as the platform's store shows them.
 var storeFaults = map[table.Failure]platformtest.Fault{
-	table.FailureNone:   platformtest.FaultNone,
-	table.FailureBefore: platformtest.FaultBusy,
-	table.FailureAfter:  platformtest.FaultNoAnswer,
-	table.FailureLost:   platformtest.FaultReset,
-	table.FailureHang:   platformtest.FaultHang,
+	table.FailureNone:        platformtest.FaultNone,
+	table.FailureUnavailable: platformtest.FaultBusy,
+	table.FailureAnswerLost:  platformtest.FaultNoAnswer,
+	table.FailureDelayed:     platformtest.FaultReset,
+	table.FailureHang:        platformtest.FaultHang,
 }
 
 // tables returns all implementations, each before a table that can fail.
@@ -65,15 +65,15 @@
 		},
 		"group": func() (barleystep.Table, planner) {
 			f := &table.Faulty{Table: &table.Memory{}}
-			g := table.NewGroup(f, clock.System{})
-			g.Every = time.Millisecond
+			g := table.NewBatcher(f, clock.System{})
+			g.Interval = time.Millisecond
 			serve(t, g)
 			return g, planOf(f)
 		},
 	}
 }
 
-func serve(t *testing.T, g *table.Group) {
+func serve(t *testing.T, g *table.Batcher) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() { done <- g.Serve(ctx) }()
@@ -99,9 +99,9 @@
 		there   bool // there is whether the write took effect.
 	}{
 		"no fault":                {table.FailureNone, barleystep.FaultNone, true},
-		"error before the effect": {table.FailureBefore, barleystep.FaultUnavailable, false},
-		"error after the effect":  {table.FailureAfter, barleystep.FaultUnknownEffect, true},
-		"effect yet to come":      {table.FailureLost, barleystep.FaultUnknownEffect, false},
+		"error before the effect": {table.FailureUnavailable, barleystep.FaultUnavailable, false},
+		"error after the effect":  {table.FailureAnswerLost, barleystep.FaultUnknownEffect, true},
+		"effect yet to come":      {table.FailureDelayed, barleystep.FaultUnknownEffect, false},
 		"hangs":                   {table.FailureHang, barleystep.FaultUnknownEffect, false},
 	}
 	for impl, build := range tables(t) {
@@ -148,7 +148,7 @@
 		t.Run(impl+"/reads fail", func(t *testing.T) {
 			c := quicktest.New(t)
 			tb, fail := build()
-			fail(func(bool) table.Failure { return table.FailureBefore })
+			fail(func(bool) table.Failure { return table.FailureUnavailable })
 			_, err := tb.Read(context.Background(), "k")
 			c.Check(err, quicktest.ErrorIs, barleystep.ErrUnavailable)
 			_, err = tb.Scan(context.Background(), "k", "", 1)
@@ -162,7 +162,7 @@
 	c := quicktest.New(t)
 	faulty := &table.Faulty{Table: &table.Memory{}}
 	faulty.SetPlan(func(table.Call) table.Failure { return table.FailureHang })
-	g := table.NewGroup(faulty, clock.System{})
+	g := table.NewBatcher(faulty, clock.System{})
 	g.Timeout = 20 * time.Millisecond
 	serve(t, g)
 	err := g.Commit(context.Background(), insert("k", "v"))
@@ -178,8 +178,8 @@
 	ctx := context.Background()
 	m := &table.Memory{}
 	c.Assert(m.Commit(ctx, insert("k7", "old")), quicktest.IsNil)
-	g := table.NewGroup(m, clock.System{})
-	g.Every = 5 * time.Millisecond
+	g := table.NewBatcher(m, clock.System{})
+	g.Interval = 5 * time.Millisecond
 	const n = 200
 	errs := make([]error, n)
 	var wait sync.WaitGroup
--- a/internal/version/follower_test.go
+++ b/internal/version/follower_test.go
@@ -96,10 +96,10 @@
 		"accepted":                       {1, "new", nil, nil},
 		"stale base":                     {0, "new", nil, version.ErrConflict},
 		"same id again":                  {0, "s1", nil, nil},
-		"answer lost after the effect":   {1, "new", onWrites(table.FailureAfter), nil},
-		"answer lost before the effect":  {1, "new", firstWrite(table.FailureLost), version.ErrNotAccepted},
-		"store down":                     {1, "new", onWrites(table.FailureBefore), version.ErrNotAccepted},
-		"answers lost until patience is": {1, "new", onWrites(table.FailureLost), version.ErrUnknownOutcome},
+		"answer lost after the effect":   {1, "new", onWrites(table.FailureAnswerLost), nil},
+		"answer lost before the effect":  {1, "new", firstWrite(table.FailureDelayed), version.ErrNotAccepted},
+		"store down":                     {1, "new", onWrites(table.FailureUnavailable), version.ErrNotAccepted},
+		"answers lost until patience is": {1, "new", onWrites(table.FailureDelayed), version.ErrUnknownOutcome},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -116,7 +116,7 @@
 			c.Check(err, quicktest.ErrorIs, tc.want)
 			faulty.SetPlan(nil)
 			if tc.want == version.ErrNotAccepted {
-				c.Check(faulty.ReleaseLate(ctx), quicktest.Equals, 0, quicktest.Commentf("a write took effect after it was denied"))
+				c.Check(faulty.ApplyDelayed(ctx), quicktest.Equals, 0, quicktest.Commentf("a write took effect after it was denied"))
 			}
 		})
 	}
