--- a/internal/box/entry.go
+++ b/internal/box/entry.go
@@ -216,18 +216,18 @@
 	}
 }
 
-func (e *Entry) newClaims() *claim.Book {
-	b := claim.NewBook()
+func (e *Entry) newClaims() *claim.Manager {
+	b := claim.NewManager()
 	b.Table = e.node.relay
 	b.Objects = e.Objects
 	b.Clock = e.Clock
-	b.Source = e.node.source
+	b.IDs = e.node.source
 	b.Meter = e.meter
 	b.Log = e.Log
 	return b
 }
 
-func (e *Entry) newServer(a barleystep.Allocator, t gate.Targets, c *gate.Canceller, b *claim.Book) *gate.Server {
+func (e *Entry) newServer(a barleystep.Allocator, t gate.Targets, c *gate.Canceller, b *claim.Manager) *gate.Server {
 	l := e.Settings.Limits
 	return &gate.Server{
 		Clock:         e.Clock,
--- a/internal/claim/book.go
+++ b/internal/claim/book.go
@@ -15,15 +15,15 @@
 
 // Book makes and settles claims for one box. Its exported fields are set before
 // use; it is safe for concurrent use.
-type Book struct {
+type Manager struct {
 	Table   barleystep.Table
 	Objects barleystep.ObjectStore
 	Clock   barleystep.Clock
-	Source  *identity.Generator
+	IDs     *identity.Generator
 	Meter   *metric.Meter
 	Log     *log.Logger
 	// Patience is how long a claim waits for the store; the default is 2 seconds.
-	Patience time.Duration
+	StoreTimeout time.Duration
 	// Grace is added to a holder's deadline before it counts as gone; it covers
 	// the difference between boxes' clocks. The default is 5 seconds.
 	Grace time.Duration
@@ -33,8 +33,8 @@
 
 // The defaults of a Book.
 const (
-	DefaultPatience = 2 * time.Second
-	DefaultGrace    = 5 * time.Second
+	DefaultStoreTimeout = 2 * time.Second
+	DefaultGrace        = 5 * time.Second
 
 	firstPause = 10 * time.Millisecond
 	lastPause  = time.Second
@@ -43,7 +43,7 @@
 )
 
 // NewBook returns a book whose fields are yet to be set.
-func NewBook() *Book { return &Book{open: make(chan task, taskQueue)} }
+func NewManager() *Manager { return &Manager{open: make(chan task, taskQueue)} }
 
 // Request is what is claimed.
 type Request struct {
@@ -62,7 +62,7 @@
 
 // Claim is the right to send one request once.
 type Claim struct {
-	book    *Book
+	book    *Manager
 	request Request
 	machine Machine
 }
@@ -81,9 +81,9 @@
 
 // Claim decides whether this box may send the request. It returns a
 // *barleystep.Refusal if not.
-func (b *Book) Claim(ctx context.Context, r Request) (d Decision, err error) {
+func (b *Manager) Claim(ctx context.Context, r Request) (d Decision, err error) {
 	m := b.decide(ctx, r)
-	if m.Open && m.Verdict != VerdictSend {
+	if m.MayBeHeld && m.Verdict != VerdictSend {
 		b.later(task{request: r, machine: m})
 	}
 	if m.Verdict == VerdictSend {
@@ -93,10 +93,10 @@
 }
 
 // decide drives one claim to its verdict.
-func (b *Book) decide(ctx context.Context, r Request) Machine {
+func (b *Manager) decide(ctx context.Context, r Request) Machine {
 	ctx, cancel := clock.WithDeadline(ctx, b.Clock, b.Clock.Now().Add(b.patience()))
 	defer cancel()
-	nonce := b.Source.NextAttempt().String()
+	nonce := b.IDs.NextAttempt().String()
 	m, action := Start(nonce, r.Digest, b.grace())
 	pause := firstPause
 	for action != ActionNone {
@@ -105,7 +105,7 @@
 			continue
 		}
 		in := b.perform(ctx, r, m, action)
-		if in.Event == EventLost || in.Event == EventUnavailable {
+		if in.Event == EventUnknownEffect || in.Event == EventUnavailable {
 			clock.Sleep(ctx, b.Clock, pause)
 			pause = min(2*pause, lastPause)
 		}
@@ -115,7 +115,7 @@
 }
 
 // perform carries out one action and reports what came of it.
-func (b *Book) perform(ctx context.Context, r Request, m Machine, a Action) Input {
+func (b *Manager) perform(ctx context.Context, r Request, m Machine, a Action) Input {
 	key := rowKey(r.Account, r.Key)
 	switch a {
 	case ActionRead:
@@ -125,13 +125,13 @@
 		}
 		return Input{Event: EventRow, Row: row, Now: b.Clock.Now()}
 	case ActionExclude:
-		return b.write(ctx, key, m.Base, r.row(StateNotRun, m.Nonce))
+		return b.write(ctx, key, m.BaseVersion, r.row(StateNotRun, m.Nonce))
 	default:
-		return b.write(ctx, key, m.Base, r.row(StateHeld, m.Nonce))
+		return b.write(ctx, key, m.BaseVersion, r.row(StateHeld, m.Nonce))
 	}
 }
 
-func (b *Book) read(ctx context.Context, key string) (Row, error) {
+func (b *Manager) read(ctx context.Context, key string) (Row, error) {
 	rows, err := b.Table.Read(ctx, key)
 	if err != nil {
 		b.Meter.StoreFault("claim_read", barleystep.FaultOf(err).String())
@@ -140,7 +140,7 @@
 	return Decode(rows[0])
 }
 
-func (b *Book) write(ctx context.Context, key string, base int64, row Row) Input {
+func (b *Manager) write(ctx context.Context, key string, base int64, row Row) Input {
 	err := b.Table.Commit(ctx, barleystep.Txn{
 		Conditions: []barleystep.Condition{barleystep.IfVersion(key, base)},
 		Writes:     []barleystep.Write{barleystep.Put(key, row.encode())},
@@ -157,12 +157,12 @@
 	case barleystep.FaultUnavailable:
 		return Input{Event: EventUnavailable}
 	default:
-		return Input{Event: EventLost}
+		return Input{Event: EventUnknownEffect}
 	}
 }
 
 // earlier answers a request whose key is held or was settled by another claim.
-func (b *Book) earlier(ctx context.Context, m Machine) (Decision, error) {
+func (b *Manager) earlier(ctx context.Context, m Machine) (Decision, error) {
 	switch m.Verdict {
 	case VerdictDone:
 		return b.stored(ctx, m.Row)
@@ -173,10 +173,10 @@
 	case VerdictFailed:
 		return Decision{}, barleystep.NewRefusal(barleystep.ReasonTargetFailed, barleystep.OutcomeFailed,
 			"The request with this key was run and failed.")
-	case VerdictReused:
+	case VerdictKeyReused:
 		return Decision{}, barleystep.NewRefusal(barleystep.ReasonIdempotencyKeyReused, barleystep.OutcomeNotRun,
 			"The key belongs to another request.")
-	case VerdictRefused:
+	case VerdictStoreUnavailable:
 		return Decision{}, barleystep.NewRefusal(barleystep.ReasonStoreUnavailable, barleystep.OutcomeNotRun,
 			"The claim could not be written; nothing was run.").WithRetryAfter(b.patience())
 	default:
@@ -184,8 +184,8 @@
 	}
 }
 
-func (b *Book) unknown(m Machine) error {
-	if m.Foreign {
+func (b *Manager) unknown(m Machine) error {
+	if m.OtherClaim {
 		return barleystep.NewRefusal(barleystep.ReasonStoreUnavailable, barleystep.OutcomeUnknown,
 			"The state of this key could not be read.").WithRetryAfter(b.patience())
 	}
@@ -193,7 +193,7 @@
 		"A request with this key may have run; nobody can tell.")
 }
 
-func (b *Book) stored(ctx context.Context, r Row) (Decision, error) {
+func (b *Manager) stored(ctx context.Context, r Row) (Decision, error) {
 	data, err := b.Objects.Get(ctx, r.Object)
 	if err != nil {
 		return Decision{}, barleystep.NewRefusal(barleystep.ReasonStoreUnavailable, barleystep.OutcomeDone,
@@ -202,14 +202,14 @@
 	return Decision{answer: data}, nil
 }
 
-func (b *Book) patience() time.Duration {
-	if b.Patience == 0 {
-		return DefaultPatience
+func (b *Manager) patience() time.Duration {
+	if b.StoreTimeout == 0 {
+		return DefaultStoreTimeout
 	}
-	return b.Patience
+	return b.StoreTimeout
 }
 
-func (b *Book) grace() time.Duration {
+func (b *Manager) grace() time.Duration {
 	if b.Grace == 0 {
 		return DefaultGrace
 	}
--- a/internal/claim/finish.go
+++ b/internal/claim/finish.go
@@ -49,7 +49,7 @@
 	}
 }
 
-func (b *Book) later(t task) {
+func (b *Manager) later(t task) {
 	select {
 	case b.open <- t:
 	default:
@@ -61,7 +61,7 @@
 const logPrefix = "claim: "
 
 // Serve settles the claims that their requests left open, until ctx ends.
-func (b *Book) Serve(ctx context.Context) error {
+func (b *Manager) Serve(ctx context.Context) error {
 	var wait sync.WaitGroup
 	for range workers {
 		wait.Go(func() { b.work(ctx) })
@@ -70,7 +70,7 @@
 	return ctx.Err()
 }
 
-func (b *Book) work(ctx context.Context) {
+func (b *Manager) work(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -82,7 +82,7 @@
 }
 
 // persist tries until the task is settled.
-func (b *Book) persist(ctx context.Context, t task) {
+func (b *Manager) persist(ctx context.Context, t task) {
 	for pause := firstPause; ; pause = min(2*pause, lastPause) {
 		try, cancel := clock.WithDeadline(ctx, b.Clock, b.Clock.Now().Add(b.patience()))
 		err := b.settle(try, t)
@@ -94,7 +94,7 @@
 }
 
 // settle makes one try at writing the claim's final row.
-func (b *Book) settle(ctx context.Context, t task) error {
+func (b *Manager) settle(ctx context.Context, t task) error {
 	if t.state == "" {
 		return b.withdraw(ctx, t)
 	}
@@ -111,10 +111,10 @@
 
 // withdraw gives up a claim that was never sent. A write of it may yet take
 // effect, which the exclusion prevents or the replacement undoes.
-func (b *Book) withdraw(ctx context.Context, t task) error {
+func (b *Manager) withdraw(ctx context.Context, t task) error {
 	key := rowKey(t.request.Account, t.request.Key)
 	free := t.request.row(StateNotRun, t.machine.Nonce)
-	switch b.write(ctx, key, t.machine.Base, free).Event {
+	switch b.write(ctx, key, t.machine.BaseVersion, free).Event {
 	case EventWritten:
 		return nil
 	case EventConflict:
@@ -127,7 +127,7 @@
 // replaceMine writes final over the held row of the claim. A row of another
 // claim is left alone, and a read that still shows the row's past is not
 // believed.
-func (b *Book) replaceMine(ctx context.Context, t task, final Row) error {
+func (b *Manager) replaceMine(ctx context.Context, t task, final Row) error {
 	key := rowKey(t.request.Account, t.request.Key)
 	r, err := b.read(ctx, key)
 	if err != nil {
@@ -135,7 +135,7 @@
 	}
 	held := r.Nonce == t.machine.Nonce && r.State == StateHeld
 	switch {
-	case r.Version() <= t.machine.Base:
+	case r.Version() <= t.machine.BaseVersion:
 		return errUnsettled
 	case !held:
 		return nil
--- a/internal/claim/step.go
+++ b/internal/claim/step.go
@@ -17,7 +17,7 @@
 	// whose answer was lost, from taking effect late.
 	PhaseExclude
 	// PhaseEnded has a verdict.
-	PhaseEnded
+	PhaseDecided
 )
 
 // Verdict is how a claim was decided.
@@ -38,10 +38,10 @@
 	// VerdictUnknown means that nobody can tell whether the request ran.
 	VerdictUnknown
 	// VerdictReused means that the key belongs to another request.
-	VerdictReused
+	VerdictKeyReused
 	// VerdictRefused means that the store gave no answer in time; nothing was
 	// sent and nothing will be.
-	VerdictRefused
+	VerdictStoreUnavailable
 )
 
 // Event is what the table answered to the last action.
@@ -56,7 +56,7 @@
 	// EventUnavailable means that the call had no effect and never will.
 	EventUnavailable
 	// EventLost means that the write may have or may yet take effect.
-	EventLost
+	EventUnknownEffect
 	// EventRow brings the row.
 	EventRow
 	// EventDeadline means that the request's time is up.
@@ -98,11 +98,11 @@
 	Nonce  string
 	Digest string
 	// Base is the version over which the open write goes, zero for none.
-	Base int64
+	BaseVersion int64
 	// Open is set while a held row of this claim may yet take effect, or has.
-	Open bool
+	MayBeHeld bool
 	// Foreign is set while a row of another claim is known and not yet read.
-	Foreign bool
+	OtherClaim bool
 	// Row is the row that led to the verdict.
 	Row Row
 	// Grace is added to a holder's deadline before it counts as gone.
@@ -111,7 +111,7 @@
 
 // Start returns a new claim and its first action.
 func Start(nonce, digest string, grace time.Duration) (Machine, Action) {
-	return Machine{Nonce: nonce, Digest: digest, Grace: grace, Open: true}, ActionInsert
+	return Machine{Nonce: nonce, Digest: digest, Grace: grace, MayBeHeld: true}, ActionInsert
 }
 
 // Step takes in one event and returns the next state and action. It is pure.
@@ -135,14 +135,14 @@
 // and nothing will be; but where another claim's row is known to exist, that
 // one may have run.
 func (m Machine) giveUp() (Machine, Action) {
-	if m.Foreign {
+	if m.OtherClaim {
 		return m.end(VerdictUnknown)
 	}
-	return m.end(VerdictRefused)
+	return m.end(VerdictStoreUnavailable)
 }
 
 func (m Machine) end(v Verdict) (Machine, Action) {
-	m.Phase = PhaseEnded
+	m.Phase = PhaseDecided
 	m.Verdict = v
 	return m, ActionNone
 }
@@ -162,12 +162,12 @@
 	case EventWritten:
 		return m.end(VerdictSend)
 	case EventConflict:
-		m.Open = false
-		m.Foreign = true
+		m.MayBeHeld = false
+		m.OtherClaim = true
 		return m.read()
 	case EventUnavailable:
-		m.Open = false
-		return m.end(VerdictRefused)
+		m.MayBeHeld = false
+		return m.end(VerdictStoreUnavailable)
 	default:
 		return m.exclude()
 	}
@@ -178,7 +178,7 @@
 func (m Machine) afterExclude(in Input) (Machine, Action) {
 	switch in.Event {
 	case EventWritten:
-		m.Open = false
+		m.MayBeHeld = false
 		return m.read()
 	case EventConflict:
 		return m.read()
@@ -198,18 +198,18 @@
 		return m.absent()
 	case r.Nonce == m.Nonce && r.State == StateHeld:
 		return m.mine()
-	case m.Open && r.Version() <= m.Base:
+	case m.MayBeHeld && r.Version() <= m.BaseVersion:
 		// The read is older than the write that excluded ours.
 		return m.exclude()
 	}
-	m.Open = false
+	m.MayBeHeld = false
 	return m.others(r, in.Now)
 }
 
 // mine is the row of this claim: its write took effect although the answer was
 // lost. Only a claim with an open write can find it.
 func (m Machine) mine() (Machine, Action) {
-	if m.Open {
+	if m.MayBeHeld {
 		return m.end(VerdictSend)
 	}
 	return m.read()
@@ -218,25 +218,25 @@
 // absent is a stale read, or a row that was cleared: the claim starts again.
 // While an earlier write is open, it is first excluded.
 func (m Machine) absent() (Machine, Action) {
-	m.Base = 0
-	if m.Open {
+	m.BaseVersion = 0
+	if m.MayBeHeld {
 		return m.exclude()
 	}
-	m.Open = true
+	m.MayBeHeld = true
 	m.Phase = PhaseInsert
 	return m, ActionInsert
 }
 
 func (m Machine) others(r Row, now time.Time) (Machine, Action) {
 	if r.State == StateNotRun {
-		m.Foreign = false
-		m.Base = r.Version()
-		m.Open = true
+		m.OtherClaim = false
+		m.BaseVersion = r.Version()
+		m.MayBeHeld = true
 		m.Phase = PhaseTakeOver
 		return m, ActionTakeOver
 	}
 	if r.Digest != m.Digest {
-		return m.end(VerdictReused)
+		return m.end(VerdictKeyReused)
 	}
 	return m.end(verdictOf(r, now, m.Grace))
 }
--- a/internal/claim/step_test.go
+++ b/internal/claim/step_test.go
@@ -83,13 +83,13 @@
 	case "unavailable":
 		return claim.Input{Event: claim.EventUnavailable}
 	case "answer lost":
-		w.commit(c.machine.Base, r)
-		return claim.Input{Event: claim.EventLost}
+		w.commit(c.machine.BaseVersion, r)
+		return claim.Input{Event: claim.EventUnknownEffect}
 	case "late":
-		w.late = append(w.late, lateWrite{c.machine.Base, r})
-		return claim.Input{Event: claim.EventLost}
+		w.late = append(w.late, lateWrite{c.machine.BaseVersion, r})
+		return claim.Input{Event: claim.EventUnknownEffect}
 	}
-	if w.commit(c.machine.Base, r) {
+	if w.commit(c.machine.BaseVersion, r) {
 		return claim.Input{Event: claim.EventWritten}
 	}
 	return claim.Input{Event: claim.EventConflict}
@@ -206,7 +206,7 @@
 		"done":                       {with(claim.StateDone, digest), start, claim.VerdictDone},
 		"failed":                     {with(claim.StateFailed, digest), start, claim.VerdictFailed},
 		"unknown":                    {with(claim.StateUnknown, digest), start, claim.VerdictUnknown},
-		"key of another request":     {with(claim.StateDone, "e"), start, claim.VerdictReused},
+		"key of another request":     {with(claim.StateDone, "e"), start, claim.VerdictKeyReused},
 		"not run, open to take over": {with(claim.StateNotRun, digest), start, claim.VerdictNone},
 	}
 	for name, tc := range cases {
--- a/internal/gate/bench_test.go
+++ b/internal/gate/bench_test.go
@@ -73,7 +73,7 @@
 		Allocator:     allocator,
 		Targets:       &engine.Pool{Configuration: configuration},
 		Canceller:     gate.NewCanceller(),
-		Claims:        claim.NewBook(),
+		Claims:        claim.NewManager(),
 		Meter:         metric.Discard(),
 		Log:           &log.Logger{Level: log.PanicLevel},
 	}
--- a/internal/gate/claim.go
+++ b/internal/gate/claim.go
@@ -14,7 +14,7 @@
 // claimOnce lets a request that is marked as not repeatable through only under
 // a claim, and answers its retries.
 type claimOnce struct {
-	book *claim.Book
+	book *claim.Manager
 }
 
 // Run claims the request's key, and records what became of the request.
--- a/internal/gate/server.go
+++ b/internal/gate/server.go
@@ -28,7 +28,7 @@
 	Allocator     barleystep.Allocator
 	Targets       Targets
 	Canceller     *Canceller
-	Claims        *claim.Book
+	Claims        *claim.Manager
 	// Hall is the box's hall, and Forwarder the way to others; nil forwards
 	// nothing.
 	Hall      barleystep.HallID
