--- a/internal/box/keeper.go
+++ b/internal/box/keeper.go
@@ -63,7 +63,7 @@
 			Clock: k.Clock, Box: id, Hall: hall, Configuration: follower, Targets: targets, Watcher: watcher, Meter: k.Meter, Log: k.Log,
 		},
 		&keeper.Issuer{
-			Clock: k.Clock, Hall: hall, Source: source, Table: k.Table, Configuration: follower, Targets: targets, Watcher: watcher,
+			Clock: k.Clock, Hall: hall, IDs: source, Table: k.Table, Configuration: follower, Targets: targets, Watcher: watcher,
 			Meter: k.Meter, Log: k.Log,
 		},
 		&keeper.Sweeper{Clock: k.Clock, Box: id, Table: k.Table, Objects: k.Objects, Watcher: watcher, Meter: k.Meter},
--- a/internal/keeper/clean.go
+++ b/internal/keeper/clean.go
@@ -31,7 +31,7 @@
 const deadlineGrace = 30 * time.Second
 
 // Picture is what a keeper knows of the boxes of its hall.
-type Picture struct {
+type HallState struct {
 	// Members are the boxes as the own box sees them.
 	Members []member.Update
 	// Listed are the boxes that the platform lists, and ListedAt is when it was
@@ -45,7 +45,7 @@
 // Judge decides whether an attempt is left over. Work of a box that may be
 // alive is never touched before its deadline: that heartbeats are missing is
 // not enough, as the keeper may be the one who is cut off.
-func Judge(w barleystep.HeldAttempt, p Picture, now time.Time) Reason {
+func OrphanReason(w barleystep.HeldAttempt, p HallState, now time.Time) Reason {
 	if !w.Deadline.IsZero() && now.Sub(w.Deadline) > deadlineGrace {
 		return ReasonDeadline
 	}
@@ -61,7 +61,7 @@
 	return ReasonNone
 }
 
-func judgeBox(m member.Update, id barleystep.AttemptID, p Picture) Reason {
+func judgeBox(m member.Update, id barleystep.AttemptID, p HallState) Reason {
 	if m.Incarnation > id.Incarnation() {
 		return ReasonReplaced
 	}
--- a/internal/keeper/clean_test.go
+++ b/internal/keeper/clean_test.go
@@ -91,7 +91,7 @@
 		members = append(members, member.Update{Box: barleystep.BoxID(fmt.Sprint("x", i)), Incarnation: 10 + inc, Status: member.StatusLeaving})
 	}
 	b.members = members
-	w.Look(context.Background())
+	w.Refresh(context.Background())
 	for _, k := range cleaners {
 		k.Round(context.Background())
 	}
--- a/internal/keeper/cleaner.go
+++ b/internal/keeper/cleaner.go
@@ -25,17 +25,17 @@
 	Meter         *metric.Meter
 	Log           *log.Logger
 	// Every is the time between rounds; the default is 5 seconds.
-	Every time.Duration
+	Interval time.Duration
 }
 
 const defaultCleanEvery = 5 * time.Second
 
 // Serve cleans until ctx ends.
 func (c *Cleaner) Serve(ctx context.Context) error {
-	if c.Every == 0 {
-		c.Every = defaultCleanEvery
+	if c.Interval == 0 {
+		c.Interval = defaultCleanEvery
 	}
-	return clock.Repeat(ctx, c.Clock, c.Every, c.Round)
+	return clock.Repeat(ctx, c.Clock, c.Interval, c.Round)
 }
 
 // Round looks once at each engine that is this box's to clean. Serve calls it;
@@ -45,7 +45,7 @@
 	if v == nil {
 		return
 	}
-	p := c.Watcher.Picture()
+	p := c.Watcher.State()
 	engines := v.Targets(func(t config.Target) bool { return t.Hall == string(c.Hall) && t.Model != "" })
 	for _, t := range engines {
 		if p.owner("clean/"+t.ID) == c.Box {
@@ -54,7 +54,7 @@
 	}
 }
 
-func (c *Cleaner) clean(ctx context.Context, id barleystep.TargetID, p Picture) {
+func (c *Cleaner) clean(ctx context.Context, id barleystep.TargetID, p HallState) {
 	e, ok := c.Targets.Engine(id, false)
 	if !ok {
 		return
@@ -67,7 +67,7 @@
 		return
 	}
 	for _, w := range work {
-		reason := Judge(w, p, c.Clock.Now())
+		reason := OrphanReason(w, p, c.Clock.Now())
 		if reason == ReasonNone || e.Cancel(ctx, w.Attempt) != nil {
 			continue
 		}
@@ -78,10 +78,10 @@
 }
 
 func (c *Cleaner) timeout() time.Duration {
-	if c.Every == 0 {
+	if c.Interval == 0 {
 		return defaultCleanEvery
 	}
-	return c.Every
+	return c.Interval
 }
 
 // Sweeper clears old claims from the table. Its exported fields are set before
@@ -95,9 +95,9 @@
 	Meter   *metric.Meter
 	// Keep is how long a claim is kept after its request's deadline; the default
 	// is 24 hours. No write may take effect later than that.
-	Keep time.Duration
+	Retention time.Duration
 	// Every is the time between rounds; the default is 10 seconds.
-	Every time.Duration
+	Interval time.Duration
 
 	after string // after is the key at which the next round goes on.
 }
@@ -110,16 +110,16 @@
 
 // Serve sweeps until ctx ends.
 func (s *Sweeper) Serve(ctx context.Context) error {
-	if s.Every == 0 {
-		s.Every = defaultSweepEvery
+	if s.Interval == 0 {
+		s.Interval = defaultSweepEvery
 	}
-	return clock.Repeat(ctx, s.Clock, s.Every, s.Round)
+	return clock.Repeat(ctx, s.Clock, s.Interval, s.Round)
 }
 
 // Round looks at one batch of rows if this box is the sweeper. Serve calls it;
 // tests may.
 func (s *Sweeper) Round(ctx context.Context) {
-	if s.Watcher.Picture().owner("sweep") != s.Box {
+	if s.Watcher.State().owner("sweep") != s.Box {
 		return
 	}
 	rows, err := s.Table.Scan(ctx, claim.Prefix, s.after, sweepBatch)
@@ -137,7 +137,7 @@
 // clear deletes the old rows of a batch in one transaction: answers first, so
 // that none is left without a row that names it.
 func (s *Sweeper) clear(ctx context.Context, rows []barleystep.Row) {
-	keep := s.Keep
+	keep := s.Retention
 	if keep == 0 {
 		keep = defaultKeep
 	}
--- a/internal/keeper/issuer.go
+++ b/internal/keeper/issuer.go
@@ -18,7 +18,7 @@
 type Issuer struct {
 	Clock         barleystep.Clock
 	Hall          barleystep.HallID
-	Source        *identity.Generator
+	IDs           *identity.Generator
 	Table         barleystep.Table
 	Configuration config.Source
 	Targets       Targets
@@ -28,8 +28,8 @@
 	// Every is the time between rounds, and Pause the least time between two
 	// orders, as the weight store's rate is limited; the defaults are 2 and 10
 	// seconds.
-	Every time.Duration
-	Pause time.Duration
+	Interval      time.Duration
+	OrderInterval time.Duration
 
 	lease   Lease
 	ordered time.Time // ordered is when the last order was sent.
@@ -63,13 +63,13 @@
 
 // Serve gives orders until ctx ends.
 func (g *Issuer) Serve(ctx context.Context) error {
-	if g.Every == 0 {
-		g.Every = defaultIssueEvery
+	if g.Interval == 0 {
+		g.Interval = defaultIssueEvery
 	}
-	if g.Pause == 0 {
-		g.Pause = defaultOrderPause
+	if g.OrderInterval == 0 {
+		g.OrderInterval = defaultOrderPause
 	}
-	return clock.Repeat(ctx, g.Clock, g.Every, g.Round)
+	return clock.Repeat(ctx, g.Clock, g.Interval, g.Round)
 }
 
 // Round looks at each target once. Serve calls it; tests may.
@@ -126,7 +126,7 @@
 		g.Log.Error().Err(err).Msg(logPrefix + "The lease can't be read.")
 		return false
 	}
-	mine := found.Holder == g.Source.Box() && found.Incarnation == g.Source.Incarnation()
+	mine := found.Holder == g.IDs.Box() && found.Incarnation == g.IDs.Incarnation()
 	if !mine && now.Before(found.Until.Add(leaseGrace)) {
 		g.lease = Lease{}
 		return false
@@ -135,7 +135,7 @@
 }
 
 func (g *Issuer) take(ctx context.Context, rowVersion int64, found Lease, mine bool, now time.Time) bool {
-	next := Lease{Holder: g.Source.Box(), Incarnation: g.Source.Incarnation(), Token: found.Token, Until: now.Add(leaseLife)}
+	next := Lease{Holder: g.IDs.Box(), Incarnation: g.IDs.Incarnation(), Token: found.Token, Until: now.Add(leaseLife)}
 	if !mine {
 		next.Token++
 		g.Meter.TookOver("orders")
@@ -169,35 +169,35 @@
 		return
 	}
 	self := g.lease
-	self.Holder, self.Incarnation = g.Source.Box(), g.Source.Incarnation()
-	s := Sight{
-		Now:        g.Clock.Now(),
-		Self:       self,
-		Wanted:     t.Weights,
-		Loaded:     load.Weights,
-		Idle:       t.Drain && load.Running == 0 && load.Waiting == 0,
-		Checks:     t.ChecksFence,
-		Intent:     intent,
-		HolderGone: g.Watcher.Gone(intent.Holder, intent.Incarnation),
+	self.Holder, self.Incarnation = g.IDs.Box(), g.IDs.Incarnation()
+	s := TargetState{
+		Now:         g.Clock.Now(),
+		OwnLease:    self,
+		Wanted:      t.Weights,
+		Loaded:      load.Weights,
+		Drained:     t.Drain && load.Running == 0 && load.Waiting == 0,
+		ChecksFence: t.ChecksFence,
+		Intent:      intent,
+		HolderEnded: g.Watcher.HasEnded(intent.Holder, intent.Incarnation),
 	}
 	g.act(ctx, id, e, s, row.Version())
 }
 
-func (g *Issuer) act(ctx context.Context, id barleystep.TargetID, e barleystep.Engine, s Sight, rowVersion int64) {
+func (g *Issuer) act(ctx context.Context, id barleystep.TargetID, e barleystep.Engine, s TargetState, rowVersion int64) {
 	if g.Clock.Now().Before(g.unsure[id]) {
 		return
 	}
 	switch Decide(s) {
 	case StepSend:
-		g.send(ctx, id, e, barleystep.Order{Weights: s.Wanted, Fence: s.Self.Token})
-	case StepIntend:
-		intent := Intent{Holder: s.Self.Holder, Incarnation: s.Self.Incarnation, Token: s.Self.Token, Weights: s.Wanted, Open: true}
+		g.send(ctx, id, e, barleystep.Order{Weights: s.Wanted, Fence: s.OwnLease.Token})
+	case StepWriteIntent:
+		intent := Intent{Holder: s.OwnLease.Holder, Incarnation: s.OwnLease.Incarnation, Token: s.OwnLease.Token, Weights: s.Wanted, Open: true}
 		if g.writeIntent(ctx, id, rowVersion, intent) {
-			g.send(ctx, id, e, barleystep.Order{Weights: s.Wanted, Fence: s.Self.Token})
+			g.send(ctx, id, e, barleystep.Order{Weights: s.Wanted, Fence: s.OwnLease.Token})
 		}
 	case StepSendIntended:
-		g.send(ctx, id, e, barleystep.Order{Weights: s.Intent.Weights, Fence: s.Self.Token})
-	case StepClose:
+		g.send(ctx, id, e, barleystep.Order{Weights: s.Intent.Weights, Fence: s.OwnLease.Token})
+	case StepCloseIntent:
 		g.closeIntent(ctx, id, rowVersion, s.Intent)
 	}
 }
@@ -245,7 +245,7 @@
 // send sends an order, spread over time.
 func (g *Issuer) send(ctx context.Context, id barleystep.TargetID, e barleystep.Engine, o barleystep.Order) {
 	now := g.Clock.Now()
-	if now.Sub(g.ordered) < g.Pause && !g.ordered.IsZero() {
+	if now.Sub(g.ordered) < g.OrderInterval && !g.ordered.IsZero() {
 		return
 	}
 	g.ordered = now
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -33,41 +33,41 @@
 	cases := map[string]struct {
 		attempt  barleystep.AttemptID
 		deadline time.Time
-		picture  keeper.Picture
+		picture  keeper.HallState
 		want     keeper.Reason
 	}{
-		"of a live box": {barleystep.NewAttemptID("b", 5, 1), time.Time{}, keeper.Picture{Members: []member.Update{alive}}, keeper.ReasonNone},
+		"of a live box": {barleystep.NewAttemptID("b", 5, 1), time.Time{}, keeper.HallState{Members: []member.Update{alive}}, keeper.ReasonNone},
 		"of an earlier start": {
-			barleystep.NewAttemptID("b", 4, 1), time.Time{}, keeper.Picture{Members: []member.Update{alive}}, keeper.ReasonReplaced,
+			barleystep.NewAttemptID("b", 4, 1), time.Time{}, keeper.HallState{Members: []member.Update{alive}}, keeper.ReasonReplaced,
 		},
 		"of a later start than is known": {
-			barleystep.NewAttemptID("b", 6, 1), time.Time{}, keeper.Picture{Members: []member.Update{dead}, DeadSince: seen, ListedAt: start.Add(1)}, keeper.ReasonNone,
+			barleystep.NewAttemptID("b", 6, 1), time.Time{}, keeper.HallState{Members: []member.Update{dead}, DeadSince: seen, ListedAt: start.Add(1)}, keeper.ReasonNone,
 		},
 		"of a silent box that is listed": {
 			barleystep.NewAttemptID("b", 5, 1), time.Time{},
-			keeper.Picture{Members: []member.Update{dead}, DeadSince: seen, ListedAt: start.Add(1), Listed: map[barleystep.BoxID]bool{"b": true}},
+			keeper.HallState{Members: []member.Update{dead}, DeadSince: seen, ListedAt: start.Add(1), Listed: map[barleystep.BoxID]bool{"b": true}},
 			keeper.ReasonNone,
 		},
 		"of a silent box, list not read since": {
 			barleystep.NewAttemptID("b", 5, 1), time.Time{},
-			keeper.Picture{Members: []member.Update{dead}, DeadSince: seen, ListedAt: start.Add(-1)}, keeper.ReasonNone,
+			keeper.HallState{Members: []member.Update{dead}, DeadSince: seen, ListedAt: start.Add(-1)}, keeper.ReasonNone,
 		},
 		"of a silent box that is not listed": {
 			barleystep.NewAttemptID("b", 5, 1), time.Time{},
-			keeper.Picture{Members: []member.Update{dead}, DeadSince: seen, ListedAt: start.Add(1)}, keeper.ReasonGone,
+			keeper.HallState{Members: []member.Update{dead}, DeadSince: seen, ListedAt: start.Add(1)}, keeper.ReasonGone,
 		},
-		"of a box of elsewhere": {barleystep.NewAttemptID("c", 5, 1), time.Time{}, keeper.Picture{}, keeper.ReasonNone},
+		"of a box of elsewhere": {barleystep.NewAttemptID("c", 5, 1), time.Time{}, keeper.HallState{}, keeper.ReasonNone},
 		"long after its deadline": {
-			barleystep.NewAttemptID("b", 5, 1), start.Add(-time.Minute), keeper.Picture{Members: []member.Update{alive}}, keeper.ReasonDeadline,
+			barleystep.NewAttemptID("b", 5, 1), start.Add(-time.Minute), keeper.HallState{Members: []member.Update{alive}}, keeper.ReasonDeadline,
 		},
 		"soon after its deadline": {
-			barleystep.NewAttemptID("b", 5, 1), start.Add(-time.Second), keeper.Picture{Members: []member.Update{alive}}, keeper.ReasonNone,
+			barleystep.NewAttemptID("b", 5, 1), start.Add(-time.Second), keeper.HallState{Members: []member.Update{alive}}, keeper.ReasonNone,
 		},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			w := barleystep.HeldAttempt{Attempt: tc.attempt.String(), Deadline: tc.deadline}
-			quicktest.Check(t, keeper.Judge(w, tc.picture, start), quicktest.Equals, tc.want)
+			quicktest.Check(t, keeper.OrphanReason(w, tc.picture, start), quicktest.Equals, tc.want)
 		})
 	}
 }
@@ -76,28 +76,28 @@
 	self := keeper.Lease{Holder: "me", Incarnation: 1, Token: 7, Until: start.Add(time.Second)}
 	mine := keeper.Intent{Holder: "me", Incarnation: 1, Weights: "v2", Open: true}
 	other := keeper.Intent{Holder: "you", Incarnation: 9, Weights: "v1", Open: true}
-	sight := func(change func(*keeper.Sight)) keeper.Sight {
-		s := keeper.Sight{Now: start, Self: self, Wanted: "v2", Loaded: "v1", Idle: true}
+	sight := func(change func(*keeper.TargetState)) keeper.TargetState {
+		s := keeper.TargetState{Now: start, OwnLease: self, Wanted: "v2", Loaded: "v1", Drained: true}
 		change(&s)
 		return s
 	}
 	cases := map[string]struct {
-		change func(*keeper.Sight)
+		change func(*keeper.TargetState)
 		want   keeper.Step
 	}{
-		"announces first":                      {func(*keeper.Sight) {}, keeper.StepIntend},
-		"sends what it announced":              {func(s *keeper.Sight) { s.Intent = mine }, keeper.StepSendIntended},
-		"closes when it is done":               {func(s *keeper.Sight) { s.Intent, s.Loaded = mine, "v2" }, keeper.StepClose},
-		"waits for a paused issuer":            {func(s *keeper.Sight) { s.Intent = other }, keeper.StepWait},
-		"waits although all is well":           {func(s *keeper.Sight) { s.Intent, s.Loaded = other, "v2" }, keeper.StepWait},
-		"goes on when that one is gone":        {func(s *keeper.Sight) { s.Intent, s.HolderGone = other, true }, keeper.StepIntend},
-		"waits for running work":               {func(s *keeper.Sight) { s.Idle = false }, keeper.StepWait},
-		"nothing to do":                        {func(s *keeper.Sight) { s.Loaded = "v2" }, keeper.StepNothing},
-		"lease has lapsed":                     {func(s *keeper.Sight) { s.Now = self.Until }, keeper.StepNothing},
-		"lease has lapsed, own intent open":    {func(s *keeper.Sight) { s.Now, s.Intent = self.Until, mine }, keeper.StepClose},
-		"lease has lapsed, other intent open":  {func(s *keeper.Sight) { s.Now, s.Intent = self.Until, other }, keeper.StepNothing},
-		"target checks the token":              {func(s *keeper.Sight) { s.Checks = true }, keeper.StepSend},
-		"target checks the token, others open": {func(s *keeper.Sight) { s.Checks, s.Intent = true, other }, keeper.StepSend},
+		"announces first":                      {func(*keeper.TargetState) {}, keeper.StepWriteIntent},
+		"sends what it announced":              {func(s *keeper.TargetState) { s.Intent = mine }, keeper.StepSendIntended},
+		"closes when it is done":               {func(s *keeper.TargetState) { s.Intent, s.Loaded = mine, "v2" }, keeper.StepCloseIntent},
+		"waits for a paused issuer":            {func(s *keeper.TargetState) { s.Intent = other }, keeper.StepWait},
+		"waits although all is well":           {func(s *keeper.TargetState) { s.Intent, s.Loaded = other, "v2" }, keeper.StepWait},
+		"goes on when that one is gone":        {func(s *keeper.TargetState) { s.Intent, s.HolderEnded = other, true }, keeper.StepWriteIntent},
+		"waits for running work":               {func(s *keeper.TargetState) { s.Drained = false }, keeper.StepWait},
+		"nothing to do":                        {func(s *keeper.TargetState) { s.Loaded = "v2" }, keeper.StepNone},
+		"lease has lapsed":                     {func(s *keeper.TargetState) { s.Now = self.Until }, keeper.StepNone},
+		"lease has lapsed, own intent open":    {func(s *keeper.TargetState) { s.Now, s.Intent = self.Until, mine }, keeper.StepCloseIntent},
+		"lease has lapsed, other intent open":  {func(s *keeper.TargetState) { s.Now, s.Intent = self.Until, other }, keeper.StepNone},
+		"target checks the token":              {func(s *keeper.TargetState) { s.ChecksFence = true }, keeper.StepSend},
+		"target checks the token, others open": {func(s *keeper.TargetState) { s.ChecksFence, s.Intent = true, other }, keeper.StepSend},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -144,7 +144,7 @@
 
 func (b *bench) watcher() *keeper.Watcher {
 	w := &keeper.Watcher{Clock: b.clock, Hall: "h", Boxes: b.boxes, Members: func(context.Context) ([]member.Update, error) { return b.members, nil }}
-	w.Look(context.Background())
+	w.Refresh(context.Background())
 	return w
 }
 
@@ -152,14 +152,14 @@
 	return &keeper.Issuer{
 		Clock:         b.clock,
 		Hall:          "h",
-		Source:        identity.NewGenerator(box, 1),
+		IDs:           identity.NewGenerator(box, 1),
 		Table:         b.table,
 		Configuration: b.config,
 		Targets:       b.pool,
 		Watcher:       b.watcher(),
 		Meter:         metric.Discard(),
 		Log:           &log.Logger{Level: log.PanicLevel},
-		Pause:         time.Nanosecond,
+		OrderInterval: time.Nanosecond,
 	}
 }
 
@@ -185,7 +185,7 @@
 	second.Round(ctx)
 	c.Check(b.engine.Orders(), quicktest.Equals, 0, quicktest.Commentf("the paused issuer may still send"))
 	b.members[0] = member.Update{Box: "b1", Incarnation: 2, Status: member.StatusAlive}
-	second.Watcher.Look(ctx)
+	second.Watcher.Refresh(ctx)
 	second.Round(ctx)
 	c.Check(b.engine.Weights(), quicktest.Equals, "v2")
 	first.Round(ctx)
--- a/internal/keeper/order.go
+++ b/internal/keeper/order.go
@@ -35,88 +35,88 @@
 // The steps of an issuer.
 const (
 	// StepNothing leaves the target as it is.
-	StepNothing Step = iota
+	StepNone Step = iota
 	// StepWait waits: the target still works, or another's order may yet come.
 	StepWait
 	// StepSend sends the order: the target checks its token.
 	StepSend
 	// StepIntend writes the intent.
-	StepIntend
+	StepWriteIntent
 	// StepSendIntended sends the order that the own open intent announces.
 	StepSendIntended
 	// StepClose closes the own intent: the target has what was ordered, or the
 	// lease is lost and nothing more will be sent.
-	StepClose
+	StepCloseIntent
 )
 
 // Sight is what an issuer sees of one target.
-type Sight struct {
+type TargetState struct {
 	Now time.Time
 	// Self is the issuer with the lease that it holds.
-	Self Lease
+	OwnLease Lease
 	// Wanted and Loaded are the versions of the model.
 	Wanted string
 	Loaded string
 	// Idle is set when the target is drained and holds no work.
-	Idle bool
+	Drained bool
 	// Checks is set for a target that refuses old fencing tokens.
-	Checks bool
+	ChecksFence bool
 	// Intent is the target's intent row, a zero value if there is none.
 	Intent Intent
 	// HolderGone is set when the intent's holder is known to have ended: another
 	// incarnation of its box has started, or the platform no longer lists it.
-	HolderGone bool
+	HolderEnded bool
 }
 
 // Decide returns the next step. It is pure, and mirrors docs/spec/orders.pml.
-func Decide(s Sight) Step {
+func Decide(s TargetState) Step {
 	switch {
-	case !s.Now.Before(s.Self.Until):
+	case !s.Now.Before(s.OwnLease.Until):
 		return decideWithoutLease(s)
-	case s.Checks:
+	case s.ChecksFence:
 		return decideFenced(s)
 	case s.Intent.Open && s.mine():
 		return decideIntended(s)
-	case s.Intent.Open && !s.HolderGone:
+	case s.Intent.Open && !s.HolderEnded:
 		return StepWait
 	case s.Loaded == s.Wanted:
-		return StepNothing
-	case !s.Idle:
+		return StepNone
+	case !s.Drained:
 		return StepWait
 	default:
-		return StepIntend
+		return StepWriteIntent
 	}
 }
 
 // decideWithoutLease gives up what was announced: this box will not send it, and
 // the next issuer waits for that word.
-func decideWithoutLease(s Sight) Step {
+func decideWithoutLease(s TargetState) Step {
 	if s.Intent.Open && s.mine() {
-		return StepClose
+		return StepCloseIntent
 	}
-	return StepNothing
+	return StepNone
 }
 
-func decideFenced(s Sight) Step {
+func decideFenced(s TargetState) Step {
 	switch {
 	case s.Loaded == s.Wanted:
-		return StepNothing
-	case !s.Idle:
+		return StepNone
+	case !s.Drained:
 		return StepWait
 	default:
 		return StepSend
 	}
 }
 
-func decideIntended(s Sight) Step {
+func decideIntended(s TargetState) Step {
 	if s.Loaded == s.Intent.Weights {
-		return StepClose
+		return StepCloseIntent
 	}
 	return StepSendIntended
 }
 
-func (s Sight) mine() bool {
-	return s.Intent.Holder == s.Self.Holder && s.Intent.Incarnation == s.Self.Incarnation
+func (s TargetState) mine() bool {
+	return s.Intent.Holder == s.OwnLease.Holder && s.Intent.Incarnation == s.OwnLease.Incarnation
 }
 
 func decode[T any](r barleystep.Row) (v T, err error) {
--- a/internal/keeper/watcher.go
+++ b/internal/keeper/watcher.go
@@ -26,29 +26,29 @@
 	// Members asks the own box how it sees its hall.
 	Members func(ctx context.Context) ([]member.Update, error)
 	// Every is the time between looks; the default is 1 second.
-	Every time.Duration
+	Interval time.Duration
 
 	mu      sync.Mutex
-	picture Picture
+	picture HallState
 }
 
 const watchEvery = time.Second
 
 // Serve watches until ctx ends.
 func (w *Watcher) Serve(ctx context.Context) error {
-	if w.Every == 0 {
-		w.Every = watchEvery
+	if w.Interval == 0 {
+		w.Interval = watchEvery
 	}
 	for {
-		w.Look(ctx)
-		if !clock.Sleep(ctx, w.Clock, w.Every) {
+		w.Refresh(ctx)
+		if !clock.Sleep(ctx, w.Clock, w.Interval) {
 			return ctx.Err()
 		}
 	}
 }
 
 // Look takes the picture anew. Serve calls it; tests may.
-func (w *Watcher) Look(ctx context.Context) {
+func (w *Watcher) Refresh(ctx context.Context) {
 	now := w.Clock.Now()
 	members, err := w.Members(ctx)
 	if err == nil {
@@ -86,15 +86,15 @@
 }
 
 // Picture returns the picture as it is known. It must not be changed.
-func (w *Watcher) Picture() Picture {
+func (w *Watcher) State() HallState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.picture
 }
 
 // Gone reports whether an incarnation of a box is known to have ended.
-func (w *Watcher) Gone(id barleystep.BoxID, inc barleystep.Incarnation) bool {
-	p := w.Picture()
+func (w *Watcher) HasEnded(id barleystep.BoxID, inc barleystep.Incarnation) bool {
+	p := w.State()
 	for _, m := range p.Members {
 		if m.Box == id {
 			return judgeBox(m, barleystep.NewAttemptID(id, inc, 0), p) != ReasonNone
@@ -104,7 +104,7 @@
 }
 
 // owner returns the box whose duty the key is.
-func (p Picture) owner(key string) barleystep.BoxID {
+func (p HallState) owner(key string) barleystep.BoxID {
 	var alive []barleystep.BoxID
 	for _, m := range p.Members {
 		if m.Status == member.StatusAlive {
