--- a/internal/trial/baseline.go
+++ b/internal/trial/baseline.go
@@ -95,7 +95,7 @@
 
 func (b *baseline) send(r *request) {
 	list := b.pick(b)
-	n := (r.prompt+r.output)*21/(20*b.fleet.speed.Tokens) + 1
+	n := (r.prompt+r.output)*21/(20*b.fleet.speed.KVTokens) + 1
 	var targets []barleystep.TargetID
 	for _, e := range list {
 		if len(targets) < n && !slices.Contains(r.avoid, e.id) {
--- a/internal/trial/engine.go
+++ b/internal/trial/engine.go
@@ -14,25 +14,25 @@
 
 // Speed is how fast the engines of a run are. The users' engines are not
 // settled, so several sets are tried.
-type Speed struct {
+type EngineSpeed struct {
 	Name string
 	// Rate is the reading speed in tokens per second.
-	Rate float64
+	PrefillRate float64
 	// Step is the time of a step that reads nothing.
-	Step time.Duration
+	StepTime time.Duration
 	// Sequence is what each sequence that generates adds to a step.
-	Sequence time.Duration
+	TimePerSequence time.Duration
 	// Chunk is how many prompt tokens one step reads at most.
-	Chunk int
+	ChunkTokens int
 	// Tokens is the KV memory.
-	Tokens int
+	KVTokens int
 }
 
 // Speeds are the sets of engine speeds that are tried.
-var Speeds = []Speed{
-	{Name: "slow", Rate: 3_000, Step: 40 * time.Millisecond, Sequence: 400 * time.Microsecond, Chunk: 1024, Tokens: 400_000},
-	{Name: "middle", Rate: 8_000, Step: 25 * time.Millisecond, Sequence: 200 * time.Microsecond, Chunk: 2048, Tokens: 400_000},
-	{Name: "fast", Rate: 20_000, Step: 15 * time.Millisecond, Sequence: 100 * time.Microsecond, Chunk: 4096, Tokens: 400_000},
+var EngineSpeeds = []EngineSpeed{
+	{Name: "slow", PrefillRate: 3_000, StepTime: 40 * time.Millisecond, TimePerSequence: 400 * time.Microsecond, ChunkTokens: 1024, KVTokens: 400_000},
+	{Name: "middle", PrefillRate: 8_000, StepTime: 25 * time.Millisecond, TimePerSequence: 200 * time.Microsecond, ChunkTokens: 2048, KVTokens: 400_000},
+	{Name: "fast", PrefillRate: 20_000, StepTime: 15 * time.Millisecond, TimePerSequence: 100 * time.Microsecond, ChunkTokens: 4096, KVTokens: 400_000},
 }
 
 // job is one attempt, or a member's part of one, at an engine.
@@ -54,7 +54,7 @@
 // keeps the prefixes of ended conversations in what memory is left.
 type fakeEngine struct {
 	id      barleystep.TargetID
-	speed   Speed
+	speed   EngineSpeed
 	sim     *timeline.Timeline
 	waiting []*job
 	running []*job
@@ -112,7 +112,7 @@
 func (e *fakeEngine) admit() {
 	for len(e.waiting) > 0 {
 		j := e.waiting[0]
-		if e.memory+j.tokens > e.speed.Tokens {
+		if e.memory+j.tokens > e.speed.KVTokens {
 			return
 		}
 		e.waiting = e.waiting[1:]
@@ -121,7 +121,7 @@
 		e.hits += hit
 		e.read += j.unread
 		j.unread = max(j.unread-hit, 1)
-		e.cache.shrink(e.speed.Tokens - e.memory)
+		e.cache.shrink(e.speed.KVTokens - e.memory)
 		e.running = append(e.running, j)
 		sort.SliceStable(e.running, func(a, b int) bool { return before(e.running[a], e.running[b]) })
 	}
@@ -130,14 +130,14 @@
 // plan decides one step: every sequence that generates gets a token, and the
 // chunk is read for the others in order of priority.
 func (e *fakeEngine) plan() (d time.Duration, apply func()) {
-	d = e.speed.Step
-	budget := e.speed.Chunk
+	d = e.speed.StepTime
+	budget := e.speed.ChunkTokens
 	chunks := make(map[*job]int)
 	var generating []*job
 	for _, j := range e.running {
 		if j.unread == 0 {
 			generating = append(generating, j)
-			d += e.speed.Sequence
+			d += e.speed.TimePerSequence
 			continue
 		}
 		n := min(j.unread, budget)
@@ -146,7 +146,7 @@
 			budget -= n
 		}
 	}
-	d += time.Duration(float64(e.speed.Chunk-budget) / e.speed.Rate * float64(time.Second))
+	d += time.Duration(float64(e.speed.ChunkTokens-budget) / e.speed.PrefillRate * float64(time.Second))
 	return d, func() { e.apply(chunks, generating) }
 }
 
@@ -175,7 +175,7 @@
 	}
 	e.memory -= j.tokens
 	e.cache.put(j.conv, j.tokens)
-	e.cache.shrink(e.speed.Tokens - e.memory)
+	e.cache.shrink(e.speed.KVTokens - e.memory)
 	j.done(e.sim.Elapsed())
 }
 
@@ -226,8 +226,8 @@
 		At:          e.sim.Now(),
 		Running:     len(e.running),
 		Waiting:     len(e.waiting),
-		FreeTokens:  e.speed.Tokens - e.memory,
-		TotalTokens: e.speed.Tokens,
+		FreeTokens:  e.speed.KVTokens - e.memory,
+		TotalTokens: e.speed.KVTokens,
 	}
 }
 
--- a/internal/trial/fleet.go
+++ b/internal/trial/fleet.go
@@ -38,7 +38,7 @@
 // fleet is the engines of a run and the attempts at them.
 type fleet struct {
 	sim      *timeline.Timeline
-	speed    Speed
+	speed    EngineSpeed
 	engines  []*fakeEngine
 	byID     map[barleystep.TargetID]*fakeEngine
 	lag      time.Duration // lag is how late load reports come.
@@ -58,7 +58,7 @@
 	over    bool
 }
 
-func newFleet(s *timeline.Timeline, speed Speed) *fleet {
+func newFleet(s *timeline.Timeline, speed EngineSpeed) *fleet {
 	f := &fleet{sim: s, speed: speed, byID: make(map[barleystep.TargetID]*fakeEngine), lag: loadEvery / 2, live: make(map[*attempt]bool)}
 	for i := range engines {
 		e := &fakeEngine{id: barleystep.TargetID(fmt.Sprintf("e%02d", i)), speed: speed, sim: s}
@@ -124,7 +124,7 @@
 // does.
 func (f *fleet) watch(a *attempt) {
 	const margin = 8
-	read := time.Duration(float64(a.request.prompt) / f.speed.Rate * margin * float64(time.Second))
+	read := time.Duration(float64(a.request.prompt) / f.speed.PrefillRate * margin * float64(time.Second))
 	f.sim.After(stall+read, func() {
 		if !a.over && !a.started {
 			f.fail(a)
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -47,32 +47,32 @@
 const prefixMix = 0x9E3779B97F4A7C15
 
 // Load describes the requests of a run.
-type Load struct {
+type Workload struct {
 	Name string
 	// Bands is the part of each band of prompt length.
-	Bands [len(barleystep.Bands)]float64
+	BandShares [len(barleystep.Bands)]float64
 	// Growing is the part of requests that go on with a conversation.
-	Growing float64
+	ContinuedShare float64
 	// Province is how many long bulk prompts arrive at once in the midst of a
 	// run.
-	Province int
+	BulkBurst int
 	// UrgentLong is the part of long prompts that are urgent.
-	UrgentLong float64
+	UrgentLongShare float64
 }
 
 // Loads are the loads of the two users. One prompt in fifty is over 100,000
 // tokens.
-var Loads = []Load{
-	{Name: "Conversia", Bands: [...]float64{0.42, 0.36, 0.20, 0.02}, Growing: 0.2, UrgentLong: 0.4},
-	{Name: "Chaiyaphruek", Bands: [...]float64{0.60, 0.28, 0.10, 0.02}, Growing: 0.4, Province: 40, UrgentLong: 0.1},
+var Workloads = []Workload{
+	{Name: "Conversia", BandShares: [...]float64{0.42, 0.36, 0.20, 0.02}, ContinuedShare: 0.2, UrgentLongShare: 0.4},
+	{Name: "Chaiyaphruek", BandShares: [...]float64{0.60, 0.28, 0.10, 0.02}, ContinuedShare: 0.4, BulkBurst: 40, UrgentLongShare: 0.1},
 }
 
 var bandLimits = [...][2]float64{{1_000, 4_000}, {4_000, 16_000}, {16_000, 100_000}, {100_000, 1_000_000}}
 
 // mean returns the mean prompt length of the load in tokens.
-func (l Load) mean() float64 {
+func (l Workload) mean() float64 {
 	sum := 0.0
-	for i, part := range l.Bands {
+	for i, part := range l.BandShares {
 		low, high := bandLimits[i][0], bandLimits[i][1]
 		sum += part * (high - low) / math.Log(high/low)
 	}
@@ -88,9 +88,9 @@
 // requests draws the requests of a run. Level is the part of the fleet's
 // reading speed that they take; without long ones, the short ones stay as they
 // are.
-func (l Load) requests(seed uint64, speed Speed, engines int, level float64, span, warmup time.Duration, withLong bool) []*request {
+func (l Workload) requests(seed uint64, speed EngineSpeed, engines int, level float64, span, warmup time.Duration, withLong bool) []*request {
 	rng := rand.New(rand.NewPCG(seed, seed))
-	rate := level * speed.Rate * float64(engines) / l.mean()
+	rate := level * speed.PrefillRate * float64(engines) / l.mean()
 	var list []*request
 	var convs []*request
 	for at := 0.0; ; {
@@ -117,13 +117,13 @@
 	return short
 }
 
-func (l Load) draw(rng *rand.Rand, id int, convs []*request) *request {
+func (l Workload) draw(rng *rand.Rand, id int, convs []*request) *request {
 	r := &request{id: id, conv: uint64(id) + 1, box: rng.IntN(boxes)}
 	r.account = drawAccount(rng)
 	r.prompt = l.drawPrompt(rng)
 	r.output = int(min(rng.ExpFloat64()*meanOutput+8, 2_000))
 	growing, pick, urgent := rng.Float64(), rng.IntN(recentConvs), rng.Float64()
-	if growing < l.Growing && len(convs) > recentConvs {
+	if growing < l.ContinuedShare && len(convs) > recentConvs {
 		old := convs[len(convs)-1-pick]
 		r.conv, r.account = old.conv, old.account
 		r.prompt = min(old.prompt+old.output+turnTokens, 1_000_000)
@@ -135,10 +135,10 @@
 // recentConvs is how far back a conversation may be that goes on.
 const recentConvs = 40
 
-func (l Load) drawPrompt(rng *rand.Rand) int {
+func (l Workload) drawPrompt(rng *rand.Rand) int {
 	u, v := rng.Float64(), rng.Float64()
-	for i, part := range l.Bands {
-		if u < part || i == len(l.Bands)-1 {
+	for i, part := range l.BandShares {
+		if u < part || i == len(l.BandShares)-1 {
 			low, high := bandLimits[i][0], bandLimits[i][1]
 			return int(low * math.Pow(high/low, v))
 		}
@@ -163,11 +163,11 @@
 	return 1
 }
 
-func (l Load) classify(r *request, urgent float64) {
+func (l Workload) classify(r *request, urgent float64) {
 	switch {
 	case !r.band().Long():
 		r.class, r.rank, r.limit = "urgent", 0, 2*time.Minute
-	case urgent < l.UrgentLong:
+	case urgent < l.UrgentLongShare:
 		r.class, r.rank, r.limit = "urgent", 0, 10*time.Minute
 	default:
 		r.class, r.rank, r.limit = "normal", 1, 20*time.Minute
@@ -175,9 +175,9 @@
 }
 
 // province is the monthly burst of long bulk prompts of one account.
-func (l Load) province(rng *rand.Rand, id int, at time.Duration) []*request {
+func (l Workload) province(rng *rand.Rand, id int, at time.Duration) []*request {
 	var list []*request
-	for i := range l.Province {
+	for i := range l.BulkBurst {
 		v := rng.Float64()
 		list = append(list, &request{
 			id:       id + i,
--- a/internal/trial/ours.go
+++ b/internal/trial/ours.go
@@ -53,7 +53,7 @@
 	o.dispenser = capacity.NewDispenser(o.settings, o.fleet.sim.Now())
 	var specs []capacity.TargetSpec
 	for _, e := range o.fleet.engines {
-		specs = append(specs, capacity.TargetSpec{ID: e.id, KVTokens: o.fleet.speed.Tokens, PrefillRate: o.fleet.speed.Rate})
+		specs = append(specs, capacity.TargetSpec{ID: e.id, KVTokens: o.fleet.speed.KVTokens, PrefillRate: o.fleet.speed.PrefillRate})
 	}
 	o.dispenser.SetTargets(specs)
 	o.down = false
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -17,23 +17,23 @@
 // The faults of runs.
 const (
 	FaultNone        Fault = "none"
-	FaultEngineDeath Fault = "engine dies"
+	FaultEngineCrash Fault = "engine dies"
 	FaultEngineHang  Fault = "engine hangs"
-	FaultBoxDeath    Fault = "box dies"
+	FaultBoxCrash    Fault = "box dies"
 	FaultLateReports Fault = "reports late"
 )
 
 // Faults lists all faults.
-var Faults = []Fault{FaultNone, FaultEngineDeath, FaultEngineHang, FaultBoxDeath, FaultLateReports}
+var Faults = []Fault{FaultNone, FaultEngineCrash, FaultEngineHang, FaultBoxCrash, FaultLateReports}
 
 // Variant is one way to decide.
-type Variant struct {
+type Strategy struct {
 	Name  string
 	build func(f *fleet, seed uint64) dispatcher
 }
 
 // Variants are the baselines and our own versions, the present one last.
-var Variants = []Variant{
+var Strategies = []Strategy{
 	{"random", simple(pickRandom, false)},
 	{"round robin", simple(pickRoundRobin, false)},
 	{"least loaded", simple(pickLeastLoaded, false)},
@@ -56,33 +56,33 @@
 
 // Case is one run.
 type Case struct {
-	Variant Variant
-	Load    Load
-	Speed   Speed
-	Level   float64
-	Fault   Fault
+	Strategy    Strategy
+	Workload    Workload
+	EngineSpeed EngineSpeed
+	Utilization float64
+	Fault       Fault
 	// Short leaves the long prompts out.
-	Short bool
-	Seed  uint64
+	ShortOnly bool
+	Seed      uint64
 }
 
 // Result is what a run measured.
 type Result struct {
 	Case Case
 	// First holds the times to first token in microseconds, by band.
-	First [len(barleystep.Bands)]*hdrhistogram.Histogram
+	TTFT [len(barleystep.Bands)]*hdrhistogram.Histogram
 	// ShortFirst holds those of both short bands.
-	ShortFirst *hdrhistogram.Histogram
+	ShortTTFT *hdrhistogram.Histogram
 	// Requests counts what was measured; Good was answered within the time
 	// limit, Refused was told at once, Starved got nothing by its limit.
 	Requests int
-	Good     int
+	InTime   int
 	Refused  int
 	Starved  int
 	// Fairness is Jain's index of the accounts' answered part.
 	Fairness float64
 	// Cached is the part of prompt tokens that came from cache.
-	Cached float64
+	CachedShare float64
 }
 
 const (
@@ -97,9 +97,9 @@
 // Run carries out one case.
 func Run(c Case) Result {
 	s := &timeline.Timeline{}
-	f := newFleet(s, c.Speed)
-	f.dispatch = c.Variant.build(f, c.Seed)
-	list := c.Load.requests(c.Seed, c.Speed, engines, c.Level, span, warmup, !c.Short)
+	f := newFleet(s, c.EngineSpeed)
+	f.dispatch = c.Strategy.build(f, c.Seed)
+	list := c.Workload.requests(c.Seed, c.EngineSpeed, engines, c.Utilization, span, warmup, !c.ShortOnly)
 	for _, r := range list {
 		s.After(r.at, func() { f.dispatch.submit(r) })
 	}
@@ -111,13 +111,13 @@
 func (c Case) fault(s *timeline.Timeline, f *fleet) {
 	e := f.engines[3]
 	switch c.Fault {
-	case FaultEngineDeath:
+	case FaultEngineCrash:
 		s.After(faultAt, e.kill)
 		s.After(healAt, e.revive)
 	case FaultEngineHang:
 		s.After(faultAt, func() { e.hung = true })
 		s.After(healAt, e.revive)
-	case FaultBoxDeath:
+	case FaultBoxCrash:
 		s.After(faultAt, func() {
 			f.killBox(0)
 			f.dispatch.boxDied(0)
@@ -133,13 +133,13 @@
 )
 
 func measure(c Case, f *fleet, list []*request) Result {
-	res := Result{Case: c, ShortFirst: hdrhistogram.New(1, longestMicros, digits)}
-	for i := range res.First {
-		res.First[i] = hdrhistogram.New(1, longestMicros, digits)
+	res := Result{Case: c, ShortTTFT: hdrhistogram.New(1, longestMicros, digits)}
+	for i := range res.TTFT {
+		res.TTFT[i] = hdrhistogram.New(1, longestMicros, digits)
 	}
 	asked, served := make(map[string]float64), make(map[string]float64)
 	for _, r := range list {
-		if !r.warmedUp || (c.Fault == FaultBoxDeath && r.box == 0) {
+		if !r.warmedUp || (c.Fault == FaultBoxCrash && r.box == 0) {
 			continue
 		}
 		res.count(r)
@@ -154,7 +154,7 @@
 		hits += e.hits
 		read += e.read
 	}
-	res.Cached = float64(hits) / float64(max(read, 1))
+	res.CachedShare = float64(hits) / float64(max(read, 1))
 	return res
 }
 
@@ -169,12 +169,12 @@
 		res.Starved++
 		took = max(r.limit, took)
 	} else {
-		res.Good++
+		res.InTime++
 	}
 	micros := min(took.Microseconds(), longestMicros)
-	_ = res.First[r.band()].RecordValue(micros) // The value is within the histogram's range.
+	_ = res.TTFT[r.band()].RecordValue(micros) // The value is within the histogram's range.
 	if !r.band().Long() {
-		_ = res.ShortFirst.RecordValue(micros) // As above.
+		_ = res.ShortTTFT.RecordValue(micros) // As above.
 	}
 }
 
@@ -182,15 +182,15 @@
 func (res *Result) add(other Result) {
 	n, m := float64(res.Requests), float64(other.Requests)
 	res.Fairness = (n*res.Fairness + m*other.Fairness) / (n + m)
-	res.Cached = (n*res.Cached + m*other.Cached) / (n + m)
+	res.CachedShare = (n*res.CachedShare + m*other.CachedShare) / (n + m)
 	res.Requests += other.Requests
-	res.Good += other.Good
+	res.InTime += other.InTime
 	res.Refused += other.Refused
 	res.Starved += other.Starved
-	for i, h := range res.First {
-		h.Merge(other.First[i])
+	for i, h := range res.TTFT {
+		h.Merge(other.TTFT[i])
 	}
-	res.ShortFirst.Merge(other.ShortFirst)
+	res.ShortTTFT.Merge(other.ShortTTFT)
 }
 
 // jain returns Jain's fairness index of the served parts, 1 when all accounts
--- a/internal/trial/run_test.go
+++ b/internal/trial/run_test.go
@@ -11,21 +11,21 @@
 
 func run(fault trial.Fault, level float64) trial.Result {
 	return trial.Run(trial.Case{
-		Variant: trial.Variants[len(trial.Variants)-1],
-		Load:    trial.Loads[0],
-		Speed:   trial.Speeds[1],
-		Level:   level,
-		Fault:   fault,
-		Seed:    1,
+		Strategy:    trial.Strategies[len(trial.Strategies)-1],
+		Workload:    trial.Workloads[0],
+		EngineSpeed: trial.EngineSpeeds[1],
+		Utilization: level,
+		Fault:       fault,
+		Seed:        1,
 	})
 }
 
 func TestRunIsDeterministic(t *testing.T) {
 	c := quicktest.New(t)
-	first, second := run(trial.FaultEngineDeath, 0.8), run(trial.FaultEngineDeath, 0.8)
-	c.Check(first.Good, quicktest.Equals, second.Good)
-	for i := range first.First {
-		c.Check(first.First[i].Export(), quicktest.DeepEquals, second.First[i].Export())
+	first, second := run(trial.FaultEngineCrash, 0.8), run(trial.FaultEngineCrash, 0.8)
+	c.Check(first.InTime, quicktest.Equals, second.InTime)
+	for i := range first.TTFT {
+		c.Check(first.TTFT[i].Export(), quicktest.DeepEquals, second.TTFT[i].Export())
 	}
 }
 
@@ -37,8 +37,8 @@
 			c := quicktest.New(t)
 			r := run(fault, 0.8)
 			c.Check(r.Starved, quicktest.Equals, 0)
-			c.Check(r.Good+r.Refused, quicktest.Equals, r.Requests)
-			c.Check(r.First[barleystep.Band1M].TotalCount() > 0, quicktest.IsTrue)
+			c.Check(r.InTime+r.Refused, quicktest.Equals, r.Requests)
+			c.Check(r.TTFT[barleystep.Band1M].TotalCount() > 0, quicktest.IsTrue)
 		})
 	}
 }
--- a/internal/trial/table.go
+++ b/internal/trial/table.go
@@ -23,8 +23,8 @@
 
 // Level is how much of the fleet's reading speed a load takes.
 type Level struct {
-	Name string
-	Part float64
+	Name        string
+	Utilization float64
 }
 
 // Levels are the levels that are tried. Full is what leaves an engine time for
@@ -41,7 +41,7 @@
 
 // WriteTables runs the plan and writes its tables as Markdown.
 func WriteTables(w io.Writer, p Plan) error {
-	for _, load := range Loads {
+	for _, load := range Workloads {
 		for _, speed := range p.speeds() {
 			if err := p.table(w, load, speed); err != nil {
 				return err
@@ -51,7 +51,7 @@
 	if p.Quick {
 		return nil
 	}
-	for _, load := range Loads {
+	for _, load := range Workloads {
 		if err := p.faults(w, load); err != nil {
 			return err
 		}
@@ -59,33 +59,33 @@
 	return nil
 }
 
-func (p Plan) speeds() []Speed {
+func (p Plan) speeds() []EngineSpeed {
 	if p.Quick {
-		return Speeds[1:2]
+		return EngineSpeeds[1:2]
 	}
-	return Speeds
+	return EngineSpeeds
 }
 
-func (p Plan) table(w io.Writer, load Load, speed Speed) error {
+func (p Plan) table(w io.Writer, load Workload, speed EngineSpeed) error {
 	var cells []*cell
 	for _, level := range Levels {
-		for _, v := range Variants {
+		for _, v := range Strategies {
 			cells = append(cells, &cell{level: level, mixed: Case{
-				Variant: v, Load: load, Speed: speed, Level: level.Part, Fault: FaultNone,
+				Strategy: v, Workload: load, EngineSpeed: speed, Utilization: level.Utilization, Fault: FaultNone,
 			}})
 		}
 	}
 	p.run(cells)
-	title := fmt.Sprintf("%s, %s engines (%.0f tokens/s)", load.Name, speed.Name, speed.Rate)
+	title := fmt.Sprintf("%s, %s engines (%.0f tokens/s)", load.Name, speed.Name, speed.PrefillRate)
 	return write(w, title, "load", cells, func(c *cell) string { return c.level.Name })
 }
 
-func (p Plan) faults(w io.Writer, load Load) error {
+func (p Plan) faults(w io.Writer, load Workload) error {
 	var cells []*cell
-	ours := Variants[len(Variants)-1]
+	ours := Strategies[len(Strategies)-1]
 	for _, f := range Faults {
 		cells = append(cells, &cell{level: Levels[1], mixed: Case{
-			Variant: ours, Load: load, Speed: Speeds[1], Level: Levels[1].Part, Fault: f,
+			Strategy: ours, Workload: load, EngineSpeed: EngineSpeeds[1], Utilization: Levels[1].Utilization, Fault: f,
 		}})
 	}
 	p.run(cells)
@@ -102,7 +102,7 @@
 		wait.Go(func() {
 			c.result = p.runSeeds(c.mixed)
 			short := c.mixed
-			short.Short = true
+			short.ShortOnly = true
 			short.Fault = FaultNone
 			c.without = p.runSeeds(short)
 			<-slots
@@ -129,8 +129,8 @@
 	fmt.Fprintf(&b, "|---|---|%s---|---|---|---|---|---|\n", strings.Repeat("---|", len(barleystep.Bands)))
 	for _, c := range cells {
 		r := c.result
-		fmt.Fprintf(&b, "| %s | %s | %s | %.2f | %.3f | %d | %d | %.3f | %.2f |\n", label(c), c.mixed.Variant.Name,
-			bandCells(r), slowdown(c), float64(r.Good)/float64(max(r.Requests, 1)), r.Refused, r.Starved, r.Fairness, r.Cached)
+		fmt.Fprintf(&b, "| %s | %s | %s | %.2f | %.3f | %d | %d | %.3f | %.2f |\n", label(c), c.mixed.Strategy.Name,
+			bandCells(r), slowdown(c), float64(r.InTime)/float64(max(r.Requests, 1)), r.Refused, r.Starved, r.Fairness, r.CachedShare)
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
@@ -146,8 +146,8 @@
 
 // bandCells gives p50, p95 and p99 of the time to first token in seconds.
 func bandCells(r Result) string {
-	cells := make([]string, len(r.First))
-	for i, h := range r.First {
+	cells := make([]string, len(r.TTFT))
+	for i, h := range r.TTFT {
 		cells[i] = fmt.Sprintf("%s / %s / %s", quantile(h, 50), quantile(h, 95), quantile(h, 99))
 	}
 	return strings.Join(cells, " | ")
@@ -160,5 +160,5 @@
 
 // slowdown is the ratio of the short prompts' p95 with and without long ones.
 func slowdown(c *cell) float64 {
-	return float64(c.result.ShortFirst.ValueAtQuantile(95)) / float64(c.without.ShortFirst.ValueAtQuantile(95))
+	return float64(c.result.ShortTTFT.ValueAtQuantile(95)) / float64(c.without.ShortTTFT.ValueAtQuantile(95))
 }
