--- a/cmd/barleystep-dev/main.go
+++ b/cmd/barleystep-dev/main.go
@@ -44,8 +44,8 @@
 			return err
 		},
 	}
-	cmd.Flags().IntVar(&h.Boxes, "boxes", 0, "number of entry boxes (default 3)")
-	cmd.Flags().IntVar(&h.Engines, "engines", 0, "number of stand-in engines (default 4)")
+	cmd.Flags().IntVar(&h.BoxCount, "boxes", 0, "number of entry boxes (default 3)")
+	cmd.Flags().IntVar(&h.EngineCount, "engines", 0, "number of stand-in engines (default 4)")
 	cmd.Flags().StringVar(&level, "log", level, "log level")
 	cmd.AddCommand(command.VersionCommand())
 	return cmd
@@ -60,5 +60,5 @@
 // printUsage prints how to call the hall once it is ready.
 func printUsage(cmd *cobra.Command, h *local.Hall) {
 	<-h.Ready()
-	fmt.Fprintf(cmd.OutOrStdout(), usage, local.CallersPort, local.AdminPort, local.CallersPort, local.KeyConversia, local.Model)
+	fmt.Fprintf(cmd.OutOrStdout(), usage, local.CallersPort, local.AdminPort, local.CallersPort, local.KeyConversia, local.ModelName)
 }
--- a/internal/local/bench_test.go
+++ b/internal/local/bench_test.go
@@ -23,7 +23,7 @@
 		b.Run(fmt.Sprintf("boxes=%d", boxes), func(b *testing.B) {
 			c := quicktest.New(b)
 			clk := clock.System{}
-			h := &local.Hall{Clock: clk, Log: &log.Logger{Level: log.PanicLevel}, Boxes: boxes, Engines: 1}
+			h := &local.Hall{Clock: clk, Log: &log.Logger{Level: log.PanicLevel}, BoxCount: boxes, EngineCount: 1}
 			h.Init()
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan error, 1)
@@ -35,7 +35,7 @@
 			for b.Loop() {
 				next := base.Apply([]config.Change{{Kind: config.KindService, Name: "portal", Body: []byte(fmt.Sprintf(`{"name":"portal%d"}`, n))}})
 				started := clk.Now()
-				got, err := h.Store().Submit(ctx, base, version.Submission{ID: fmt.Sprint("b", n), Base: n, Document: next})
+				got, err := h.VersionStore().Submit(ctx, base, version.Submission{ID: fmt.Sprint("b", n), Base: n, Document: next})
 				c.Assert(err, quicktest.IsNil)
 				for i := range boxes {
 					h.Entry(i).Follower().Await(got)
--- a/internal/local/configuration.go
+++ b/internal/local/configuration.go
@@ -9,8 +9,8 @@
 
 // The names in the configuration of the local hall.
 const (
-	Model   = "reader"
-	Service = "portal"
+	ModelName   = "reader"
+	ServiceName = "portal"
 	// KeyConversia and KeyChaiyaphruek are the keys of the two client accounts.
 	KeyConversia    = "dev-conversia"
 	KeyChaiyaphruek = "dev-chaiyaphruek"
@@ -64,12 +64,12 @@
 			{Name: "bulk", Rank: 2, Limit: config.Duration(time.Hour)},
 		},
 		Models: []config.Model{{
-			Name:         Model,
+			Name:         ModelName,
 			EngineTokens: engineTokens,
 			MaxPrompt:    maxPrompt,
 			MaxOutput:    maxOutput,
 			PrefillRate:  enginePrefill,
 		}},
-		Services: []config.Service{{Name: Service}},
+		Services: []config.Service{{Name: ServiceName}},
 	}
 }
--- a/internal/local/hall.go
+++ b/internal/local/hall.go
@@ -26,7 +26,7 @@
 )
 
 // Name is the name of the hall.
-const Name = "local"
+const HallName = "local"
 
 // The ports of the first box's listener for callers and of the administration;
 // the other boxes' follow on both.
@@ -40,8 +40,8 @@
 	Clock barleystep.Clock
 	Log   *log.Logger
 	// Boxes and Engines count them; the defaults are 3 and 4.
-	Boxes   int
-	Engines int
+	BoxCount    int
+	EngineCount int
 	// FixedPorts puts the first box's listeners on CallersPort and AdminPort.
 	FixedPorts bool
 	// Table and Objects replace the platform's stores; the defaults keep all in
@@ -69,11 +69,11 @@
 
 // Init fills in what was left out. It is called once before Run.
 func (h *Hall) Init() {
-	if h.Boxes == 0 {
-		h.Boxes = defaultBoxes
+	if h.BoxCount == 0 {
+		h.BoxCount = defaultBoxes
 	}
-	if h.Engines == 0 {
-		h.Engines = defaultEngines
+	if h.EngineCount == 0 {
+		h.EngineCount = defaultEngines
 	}
 	if h.Table == nil {
 		h.Table = &table.Memory{}
@@ -127,7 +127,7 @@
 		return err
 	}
 	s := settings.Settings{
-		Box:    settings.Box{ID: "admin", Hall: Name},
+		Box:    settings.Box{ID: "admin", Hall: HallName},
 		Listen: settings.Listen{Admin: h.port(AdminPort)},
 		Admin:  settings.Admin{Operators: Operators()},
 	}
@@ -152,7 +152,7 @@
 	f := Configuration()
 	top := supervisor.New("stand-ins", h.Log, 0)
 	var servers []*web.Server
-	for i := range h.Engines {
+	for i := range h.EngineCount {
 		e := &standin.Engine{Clock: h.Clock, Step: engineStep, PrefillRate: enginePrefill, Fault: h.Fault}
 		h.engines = append(h.engines, e)
 		servers = append(servers, &web.Server{Name: fmt.Sprintf("engine%d", i+1), Handler: e})
@@ -167,9 +167,9 @@
 	top.ServeBackground(ctx)
 	for i, s := range servers {
 		<-s.Ready()
-		t := config.Target{ID: s.Name, Hall: Name, URL: "http://" + s.ListenAddr(), Model: Model}
-		if i == h.Engines {
-			t.Model, t.Service = "", Service
+		t := config.Target{ID: s.Name, Hall: HallName, URL: "http://" + s.ListenAddr(), Model: ModelName}
+		if i == h.EngineCount {
+			t.Model, t.Service = "", ServiceName
 		}
 		f.Targets = append(f.Targets, t)
 	}
@@ -181,7 +181,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = h.Store().Submit(ctx, config.Document{}, version.Submission{
+	_, err = h.VersionStore().Submit(ctx, config.Document{}, version.Submission{
 		ID:       "local-first",
 		Document: d,
 		Author:   "local",
@@ -191,22 +191,22 @@
 }
 
 // Store returns the hall's store of versions.
-func (h *Hall) Store() *version.Store {
+func (h *Hall) VersionStore() *version.Store {
 	return &version.Store{Table: h.Table, Objects: h.Objects, Clock: h.Clock, Meter: metric.Discard()}
 }
 
 // startBoxes starts all boxes. Each sends on done when it has ended.
 func (h *Hall) startBoxes(ctx context.Context) (done <-chan error, err error) {
-	ended := make(chan error, h.Boxes)
+	ended := make(chan error, h.BoxCount)
 	var list []barleystep.Box
-	for i := range h.Boxes {
+	for i := range h.BoxCount {
 		e, err := h.newBox(i)
 		if err != nil {
 			return nil, err
 		}
 		h.entries = append(h.entries, e)
 		s := e.Settings
-		list = append(list, barleystep.NewBox(barleystep.BoxID(s.Box.ID), Name, s.Listen.Peers, false))
+		list = append(list, barleystep.NewBox(barleystep.BoxID(s.Box.ID), HallName, s.Listen.Peers, false))
 	}
 	h.boxlist.SetBoxes(list...)
 	for _, e := range h.entries {
@@ -230,7 +230,7 @@
 		return nil, err
 	}
 	s := settings.Settings{
-		Box:    settings.Box{ID: fmt.Sprintf("box%d", i+1), Hall: Name},
+		Box:    settings.Box{ID: fmt.Sprintf("box%d", i+1), Hall: HallName},
 		Listen: settings.Listen{Callers: h.port(CallersPort + i), Admin: h.port(AdminPort + 1 + i), Peers: peers},
 		Limits: settings.Limits{Notice: settings.Duration(100 * time.Millisecond)},
 	}
@@ -256,7 +256,7 @@
 }
 
 // URL returns the address of a box's listener for callers.
-func (h *Hall) URL(i int) string { return "http://" + h.entries[i].CallersAddr() }
+func (h *Hall) CallersURL(i int) string { return "http://" + h.entries[i].CallersAddr() }
 
 // Entry returns a box.
 func (h *Hall) Entry(i int) *box.Entry { return h.entries[i] }
@@ -268,4 +268,4 @@
 func (h *Hall) Service() *standin.Service { return &h.service }
 
 // Stop makes a planned stop of one box.
-func (h *Hall) Stop(i int) { h.stops[i]() }
+func (h *Hall) StopBox(i int) { h.stops[i]() }
--- a/internal/local/hall_test.go
+++ b/internal/local/hall_test.go
@@ -83,9 +83,9 @@
 	c := quicktest.New(t)
 	h := &local.Hall{}
 	start(t, h)
-	client := openai.NewClient(option.WithBaseURL(h.URL(1)+"/v1"), option.WithAPIKey(local.KeyConversia))
+	client := openai.NewClient(option.WithBaseURL(h.CallersURL(1)+"/v1"), option.WithAPIKey(local.KeyConversia))
 	params := openai.ChatCompletionNewParams{
-		Model:     local.Model,
+		Model:     local.ModelName,
 		Messages:  []openai.ChatCompletionMessageParamUnion{openai.UserMessage("Read this deed.")},
 		MaxTokens: openai.Int(4),
 	}
@@ -105,7 +105,7 @@
 
 	models, err := client.Models.List(t.Context())
 	c.Assert(err, quicktest.IsNil)
-	c.Assert(models.Data[0].ID, quicktest.Equals, local.Model)
+	c.Assert(models.Data[0].ID, quicktest.Equals, local.ModelName)
 
 	_, err = client.Chat.Completions.New(t.Context(), openai.ChatCompletionNewParams{Model: "no-such"})
 	var refused *openai.Error
@@ -114,7 +114,7 @@
 }
 
 func TestBadInput(t *testing.T) {
-	h := &local.Hall{Boxes: 1, Engines: 1}
+	h := &local.Hall{BoxCount: 1, EngineCount: 1}
 	start(t, h)
 	huge := `{"model":"reader","messages":[{"role":"user","content":"` + strings.Repeat("word ", 1_000_000) + `"}]}`
 	cases := map[string]struct {
@@ -141,7 +141,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			r := send(t, h.URL(0)+tc.path, tc.header, tc.body)
+			r := send(t, h.CallersURL(0)+tc.path, tc.header, tc.body)
 			c.Assert(r.err, quicktest.IsNil)
 			c.Check(r.status, quicktest.Equals, tc.status)
 			c.Check(r.reason, quicktest.Equals, string(tc.reason))
@@ -192,9 +192,9 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			h := &local.Hall{Boxes: 1, Engines: 3, Fault: tc.fault}
+			h := &local.Hall{BoxCount: 1, EngineCount: 3, Fault: tc.fault}
 			start(t, h)
-			r := send(t, h.URL(0)+chat, tc.header, tc.body)
+			r := send(t, h.CallersURL(0)+chat, tc.header, tc.body)
 			c.Assert(r.err, quicktest.IsNil)
 			c.Check(r.outcome, quicktest.Equals, tc.outcome)
 			runs := 0
@@ -230,10 +230,10 @@
 
 func TestStreamThatFailsHalfWayEndsWithAnError(t *testing.T) {
 	c := quicktest.New(t)
-	h := &local.Hall{Boxes: 1, Engines: 1, Fault: always(standin.FaultBreakStream)}
+	h := &local.Hall{BoxCount: 1, EngineCount: 1, Fault: always(standin.FaultBreakStream)}
 	start(t, h)
 	h.Engine(0).ForgetOnBreak = true
-	r := send(t, h.URL(0)+chat, header(), streamed)
+	r := send(t, h.CallersURL(0)+chat, header(), streamed)
 	c.Check(r.outcome, quicktest.Equals, "failed")
 	c.Check(r.body, quicktest.Contains, "event: error\ndata: {\"error\"")
 	c.Check(strings.Contains(r.body, "[DONE]"), quicktest.IsFalse)
@@ -243,43 +243,43 @@
 	strict := header("Barleystep-Repeatable", "no", "Idempotency-Key", "invoice-7")
 	t.Run("retry at another box gets the first answer", func(t *testing.T) {
 		c := quicktest.New(t)
-		h := &local.Hall{Boxes: 2, Engines: 2}
+		h := &local.Hall{BoxCount: 2, EngineCount: 2}
 		start(t, h)
-		first := send(t, h.URL(0)+chat, strict, question)
-		again := send(t, h.URL(1)+chat, strict, question)
+		first := send(t, h.CallersURL(0)+chat, strict, question)
+		again := send(t, h.CallersURL(1)+chat, strict, question)
 		c.Check(first.outcome, quicktest.Equals, "done")
 		c.Check(again.body, quicktest.Equals, first.body)
 		c.Check(len(h.Engine(0).Runs())+len(h.Engine(1).Runs()), quicktest.Equals, 1)
-		other := send(t, h.URL(1)+chat, strict, streamed)
+		other := send(t, h.CallersURL(1)+chat, strict, streamed)
 		c.Check(other.reason, quicktest.Equals, string(barleystep.ReasonIdempotencyKeyReused))
 	})
 	t.Run("with the store down only such requests are refused", func(t *testing.T) {
 		c := quicktest.New(t)
 		down := &table.Faulty{Table: &table.Memory{}}
-		h := &local.Hall{Boxes: 1, Engines: 1, Table: down}
+		h := &local.Hall{BoxCount: 1, EngineCount: 1, Table: down}
 		start(t, h)
 		down.SetPlan(func(call table.Call) table.Failure { return table.FailureUnavailable })
-		r := send(t, h.URL(0)+chat, strict, question)
+		r := send(t, h.CallersURL(0)+chat, strict, question)
 		c.Check(r.outcome, quicktest.Equals, "not-run")
 		c.Check(r.reason, quicktest.Equals, string(barleystep.ReasonStoreUnavailable))
-		c.Check(send(t, h.URL(0)+chat, header(), question).outcome, quicktest.Equals, "done")
+		c.Check(send(t, h.CallersURL(0)+chat, header(), question).outcome, quicktest.Equals, "done")
 		c.Check(h.Engine(0).Runs(), quicktest.HasLen, 1)
 	})
 	t.Run("with the store hung nothing hangs", func(t *testing.T) {
 		c := quicktest.New(t)
 		hung := &table.Faulty{Table: &table.Memory{}}
-		h := &local.Hall{Boxes: 1, Engines: 1, Table: hung}
+		h := &local.Hall{BoxCount: 1, EngineCount: 1, Table: hung}
 		start(t, h)
 		hung.SetPlan(func(table.Call) table.Failure { return table.FailureHang })
-		r := send(t, h.URL(0)+chat, strict, question)
+		r := send(t, h.CallersURL(0)+chat, strict, question)
 		c.Check(r.outcome, quicktest.Equals, "not-run")
-		c.Check(send(t, h.URL(0)+chat, header(), question).outcome, quicktest.Equals, "done")
+		c.Check(send(t, h.CallersURL(0)+chat, header(), question).outcome, quicktest.Equals, "done")
 		c.Check(h.Engine(0).Runs(), quicktest.HasLen, 1)
 	})
 	t.Run("a lost answer of the table does not lose the claim", func(t *testing.T) {
 		c := quicktest.New(t)
 		lossy := &table.Faulty{Table: &table.Memory{}}
-		h := &local.Hall{Boxes: 1, Engines: 1, Table: lossy}
+		h := &local.Hall{BoxCount: 1, EngineCount: 1, Table: lossy}
 		start(t, h)
 		lossy.SetPlan(func(call table.Call) table.Failure {
 			if call.Write() {
@@ -287,15 +287,15 @@
 			}
 			return table.FailureNone
 		})
-		c.Check(send(t, h.URL(0)+chat, strict, question).outcome, quicktest.Equals, "done")
+		c.Check(send(t, h.CallersURL(0)+chat, strict, question).outcome, quicktest.Equals, "done")
 		c.Check(h.Engine(0).Runs(), quicktest.HasLen, 1)
 	})
 	t.Run("a service call is not sent twice", func(t *testing.T) {
 		c := quicktest.New(t)
-		h := &local.Hall{Boxes: 2, Engines: 1, Objects: &object.Memory{}}
+		h := &local.Hall{BoxCount: 2, EngineCount: 1, Objects: &object.Memory{}}
 		start(t, h)
 		for range 3 {
-			r := send(t, h.URL(0)+"/v1/services/portal/topup", strict, "20 lei")
+			r := send(t, h.CallersURL(0)+"/v1/services/portal/topup", strict, "20 lei")
 			c.Check(r.outcome, quicktest.Equals, "done")
 		}
 		c.Check(h.Service().Calls(), quicktest.HasLen, 1)
@@ -305,10 +305,10 @@
 // TestCallerGoesAway checks that an abandoned request frees its engine.
 func TestCallerGoesAway(t *testing.T) {
 	c := quicktest.New(t)
-	h := &local.Hall{Boxes: 1, Engines: 1, Fault: always(standin.FaultHang)}
+	h := &local.Hall{BoxCount: 1, EngineCount: 1, Fault: always(standin.FaultHang)}
 	start(t, h)
 	ctx, cancel := context.WithCancel(t.Context())
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, h.URL(0)+chat, bytes.NewReader([]byte(question)))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, h.CallersURL(0)+chat, bytes.NewReader([]byte(question)))
 	c.Assert(err, quicktest.IsNil)
 	req.Header = header()
 	done := make(chan struct{})
@@ -327,13 +327,13 @@
 // TestPlannedStop checks that a stop cuts no request short.
 func TestPlannedStop(t *testing.T) {
 	c := quicktest.New(t)
-	h := &local.Hall{Boxes: 2, Engines: 1}
+	h := &local.Hall{BoxCount: 2, EngineCount: 1}
 	start(t, h)
 	done := make(chan reply)
 	long := strings.Replace(streamed, `"max_tokens":4`, `"max_tokens":60`, 1)
-	go func() { done <- send(t, h.URL(0)+chat, header(), long) }()
+	go func() { done <- send(t, h.CallersURL(0)+chat, header(), long) }()
 	eventually(t, func() bool { return h.Engine(0).UsedTokens() > 0 })
-	h.Stop(0)
+	h.StopBox(0)
 	r := <-done
 	c.Check(r.outcome, quicktest.Equals, "done")
 	c.Check(strings.Count(r.body, "data: "), quicktest.Equals, 62)
