--- a/internal/admin/service.go
+++ b/internal/admin/service.go
@@ -19,7 +19,7 @@
 )
 
 // Targets finds the adapters of targets.
-type Targets interface {
+type EngineSource interface {
 	// Engine returns the adapter of a configured target.
 	Engine(id barleystep.TargetID, fresh bool) (e barleystep.Engine, ok bool)
 }
@@ -31,7 +31,7 @@
 	Store     *version.Store
 	Follower  *version.Follower
 	Boxes     barleystep.BoxList
-	Targets   Targets
+	Engines   EngineSource
 	Operators []settings.Operator
 	Log       *log.Logger
 }
--- a/internal/admin/service_test.go
+++ b/internal/admin/service_test.go
@@ -68,7 +68,7 @@
 	c.Assert(follower.Load(version.Increment{Version: 1, Changes: d.Entries(), Digest: d.Digest()}), quicktest.IsNil)
 	service := &admin.Service{
 		Clock: clock.System{}, Store: store, Follower: follower, Boxes: &standin.BoxList{},
-		Targets: &engine.Pool{Configuration: follower}, Log: &log.Logger{Level: log.PanicLevel},
+		Engines: &engine.Pool{Configuration: follower}, Log: &log.Logger{Level: log.PanicLevel},
 		Operators: []settings.Operator{
 			{Name: "root", Role: "admin", SHA256: config.HashKey("admin")},
 			{Name: "cluj", Role: "team", Team: "cluj", SHA256: config.HashKey("team")},
--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -70,7 +70,7 @@
 }
 
 func (a api) ask(ctx context.Context, s *adminv1.TargetStatus) {
-	e, ok := a.Targets.Engine(barleystep.TargetID(s.GetId()), false)
+	e, ok := a.Engines.Engine(barleystep.TargetID(s.GetId()), false)
 	if !ok {
 		return
 	}
--- a/internal/box/admin.go
+++ b/internal/box/admin.go
@@ -61,7 +61,7 @@
 		Store:     store,
 		Follower:  a.follower,
 		Boxes:     a.Boxes,
-		Targets:   &engine.Pool{Configuration: a.follower},
+		Engines:   &engine.Pool{Configuration: a.follower},
 		Operators: a.Settings.Admin.Operators,
 		Log:       a.Log,
 	}
