--- a/internal/admin/service.go
+++ b/internal/admin/service.go
@@ -104,7 +104,7 @@
 	if o.reason == "" {
 		return 0, refused(connect.CodeInvalidArgument, "Give a reason for the change.")
 	}
-	if err := allow(operator, o.before, o.after, o.before.Changes(o.after)); err != nil {
+	if err := allow(operator, o.before, o.after, o.before.Diff(o.after)); err != nil {
 		return 0, err
 	}
 	if o.id == "" {
--- a/internal/admin/versions.go
+++ b/internal/admin/versions.go
@@ -114,7 +114,7 @@
 		return nil, err
 	}
 	resp := &adminv1.DiffResponse{}
-	for _, c := range from.Changes(to) {
+	for _, c := range from.Diff(to) {
 		resp.Changes = append(resp.Changes, &adminv1.Change{
 			Kind:   string(c.Kind),
 			Name:   c.Name,
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -105,7 +105,7 @@
 }
 
 // Changes returns what turns d into next, ordered by kind and name.
-func (d Document) Changes(next Document) []Change {
+func (d Document) Diff(next Document) []Change {
 	var changes []Change
 	for k, body := range next.entries {
 		if string(d.entries[k]) != string(body) {
@@ -122,7 +122,7 @@
 }
 
 // Entries returns the whole document as changes to an empty one.
-func (d Document) Entries() []Change { return Document{}.Changes(d) }
+func (d Document) Entries() []Change { return Document{}.Diff(d) }
 
 // Digest returns a hash of the content, equal for equal documents.
 func (d Document) Digest() string {
--- a/internal/config/view.go
+++ b/internal/config/view.go
@@ -12,7 +12,7 @@
 
 // Defaults for what a file leaves out.
 const (
-	DefaultLimit       = 10 * time.Minute
+	DefaultTimeLimit   = 10 * time.Minute
 	DefaultWeight      = 1.0
 	DefaultMaxOutput   = 4096
 	DefaultPrefillRate = 8000.0
@@ -123,7 +123,7 @@
 func (v *View) Class(name string) (c Class, ok bool) {
 	c, ok = v.classes[name]
 	if ok && c.Limit == 0 {
-		c.Limit = Duration(DefaultLimit)
+		c.Limit = Duration(DefaultTimeLimit)
 	}
 	return c, ok
 }
--- a/internal/version/store.go
+++ b/internal/version/store.go
@@ -72,7 +72,7 @@
 		Author:  sub.Author,
 		Reason:  sub.Reason,
 		At:      s.Clock.Now(),
-		Changes: base.Changes(sub.Document),
+		Changes: base.Diff(sub.Document),
 		Digest:  sub.Document.Digest(),
 	}
 	m := s.drive(ctx, inc)
