--- a/internal/admin/service_test.go
+++ b/internal/admin/service_test.go
@@ -57,7 +57,7 @@
 func newServer(t *testing.T) *server {
 	c := quicktest.New(t)
 	s := &server{table: &table.Faulty{Table: &table.Memory{}}, dir: t.TempDir()}
-	store := &version.Store{Table: s.table, Objects: &object.Memory{}, Clock: clock.System{}, Meter: metric.Discard(), Patience: 200 * time.Millisecond}
+	store := &version.Store{Table: s.table, Objects: &object.Memory{}, Clock: clock.System{}, Meter: metric.Discard(), SubmitTimeout: 200 * time.Millisecond}
 	f, err := config.ParseFile([]byte(base))
 	c.Assert(err, quicktest.IsNil)
 	d, err := f.Document()
@@ -65,10 +65,10 @@
 	_, err = store.Submit(context.Background(), config.Document{}, version.Submission{ID: "first", Document: d})
 	c.Assert(err, quicktest.IsNil)
 	follower := &version.Follower{Clock: clock.System{}, Meter: metric.Discard()}
-	c.Assert(follower.Load(version.Increment{Version: 1, Change: d.Entries(), Digest: d.Digest()}), quicktest.IsNil)
+	c.Assert(follower.Load(version.Increment{Version: 1, Changes: d.Entries(), Digest: d.Digest()}), quicktest.IsNil)
 	service := &admin.Service{
 		Clock: clock.System{}, Store: store, Follower: follower, Boxes: &standin.BoxList{},
-		Targets: &engine.Pool{Configuration: follower}, Log: &log.Logger{Level: log.PanicLevel},
+		Engines: &engine.Pool{Configuration: follower}, Log: &log.Logger{Level: log.PanicLevel},
 		Operators: []settings.Operator{
 			{Name: "root", Role: "admin", SHA256: config.HashKey("admin")},
 			{Name: "cluj", Role: "team", Team: "cluj", SHA256: config.HashKey("team")},
@@ -108,11 +108,11 @@
 	costly := base + "[[policy]]\nname = \"p\"\nprogram = '{\"weight\": [1,2,3,4,5,6,7,8,9].all(a, [1,2,3,4,5,6,7,8,9].all(b, [1,2,3,4,5,6,7,8,9].all(c, [1,2,3,4,5,6,7,8,9].all(d, a*b*c*d > 0)))) ? 1.0 : 2.0}'\n"
 	lost := func(c table.Call) table.Failure {
 		if c.Write() {
-			return table.FailureLost
+			return table.FailureDelayed
 		}
 		return table.FailureNone
 	}
-	down := func(table.Call) table.Failure { return table.FailureBefore }
+	down := func(table.Call) table.Failure { return table.FailureUnavailable }
 	cases := map[string]struct {
 		token string
 		args  []string
--- a/internal/box/entry.go
+++ b/internal/box/entry.go
@@ -82,7 +82,7 @@
 func (e *Entry) leave(ctx context.Context) {
 	e.Log.Info().Msg(logPrefix + "Stopping. New callers are sent elsewhere.")
 	e.node.tracker.Leave()
-	e.server.Leave()
+	e.server.BeginShutdown()
 	clock.Sleep(ctx, e.Clock, e.Settings.Limits.Notice.Or(defaultNotice))
 	e.finish(ctx)
 }
@@ -95,7 +95,7 @@
 	grace := e.grace()
 	ending, cancel := clock.WithDeadline(ctx, e.Clock, e.Clock.Now().Add(grace-min(endMargin, grace/endPart)))
 	defer cancel()
-	defer context.AfterFunc(ending, e.server.End)()
+	defer context.AfterFunc(ending, e.server.CancelAll)()
 	ctx, cancel = clock.WithDeadline(ctx, e.Clock, e.Clock.Now().Add(grace))
 	defer cancel()
 	_ = e.top.RemoveAndWait(e.accepting, grace) // It has logged what it cut.
@@ -155,7 +155,7 @@
 		Clock:         e.Clock,
 		Endpoint:      e.endpoint,
 		Configuration: e.node.follower,
-		Targets:       targets,
+		Engines:       targets,
 		Meter:         e.meter,
 	}
 	e.top = supervisor.New("entry", e.Log, e.grace())
@@ -185,10 +185,10 @@
 func (e *Entry) capacity() capacity.Settings {
 	c := e.Settings.Capacity
 	return capacity.Settings{
-		Window:      time.Duration(c.Window),
-		LongPart:    c.LongShare,
-		ShortMemory: c.ShortMemoryShare,
-		Interval:    time.Duration(c.Interval),
+		Window:           time.Duration(c.Window),
+		LongShare:        c.LongShare,
+		ShortMemoryShare: c.ShortMemoryShare,
+		Interval:         time.Duration(c.Interval),
 	}
 }
 
@@ -216,22 +216,22 @@
 	}
 }
 
-func (e *Entry) newClaims() *claim.Book {
-	b := claim.NewBook()
+func (e *Entry) newClaims() *claim.Manager {
+	b := claim.NewManager()
 	b.Table = e.node.relay
 	b.Objects = e.Objects
 	b.Clock = e.Clock
-	b.Source = e.node.source
+	b.IDs = e.node.source
 	b.Meter = e.meter
 	b.Log = e.Log
 	return b
 }
 
-func (e *Entry) newServer(a barleystep.Allocator, t gate.Targets, c *gate.Canceller, b *claim.Book) *gate.Server {
+func (e *Entry) newServer(a barleystep.Allocator, t gate.Targets, c *gate.Canceller, b *claim.Manager) *gate.Server {
 	l := e.Settings.Limits
 	return &gate.Server{
 		Clock:         e.Clock,
-		Source:        e.node.source,
+		IDs:           e.node.source,
 		Configuration: e.node.follower,
 		Allocator:     a,
 		Targets:       t,
@@ -240,7 +240,7 @@
 		Meter:         e.meter,
 		Log:           e.Log,
 		Limits:        gate.Limits{Body: l.MaxBody, MinTime: time.Duration(l.MinTime), MaxTime: time.Duration(l.MaxTime)},
-		Stall:         time.Duration(l.StallTimeout),
+		StallTimeout:  time.Duration(l.StallTimeout),
 	}
 }
 
--- a/internal/box/keeper.go
+++ b/internal/box/keeper.go
@@ -41,11 +41,11 @@
 		return err
 	}
 	client := &peer.Client{
-		Auth:  peer.Auth{Secret: k.Settings.Peers.Secret, Box: id, Clock: k.Clock},
-		Clock: k.Clock,
-		Addr:  func(barleystep.BoxID) (string, bool) { return entry, true },
-		Base:  ctx,
-		TLS:   encryption,
+		Auth:        peer.Auth{Secret: k.Settings.Peers.Secret, Box: id, Clock: k.Clock},
+		Clock:       k.Clock,
+		Addr:        func(barleystep.BoxID) (string, bool) { return entry, true },
+		BaseContext: ctx,
+		TLS:         encryption,
 	}
 	follower := &version.Follower{Clock: k.Clock, Meter: k.Meter}
 	watcher := &keeper.Watcher{
@@ -57,13 +57,13 @@
 	targets := &engine.Pool{Configuration: follower}
 	top := supervisor.New("keeper", k.Log, 0)
 	for _, s := range []suture.Service{
-		&version.Follow{Clock: k.Clock, Follower: follower, Upstream: func() (version.Upstream, bool) { return client.Upstream(id) }, Meter: k.Meter},
+		&version.Subscriber{Clock: k.Clock, Follower: follower, Upstream: func() (version.Upstream, bool) { return client.Upstream(id) }, Meter: k.Meter},
 		watcher,
 		&keeper.Cleaner{
 			Clock: k.Clock, Box: id, Hall: hall, Configuration: follower, Targets: targets, Watcher: watcher, Meter: k.Meter, Log: k.Log,
 		},
 		&keeper.Issuer{
-			Clock: k.Clock, Hall: hall, Source: source, Table: k.Table, Configuration: follower, Targets: targets, Watcher: watcher,
+			Clock: k.Clock, Hall: hall, IDs: source, Table: k.Table, Configuration: follower, Targets: targets, Watcher: watcher,
 			Meter: k.Meter, Log: k.Log,
 		},
 		&keeper.Sweeper{Clock: k.Clock, Box: id, Table: k.Table, Objects: k.Objects, Watcher: watcher, Meter: k.Meter},
--- a/internal/box/node.go
+++ b/internal/box/node.go
@@ -38,7 +38,7 @@
 	follower *version.Follower
 	reader   *version.Reader
 	client   *peer.Client
-	group    *table.Group
+	group    *table.Batcher
 	relay    *table.Relay
 	server   *peer.Server
 	listener *web.Server
@@ -55,14 +55,14 @@
 		Boxes:  n.boxes,
 		Meter:  n.meter,
 		Log:    n.log,
-		OnGone: endpoint.Gone,
+		OnGone: endpoint.RemoveBox,
 		Self: member.Update{
 			Box:         n.source.Box(),
 			Addr:        n.advert,
 			Incarnation: n.source.Incarnation(),
 		},
 	}
-	n.client = &peer.Client{Auth: auth, Clock: n.clock, Addr: n.tracker.Addr, Base: ctx, TLS: n.tls}
+	n.client = &peer.Client{Auth: auth, Clock: n.clock, Addr: n.tracker.Addr, BaseContext: ctx, TLS: n.tls}
 	n.tracker.Sender = n.client
 	n.reader = &version.Reader{
 		Clock:      n.clock,
@@ -70,11 +70,11 @@
 		Store:      &version.Store{Table: n.table, Objects: n.objects, Clock: n.clock, Meter: n.meter},
 		Follower:   n.follower,
 		Membership: n.tracker,
-		Peer:       n.client.Upstream,
+		Upstream:   n.client.Upstream,
 		Meter:      n.meter,
 		Log:        n.log,
 	}
-	n.group = table.NewGroup(n.table, n.clock)
+	n.group = table.NewBatcher(n.table, n.clock)
 	n.relay = &table.Relay{Local: n.group, Box: n.source.Box(), Membership: n.tracker, Remote: n.client.Commit}
 	n.server = &peer.Server{
 		Auth:     auth,
@@ -100,7 +100,7 @@
 // serve makes the peer listener answer, with the handler for callers' requests
 // that boxes of other halls forward.
 func (n *node) serve(callers http.Handler) {
-	n.server.Callers = callers
+	n.server.Forwarded = callers
 	n.listener.Handler = n.server.Handler()
 }
 
--- a/internal/gate/bench_test.go
+++ b/internal/gate/bench_test.go
@@ -68,12 +68,12 @@
 	configuration := config.NewFixed(view)
 	s = &gate.Server{
 		Clock:         clock.System{},
-		Source:        identity.NewGenerator("b", 1),
+		IDs:           identity.NewGenerator("b", 1),
 		Configuration: configuration,
 		Allocator:     allocator,
 		Targets:       &engine.Pool{Configuration: configuration},
 		Canceller:     gate.NewCanceller(),
-		Claims:        claim.NewBook(),
+		Claims:        claim.NewManager(),
 		Meter:         metric.Discard(),
 		Log:           &log.Logger{Level: log.PanicLevel},
 	}
--- a/internal/peer/bench_internal_test.go
+++ b/internal/peer/bench_internal_test.go
@@ -33,15 +33,15 @@
 			for i, box := range list {
 				self := member.Update{Box: box.ID(), Addr: box.Addr(), Incarnation: barleystep.Incarnation(1<<60 + i)}
 				states[box.ID()] = member.NewState(member.Settings{}, self, "cluj-hala1")
-				states[box.ID()].List(now, list)
+				states[box.ID()].MergeList(now, list)
 			}
 			at := now
 			tick := func() (bytes int) {
 				at = at.Add(500 * time.Millisecond)
 				for _, box := range list {
 					for _, m := range states[box.ID()].Tick(at) {
-						bytes += proto.Size(toBeat(m.Beat)) + framing
-						states[m.To].Receive(at, m.Beat)
+						bytes += proto.Size(toBeat(m.Heartbeat)) + framing
+						states[m.To].Receive(at, m.Heartbeat)
 					}
 				}
 				return bytes
@@ -66,12 +66,12 @@
 func BenchmarkCapacityReportSize(b *testing.B) {
 	for _, targets := range []int{1, 8, 32, 92} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
-			r := capacity.Report{Box: "cluj-hala1-e001", Wanted: 100_000}
+			r := capacity.Report{Box: "cluj-hala1-e001", RequestedTokens: 100_000}
 			c := capacity.Credits{Until: now.Add(time.Second)}
 			for i := range targets {
 				id := barleystep.TargetID(fmt.Sprintf("cluj-hala1-t%03d", i))
-				r.Uses = append(r.Uses, capacity.Use{Target: id, Reading: 5_000, Memory: 50_000, Running: 9, Answers: 4, Slow: 1.1})
-				c.Credits = append(c.Credits, capacity.Credit{Target: id, Reading: 4_096, Memory: 90_000, Others: 4_000, Running: 20, Rate: 8_000, Slow: 1})
+				r.Uses = append(r.Uses, capacity.CreditUse{Target: id, PrefillTokens: 5_000, KVTokens: 50_000, Running: 9, Answers: 4, Slowdown: 1.1})
+				c.Credits = append(c.Credits, capacity.Credit{Target: id, PrefillTokens: 4_096, KVTokens: 90_000, OtherPrefillTokens: 4_000, Running: 20, PrefillRate: 8_000, Slowdown: 1})
 			}
 			up, down := 0, 0
 			var out, back names
@@ -91,7 +91,7 @@
 	body := []byte(`{"id":"cluj-hala1-t001","hall":"cluj-hala1","url":"http://10.20.30.41:8000","model":"document-reader-large","drain":true}`)
 	inc := version.Increment{
 		Version: 123_456, ID: "01890a5d-ac96-774b-bcce-b302099a8057", Author: "operator", Reason: "drain for maintenance",
-		At: now, Digest: config.HashKey(""), Change: []config.Change{{Kind: config.KindTarget, Name: "cluj-hala1-t001", Body: body}},
+		At: now, Digest: config.HashKey(""), Changes: []config.Change{{Kind: config.KindTarget, Name: "cluj-hala1-t001", Body: body}},
 	}
 	change, confirm := 0, 0
 	for b.Loop() {
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -28,7 +28,7 @@
 	// TLS encrypts the connections; nil uses HTTP/2 in the clear.
 	TLS *tls.Config
 	// Base bounds the life of heartbeat streams; it ends with the process.
-	Base context.Context
+	BaseContext context.Context
 
 	once    sync.Once
 	http    *http.Client
@@ -104,7 +104,7 @@
 }
 
 // Ask waits for a grant.
-func (d *remoteEndpoint) Ask(ctx context.Context, pool string, a capacity.Ask) (g capacity.Grant, err error) {
+func (d *remoteEndpoint) Ask(ctx context.Context, pool string, a capacity.GrantRequest) (g capacity.Grant, err error) {
 	resp, err := d.client.at(d.addr).Ask(ctx, connect.NewRequest(toAsk(pool, a, d.client.Clock.Now())))
 	if err != nil {
 		return capacity.Grant{}, eris.Wrap(err, "peer: ask")
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -55,10 +55,10 @@
 }
 
 // ears takes in heartbeats.
-type ears struct{ heard chan member.Beat }
+type ears struct{ heard chan member.Heartbeat }
 
 // Receive passes the heartbeat on.
-func (e ears) Receive(b member.Beat) { e.heard <- b }
+func (e ears) Receive(b member.Heartbeat) { e.heard <- b }
 
 // Members returns one box.
 func (e ears) Members() []member.Update { return []member.Update{{Box: "b1", Incarnation: 1}} }
@@ -82,9 +82,9 @@
 	}.Document()
 	c.Assert(err, quicktest.IsNil)
 	follower := &version.Follower{Clock: clock.System{}, Meter: metric.Discard()}
-	c.Assert(follower.Load(version.Increment{Version: 1, Change: d.Entries(), Digest: d.Digest()}), quicktest.IsNil)
+	c.Assert(follower.Load(version.Increment{Version: 1, Changes: d.Entries(), Digest: d.Digest()}), quicktest.IsNil)
 	endpoint := &capacity.LocalEndpoint{Clock: clock.System{}, Hall: "h", Configuration: follower, Meter: metric.Discard()}
-	e := &end{endpoint: endpoint, follower: follower, ears: ears{make(chan member.Beat, 100)}, table: &table.Faulty{Table: &table.Memory{}}}
+	e := &end{endpoint: endpoint, follower: follower, ears: ears{make(chan member.Heartbeat, 100)}, table: &table.Faulty{Table: &table.Memory{}}}
 	server := &peer.Server{
 		Auth:  peer.Auth{Secret: serverSecret, Box: "b1", Clock: clock.System{}},
 		Clock: clock.System{}, Endpoint: endpoint, Receiver: e.ears, Follower: follower, Table: e.table,
@@ -102,18 +102,18 @@
 		h.Close()
 	})
 	e.client = &peer.Client{
-		Auth:  peer.Auth{Secret: clientSecret, Box: "b2", Clock: clock.System{}},
-		Clock: clock.System{},
-		Addr:  func(barleystep.BoxID) (string, bool) { return l.Addr().String(), true },
-		Base:  ctx,
+		Auth:        peer.Auth{Secret: clientSecret, Box: "b2", Clock: clock.System{}},
+		Clock:       clock.System{},
+		Addr:        func(barleystep.BoxID) (string, bool) { return l.Addr().String(), true },
+		BaseContext: ctx,
 	}
-	endpoint.Load(pool, "e1", barleystep.Load{At: clock.System{}.Now(), TotalTokens: 100_000, FreeTokens: 100_000})
+	endpoint.UpdateLoad(pool, "e1", barleystep.Load{At: clock.System{}.Now(), TotalTokens: 100_000, FreeTokens: 100_000})
 	return e
 }
 
-func ask(n uint64) capacity.Ask {
+func ask(n uint64) capacity.GrantRequest {
 	now := clock.System{}.Now()
-	return capacity.Ask{Box: "b2", Weight: 1, Limit: 1, Demand: barleystep.Demand{
+	return capacity.GrantRequest{Box: "b2", Weight: 1, Limit: 1, Demand: barleystep.Demand{
 		Attempt: barleystep.NewAttemptID("b2", 7, n), Account: "conversia", Class: "normal", Model: pool,
 		PromptTokens: 20_000, MaxOutputTokens: 1_000, AdmittedAt: now, Deadline: now.Add(time.Hour), PrefixHashes: make([]uint64, 5),
 	}}
@@ -146,7 +146,7 @@
 			for n := uint64(1); n <= 3; n++ {
 				c.Assert(endpoint.Release(t.Context(), pool, ask(n).Demand.Attempt, barleystep.Usage{Outcome: barleystep.OutcomeDone, TimeToFirstEvent: 1}), quicktest.IsNil)
 			}
-			credits, err := endpoint.Report(t.Context(), pool, capacity.Report{Box: "b2", Wanted: 1_000})
+			credits, err := endpoint.Report(t.Context(), pool, capacity.Report{Box: "b2", RequestedTokens: 1_000})
 			c.Assert(err, quicktest.IsNil)
 			c.Assert(credits.Credits, quicktest.HasLen, 1)
 			c.Check(credits.Credits[0].Target, quicktest.Equals, barleystep.TargetID("e1"))
@@ -185,12 +185,12 @@
 	e := newEnd(t, "s", "s")
 	addr := e.wire.Addr().String()
 	for n := range uint64(2) {
-		e.client.Beat("b1", addr, member.Beat{From: member.Update{Box: "b2", Incarnation: 7, Number: n}, Hall: "h"})
-		c.Check((<-e.ears.heard).From.Number, quicktest.Equals, n)
+		e.client.SendHeartbeat("b1", addr, member.Heartbeat{From: member.Update{Box: "b2", Incarnation: 7, Sequence: n}, Hall: "h"})
+		c.Check((<-e.ears.heard).From.Sequence, quicktest.Equals, n)
 	}
 	u, _ := e.client.Upstream("b1")
 	other := &version.Follower{Clock: clock.System{}, Meter: metric.Discard()}
-	f := &version.Follow{Clock: clock.System{}, Follower: other, Meter: metric.Discard(), Upstream: func() (version.Upstream, bool) { return u, true }}
+	f := &version.Subscriber{Clock: clock.System{}, Follower: other, Meter: metric.Discard(), Upstream: func() (version.Upstream, bool) { return u, true }}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() { done <- f.Serve(ctx) }()
@@ -208,9 +208,9 @@
 		want    barleystep.Fault
 	}{
 		"applied":      {table.FailureNone, barleystep.FaultNone},
-		"not applied":  {table.FailureBefore, barleystep.FaultUnavailable},
-		"answer lost":  {table.FailureAfter, barleystep.FaultUnknownEffect},
-		"yet to apply": {table.FailureLost, barleystep.FaultUnknownEffect},
+		"not applied":  {table.FailureUnavailable, barleystep.FaultUnavailable},
+		"answer lost":  {table.FailureAnswerLost, barleystep.FaultUnknownEffect},
+		"yet to apply": {table.FailureDelayed, barleystep.FaultUnknownEffect},
 	}
 	txn := barleystep.Txn{
 		Conditions: []barleystep.Condition{barleystep.IfAbsent("k")},
@@ -249,7 +249,7 @@
 		_ = endpoint.Release(ctx, pool, a.Demand.Attempt, barleystep.Usage{Outcome: barleystep.OutcomeDone, TimeToFirstEvent: 1})
 	}
 	report := func(uint64) {
-		_, err := endpoint.Report(ctx, pool, capacity.Report{Box: "b2", Uses: []capacity.Use{{Target: "e1", Running: 1, Reading: 5_000}}})
+		_, err := endpoint.Report(ctx, pool, capacity.Report{Box: "b2", Uses: []capacity.CreditUse{{Target: "e1", Running: 1, PrefillTokens: 5_000}}})
 		quicktest.Assert(b, err, quicktest.IsNil)
 	}
 	for name, f := range map[string]func(uint64){"grant": grant, "report": report} {
