--- a/internal/gate/admit.go
+++ b/internal/gate/admit.go
@@ -19,7 +19,7 @@
 		return next(ctx, x)
 	}
 	rate := x.view.Share(x.account.Name, x.class.Name).Rate
-	wait, ok := a.limiter.Take(x.account.Name, rate, x.prompt.tokens+x.prompt.output)
+	wait, ok := a.limiter.Take(x.account.Name, rate, x.prompt.tokens+x.prompt.maxOutput)
 	if !ok {
 		return refuse(barleystep.ReasonOverShare, "The account has used up its rate.").WithRetryAfter(wait)
 	}
--- a/internal/gate/answer.go
+++ b/internal/gate/answer.go
@@ -15,16 +15,16 @@
 
 // answer writes to the caller. It is used by one goroutine.
 type answer struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	begun   bool
-	stream  bool
+	w          http.ResponseWriter
+	controller *http.ResponseController
+	started    bool
+	stream     bool
 	// events counts the events that were passed on.
 	events uint64
 	// copy keeps what was sent, for requests whose result is stored.
-	copy *Result
+	stored *Result
 	// beforeLast runs before the event that completes the answer is sent.
-	beforeLast func()
+	beforeLastEvent func()
 }
 
 // Result is a whole answer as it is stored for the caller's retries.
@@ -40,16 +40,16 @@
 }
 
 func newAnswer(w http.ResponseWriter) *answer {
-	return &answer{w: w, control: http.NewResponseController(w)}
+	return &answer{w: w, controller: http.NewResponseController(w)}
 }
 
 // limit keeps a caller that reads slowly from holding the request for ever.
-func (a *answer) limit(clk barleystep.Clock, deadline time.Time) {
-	_ = a.control.SetWriteDeadline(clock.WallTime(clk, deadline)) // Recorders in tests have no deadline.
+func (a *answer) setWriteDeadline(clk barleystep.Clock, deadline time.Time) {
+	_ = a.controller.SetWriteDeadline(clock.WallTime(clk, deadline)) // Recorders in tests have no deadline.
 }
 
-func (a *answer) begin(status int, contentType string, stream bool) {
-	a.begun = true
+func (a *answer) writeHeader(status int, contentType string, stream bool) {
+	a.started = true
 	a.stream = stream
 	h := a.w.Header()
 	h.Set("Content-Type", contentType)
@@ -59,9 +59,9 @@
 	} else {
 		h.Set(HeaderOutcome, barleystep.OutcomeDone.String())
 	}
-	if a.copy != nil {
-		a.copy.Status = status
-		a.copy.Type = contentType
+	if a.stored != nil {
+		a.stored.Status = status
+		a.stored.Type = contentType
 	}
 	a.w.WriteHeader(status)
 }
@@ -74,16 +74,16 @@
 )
 
 // event passes on one event.
-func (a *answer) event(e barleystep.Event) error {
+func (a *answer) writeEvent(e barleystep.Event) error {
 	data := e.Data()
 	if a.stream {
-		data = frame(data)
+		data = frameEvent(data)
 	}
-	if a.copy != nil {
-		a.copy.Body = append(a.copy.Body, data...)
+	if a.stored != nil {
+		a.stored.Body = append(a.stored.Body, data...)
 	}
-	if e.Last() && a.beforeLast != nil {
-		a.beforeLast()
+	if e.Last() && a.beforeLastEvent != nil {
+		a.beforeLastEvent()
 	}
 	a.events++
 	if _, err := a.w.Write(data); err != nil {
@@ -92,11 +92,11 @@
 	if !a.stream {
 		return nil
 	}
-	return a.control.Flush()
+	return a.controller.Flush()
 }
 
 // frame writes data as one event of an event stream.
-func frame(data []byte) []byte {
+func frameEvent(data []byte) []byte {
 	if bytes.Contains(data, newline) {
 		data = bytes.ReplaceAll(data, newline, eventLine)
 	}
@@ -108,12 +108,12 @@
 
 // replay sends a stored result.
 func (a *answer) replay(r Result) {
-	a.begin(r.Status, r.Type, false)
+	a.writeHeader(r.Status, r.Type, false)
 	_, _ = a.w.Write(r.Body) // The caller may have gone away.
 }
 
 // outcome tells the outcome of a streamed answer.
-func (a *answer) outcome(o barleystep.Outcome) {
+func (a *answer) setOutcomeTrailer(o barleystep.Outcome) {
 	if a.stream {
 		a.w.Header().Set(HeaderOutcome, o.String())
 	}
@@ -143,8 +143,8 @@
 	if err != nil {
 		body = nil
 	}
-	if a.begun {
-		a.refuseLate(body, r)
+	if a.started {
+		a.refuseStarted(body, r)
 		return
 	}
 	h := a.w.Header()
@@ -158,15 +158,15 @@
 	_, _ = a.w.Write(body) // The caller may have gone away.
 }
 
-func (a *answer) refuseLate(body []byte, r *barleystep.Refusal) {
+func (a *answer) refuseStarted(body []byte, r *barleystep.Refusal) {
 	if !a.stream {
 		// A body that was cut must not look whole.
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = a.w.Write([]byte("event: error\n")) // The caller may have gone away.
-	_, _ = a.w.Write(frame(body))
-	a.outcome(r.Outcome())
-	_ = a.control.Flush()
+	_, _ = a.w.Write(frameEvent(body))
+	a.setOutcomeTrailer(r.Outcome())
+	_ = a.controller.Flush()
 }
 
 func errorType(r *barleystep.Refusal) string {
@@ -182,7 +182,7 @@
 	}
 }
 
-var statuses = map[barleystep.Reason]int{
+var statusByReason = map[barleystep.Reason]int{
 	barleystep.ReasonMalformed:             http.StatusBadRequest,
 	barleystep.ReasonBodyTooLarge:          http.StatusRequestEntityTooLarge,
 	barleystep.ReasonEmptyPrompt:           http.StatusBadRequest,
@@ -213,7 +213,7 @@
 	if r.Reason() == barleystep.ReasonStopping && r.Outcome() != barleystep.OutcomeNotRun {
 		return http.StatusBadGateway
 	}
-	if s, ok := statuses[r.Reason()]; ok {
+	if s, ok := statusByReason[r.Reason()]; ok {
 		return s
 	}
 	return http.StatusServiceUnavailable
--- a/internal/gate/attempt.go
+++ b/internal/gate/attempt.go
@@ -17,7 +17,7 @@
 // is safe.
 type attempt struct {
 	clock     barleystep.Clock
-	source    *identity.Generator
+	ids       *identity.Generator
 	allocator barleystep.Allocator
 	dispatch  *dispatch
 	canceller *Canceller
@@ -29,7 +29,7 @@
 	maxTries = 6
 	// firstPause is the wait before the first new try when a target refused; it
 	// doubles with each try.
-	firstPause = 20 * time.Millisecond
+	firstBackoff = 20 * time.Millisecond
 )
 
 // Run makes attempts until one ends the request.
@@ -37,23 +37,23 @@
 	d := a.demand(x)
 	var last error
 	for try := range maxTries {
-		d.Attempt = a.source.NextAttempt()
-		err := a.once(ctx, x, d)
+		d.Attempt = a.ids.NextAttempt()
+		err := a.tryOnce(ctx, x, d)
 		if err == nil {
 			return next(ctx, x)
 		}
 		last = err
 		var retry *retryError
 		if !eris.As(err, &retry) {
-			return a.ended(ctx, x, err)
+			return a.refusal(ctx, x, err)
 		}
 		a.meter.AttemptRetried(string(retry.reason))
 		d.FailedTargets = append(d.FailedTargets, retry.target)
-		if !clock.Sleep(ctx, a.clock, firstPause<<try) {
-			return a.ended(ctx, x, ctx.Err())
+		if !clock.Sleep(ctx, a.clock, firstBackoff<<try) {
+			return a.refusal(ctx, x, ctx.Err())
 		}
 	}
-	return a.ended(ctx, x, last)
+	return a.refusal(ctx, x, last)
 }
 
 func (a *attempt) demand(x *Exchange) barleystep.Demand {
@@ -62,7 +62,7 @@
 		Class:           x.class.Name,
 		Model:           x.prompt.model,
 		PromptTokens:    x.prompt.tokens,
-		MaxOutputTokens: x.prompt.output,
+		MaxOutputTokens: x.prompt.maxOutput,
 		AdmittedAt:      x.started,
 		Deadline:        x.deadline,
 		PrefixHashes:    x.prompt.prefix,
@@ -85,46 +85,46 @@
 func (e *retryError) Error() string { return e.cause.Error() }
 
 // once makes one attempt. It returns a retryError if another may follow.
-func (a *attempt) once(ctx context.Context, x *Exchange, d barleystep.Demand) (err error) {
-	allotment, err := a.allocator.Acquire(ctx, d)
+func (a *attempt) tryOnce(ctx context.Context, x *Exchange, d barleystep.Demand) (err error) {
+	allocation, err := a.allocator.Acquire(ctx, d)
 	if err != nil {
 		return err
 	}
 	r := &relay{
-		stage:     a.dispatch,
-		exchange:  x,
-		allotment: allotment,
-		id:        d.Attempt,
+		dispatch:   a.dispatch,
+		exchange:   x,
+		allocation: allocation,
+		id:         d.Attempt,
 	}
-	defer func() { allotment.Release(r.usage) }()
+	defer func() { allocation.Release(r.usage) }()
 	if err = r.run(ctx); err == nil {
 		r.usage.Outcome = barleystep.OutcomeDone
-		x.targetState = barleystep.OutcomeDone
+		x.attemptOutcome = barleystep.OutcomeDone
 		a.estimator.Observe(x.prompt.model, x.prompt.textBytes, r.usage.PromptTokens)
 		return nil
 	}
 	if ctx.Err() == nil {
 		r.usage.Outcome = barleystep.OutcomeFailed
 	}
-	return a.judge(x, r, err)
+	return a.classifyFailure(x, r, err)
 }
 
 // judge decides what a failed attempt means for the request.
-func (a *attempt) judge(x *Exchange, r *relay, err error) error {
-	target := r.allotment.Target()
+func (a *attempt) classifyFailure(x *Exchange, r *relay, err error) error {
+	target := r.allocation.Target()
 	if eris.Is(err, barleystep.ErrNotStarted) {
 		r.usage.AtCapacity = true
 		return &retryError{barleystep.ReasonTargetRefused, target, err}
 	}
-	for _, id := range r.allotment.Group() {
+	for _, id := range r.allocation.Group() {
 		a.canceller.Enqueue(id, r.id)
 	}
 	if !x.repeatable {
-		x.targetState = barleystep.OutcomeUnknown
+		x.attemptOutcome = barleystep.OutcomeUnknown
 		return err
 	}
-	x.targetState = barleystep.OutcomeFailed
-	if x.answer.events > 0 || x.answer.begun {
+	x.attemptOutcome = barleystep.OutcomeFailed
+	if x.answer.events > 0 || x.answer.started {
 		return err
 	}
 	return &retryError{reasonOf(err), target, err}
@@ -142,8 +142,8 @@
 }
 
 // ended turns the last error into a refusal with a truthful outcome.
-func (a *attempt) ended(ctx context.Context, x *Exchange, err error) error {
-	outcome := x.targetState
+func (a *attempt) refusal(ctx context.Context, x *Exchange, err error) error {
+	outcome := x.attemptOutcome
 	if outcome == barleystep.OutcomePending {
 		outcome = barleystep.OutcomeNotRun
 	}
@@ -168,8 +168,8 @@
 // interrupted returns the refusal for a request whose context has ended.
 func interrupted(ctx context.Context, outcome barleystep.Outcome) error {
 	switch cause := context.Cause(ctx); {
-	case eris.Is(cause, errStopping):
-		return barleystep.NewRefusal(barleystep.ReasonStopping, outcome, "The box is stopping.").WithRetryAfter(stoppingPause)
+	case eris.Is(cause, errShuttingDown):
+		return barleystep.NewRefusal(barleystep.ReasonStopping, outcome, "The box is stopping.").WithRetryAfter(shutdownRetryAfter)
 	case eris.Is(cause, context.DeadlineExceeded):
 		return barleystep.NewRefusal(barleystep.ReasonDeadline, outcome, "The time limit was reached.")
 	default:
@@ -178,4 +178,4 @@
 }
 
 // stoppingPause is when a caller may come back whose box ends; another one takes it.
-const stoppingPause = time.Second
+const shutdownRetryAfter = time.Second
--- a/internal/gate/attempt_test.go
+++ b/internal/gate/attempt_test.go
@@ -22,7 +22,7 @@
 	target := httptest.NewServer(chunks(1_000_000))
 	t.Cleanup(target.Close)
 	a := &fixedAllocator{released: make(chan barleystep.Usage, 9)}
-	url := serve(t, target.URL, a)
+	url := startGate(t, target.URL, a)
 	body := `{"model":"m","stream":true,"messages":[{"role":"user","content":"word"}]}`
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url+"/v1/chat/completions", strings.NewReader(body))
 	c.Assert(err, quicktest.IsNil)
@@ -39,7 +39,7 @@
 // TestUsage checks what an attempt is said to teach about its target: a caller
 // who leaves is not the target's fault.
 func TestUsage(t *testing.T) {
-	started := make(chan struct{}, 9)
+	received := make(chan struct{}, 9)
 	cases := map[string]struct {
 		target http.HandlerFunc
 		leaves bool
@@ -55,7 +55,7 @@
 		"the caller leaves": {func(_ http.ResponseWriter, r *http.Request) {
 			// A server only notices that its caller left once the body was read.
 			_, _ = io.Copy(io.Discard, r.Body)
-			started <- struct{}{}
+			received <- struct{}{}
 			<-r.Context().Done()
 		}, true, false, false},
 	}
@@ -65,7 +65,7 @@
 			target := httptest.NewServer(tc.target)
 			t.Cleanup(target.Close)
 			a := &fixedAllocator{released: make(chan barleystep.Usage, 9)}
-			url := serve(t, target.URL, a)
+			url := startGate(t, target.URL, a)
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			body := `{"model":"m","stream":true,"messages":[{"role":"user","content":"word"}]}`
@@ -78,7 +78,7 @@
 				}
 			}()
 			if tc.leaves {
-				<-started
+				<-received
 				cancel()
 			}
 			u := <-a.released
--- a/internal/gate/bench_test.go
+++ b/internal/gate/bench_test.go
@@ -49,13 +49,13 @@
 }
 
 // serve starts the path before a target and returns its address.
-func serve(b testing.TB, target string, allocator barleystep.Allocator) string {
-	url, _ := serveGate(b, target, allocator)
+func startGate(b testing.TB, target string, allocator barleystep.Allocator) string {
+	url, _ := startServer(b, target, allocator)
 	return url
 }
 
 // serveGate is serve that returns the server, too.
-func serveGate(b testing.TB, target string, allocator barleystep.Allocator) (url string, s *gate.Server) {
+func startServer(b testing.TB, target string, allocator barleystep.Allocator) (url string, s *gate.Server) {
 	d, err := config.File{
 		Accounts: []config.Account{{Name: "a", Keys: []config.Key{{ID: "1", SHA256: config.HashKey("k")}}}},
 		Classes:  []config.Class{{Name: "normal"}},
@@ -82,7 +82,7 @@
 	return server.URL, s
 }
 
-func ask(b *testing.B, url string, body string) {
+func sendPrompt(b *testing.B, url string, body string) {
 	req, err := http.NewRequestWithContext(b.Context(), http.MethodPost, url+"/v1/chat/completions", strings.NewReader(body))
 	quicktest.Assert(b, err, quicktest.IsNil)
 	req.Header.Set("Authorization", "Bearer k")
@@ -102,12 +102,12 @@
 		target := httptest.NewServer(chunks(s.chunks))
 		b.Cleanup(target.Close)
 		body := `{"model":"m","stream":true,"messages":[{"role":"user","content":"` + strings.Repeat("word", s.prompt) + `"}]}`
-		through := serve(b, target.URL, &fixedAllocator{})
+		through := startGate(b, target.URL, &fixedAllocator{})
 		for name, url := range map[string]string{"direct": target.URL, "path": through} {
 			b.Run(fmt.Sprintf("%s/prompt=%d/chunks=%d", name, s.prompt, s.chunks), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					ask(b, url, body)
+					sendPrompt(b, url, body)
 				}
 			})
 		}
--- a/internal/gate/cancel.go
+++ b/internal/gate/cancel.go
@@ -30,15 +30,15 @@
 }
 
 const (
-	cancelQueue   = 4096
-	cancelWorkers = 8
-	cancelTries   = 4
-	cancelPause   = 250 * time.Millisecond
-	cancelTimeout = 5 * time.Second
+	cancelQueueSize = 4096
+	cancelWorkers   = 8
+	cancelTries     = 4
+	cancelBackoff   = 250 * time.Millisecond
+	cancelTimeout   = 5 * time.Second
 )
 
 // NewCanceller returns a canceller whose fields are yet to be set.
-func NewCanceller() *Canceller { return &Canceller{queue: make(chan cancellation, cancelQueue)} }
+func NewCanceller() *Canceller { return &Canceller{queue: make(chan cancellation, cancelQueueSize)} }
 
 // Add asks for the attempt to be cancelled. It does not wait.
 func (c *Canceller) Enqueue(target barleystep.TargetID, id barleystep.AttemptID) {
@@ -80,7 +80,7 @@
 			c.Meter.AttemptCancelled("abandoned")
 			return
 		}
-		if !clock.Sleep(ctx, c.Clock, cancelPause<<try) {
+		if !clock.Sleep(ctx, c.Clock, cancelBackoff<<try) {
 			return
 		}
 	}
--- a/internal/gate/claim.go
+++ b/internal/gate/claim.go
@@ -25,7 +25,7 @@
 	d, err := c.book.Claim(ctx, claim.Request{
 		Account:  x.account.Name,
 		Key:      x.key,
-		Digest:   digest(x),
+		Digest:   requestDigest(x),
 		Deadline: x.deadline,
 	})
 	if err != nil {
@@ -49,14 +49,14 @@
 		// be recorded.
 		held.Finish(context.WithoutCancel(ctx), o, answer)
 	}
-	x.answer.copy = result
-	x.answer.beforeLast = func() { finish(barleystep.OutcomeDone, encode(result)) }
+	x.answer.stored = result
+	x.answer.beforeLastEvent = func() { finish(barleystep.OutcomeDone, encodeResult(result)) }
 	err := next(ctx, x)
-	finish(x.targetState, encode(result))
+	finish(x.attemptOutcome, encodeResult(result))
 	return err
 }
 
-func encode(r *Result) []byte {
+func encodeResult(r *Result) []byte {
 	data, err := json.Marshal(r)
 	if err != nil {
 		panic(err) // All fields have plain types.
@@ -74,7 +74,7 @@
 }
 
 // digest tells apart requests that use the same key.
-func digest(x *Exchange) string {
+func requestDigest(x *Exchange) string {
 	h := sha256.New()
 	fmt.Fprintf(h, "%s\n%s\n%s\n", x.r.Method, x.service, x.path)
 	h.Write(x.prompt.body)
--- a/internal/gate/classify.go
+++ b/internal/gate/classify.go
@@ -34,7 +34,7 @@
 
 // lastWord is how long after the deadline the caller may take to read why the
 // request has ended.
-const lastWord = time.Second
+const refusalWriteTime = time.Second
 
 // The defaults of Limits.
 const (
@@ -58,7 +58,7 @@
 
 // Run refuses what is malformed or unknown and sets the request's deadline.
 func (c *classify) Run(ctx context.Context, x *Exchange, next Next) error {
-	steps := []func(*Exchange) error{c.class, c.deadline, c.repeatable, c.body}
+	steps := []func(*Exchange) error{c.setClass, c.setDeadline, c.setRepeatable, c.parseBody}
 	for _, step := range steps {
 		if err := step(x); err != nil {
 			return err
@@ -69,7 +69,7 @@
 	return next(ctx, x)
 }
 
-func (c *classify) class(x *Exchange) error {
+func (c *classify) setClass(x *Exchange) error {
 	name := x.r.Header.Get(HeaderClass)
 	if name == "" {
 		name = defaultClass(x)
@@ -90,7 +90,7 @@
 	return x.view.DefaultClass()
 }
 
-func (c *classify) deadline(x *Exchange) error {
+func (c *classify) setDeadline(x *Exchange) error {
 	limit := time.Duration(x.class.Limit)
 	if text := x.r.Header.Get(HeaderTimeLimit); text != "" {
 		d, err := time.ParseDuration(text)
@@ -101,11 +101,11 @@
 		limit = d
 	}
 	x.deadline = x.started.Add(limit)
-	x.answer.limit(c.clock, x.deadline.Add(lastWord))
+	x.answer.setWriteDeadline(c.clock, x.deadline.Add(refusalWriteTime))
 	return nil
 }
 
-func (c *classify) repeatable(x *Exchange) error {
+func (c *classify) setRepeatable(x *Exchange) error {
 	x.key = x.r.Header.Get(HeaderIdempotencyKey)
 	x.repeatable = x.r.Header.Get(HeaderRepeatable) != "no"
 	if !x.repeatable && x.key == "" {
@@ -115,7 +115,7 @@
 	return nil
 }
 
-func (c *classify) body(x *Exchange) (err error) {
+func (c *classify) parseBody(x *Exchange) (err error) {
 	body, err := c.readBody(x)
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -125,9 +125,9 @@
 		return refuse(barleystep.ReasonCallerGone, "The body could not be read.")
 	case x.isService():
 		x.prompt = prompt{body: body}
-		return c.serviceKnown(x)
+		return c.checkService(x)
 	}
-	return c.model(x, body)
+	return c.setPrompt(x, body)
 }
 
 // readBody reads the body into one buffer of the announced size.
@@ -138,14 +138,14 @@
 	return buffer.Bytes(), err
 }
 
-func (c *classify) serviceKnown(x *Exchange) error {
+func (c *classify) checkService(x *Exchange) error {
 	if _, ok := x.view.Service(x.service); !ok {
 		return refuse(barleystep.ReasonUnknownService, fmt.Sprintf("There is no service %q.", x.service))
 	}
 	return nil
 }
 
-func (c *classify) model(x *Exchange, body []byte) error {
+func (c *classify) setPrompt(x *Exchange, body []byte) error {
 	p, err := parsePrompt(body)
 	if err != nil {
 		return err
@@ -155,7 +155,7 @@
 		return refuse(barleystep.ReasonUnknownModel, fmt.Sprintf("There is no model %q.", p.model))
 	}
 	p.tokens = c.estimator.Tokens(p.model, p.textBytes)
-	p.output = outputTokens(p.output, m)
+	p.maxOutput = outputTokens(p.maxOutput, m)
 	x.prompt = p
 	if p.tokens > m.MaxPrompt {
 		return refuse(barleystep.ReasonPromptTooLong, fmt.Sprintf(
@@ -164,9 +164,9 @@
 	return nil
 }
 
-func outputTokens(asked int, m config.Model) int {
-	if asked <= 0 || asked > m.MaxOutput {
+func outputTokens(requested int, m config.Model) int {
+	if requested <= 0 || requested > m.MaxOutput {
 		return m.MaxOutput
 	}
-	return asked
+	return requested
 }
--- a/internal/gate/dispatch.go
+++ b/internal/gate/dispatch.go
@@ -26,7 +26,7 @@
 	targets Targets
 	meter   *metric.Meter
 	// stall is how long a target may send nothing in the midst of an answer.
-	stall time.Duration
+	stallTimeout time.Duration
 }
 
 var errStalled = eris.Wrap(barleystep.ErrBrokenStream, "target sent nothing for too long")
@@ -34,7 +34,7 @@
 // start sends the attempt, or asks for its events from a number on.
 func (d *dispatch) start(ctx context.Context, r *relay, from uint64) (barleystep.Stream, error) {
 	x := r.exchange
-	target := r.allotment.Target()
+	target := r.allocation.Target()
 	e, ok := d.targets.Engine(target, !x.repeatable)
 	if !ok {
 		return nil, eris.Wrapf(barleystep.ErrNotStarted, "target %s is not configured", target)
@@ -46,58 +46,58 @@
 		ContentType: x.r.Header.Get("Content-Type"),
 		Method:      x.r.Method,
 		Deadline:    x.deadline,
-		Priority:    r.allotment.Priority(),
+		Priority:    r.allocation.Priority(),
 		ResumeFrom:  from,
-		Group:       r.allotment.Group(),
+		Group:       r.allocation.Group(),
 	})
 }
 
 // firstWait is how long the first event may take: reading the prompt several
 // times over, and the stall limit.
-func (d *dispatch) firstWait(x *Exchange) time.Duration {
+func (d *dispatch) firstEventTimeout(x *Exchange) time.Duration {
 	const margin = 8
 	m, ok := x.view.Model(x.prompt.model)
 	if !ok {
-		return d.stall
+		return d.stallTimeout
 	}
-	read := float64(x.prompt.tokens) / m.PrefillRate * margin
-	return d.stall + time.Duration(read*float64(time.Second))
+	prefill := float64(x.prompt.tokens) / m.PrefillRate * margin
+	return d.stallTimeout + time.Duration(prefill*float64(time.Second))
 }
 
 // watch cancels an attempt that makes no progress.
-type watch struct {
-	clock    barleystep.Clock
-	progress atomic.Int64 // progress is the time of the last event, in nanoseconds.
-	allowed  atomic.Int64 // allowed is how long the next event may take.
+type watchdog struct {
+	clock     barleystep.Clock
+	lastEvent atomic.Int64 // progress is the time of the last event, in nanoseconds.
+	timeout   atomic.Int64 // allowed is how long the next event may take.
 }
 
 // newWatch starts to watch; it ends with ctx.
-func newWatch(ctx context.Context, clk barleystep.Clock, allowed time.Duration, cancel context.CancelCauseFunc) *watch {
-	w := &watch{clock: clk}
-	w.expect(allowed)
+func newWatchdog(ctx context.Context, clk barleystep.Clock, timeout time.Duration, cancel context.CancelCauseFunc) *watchdog {
+	w := &watchdog{clock: clk}
+	w.reset(timeout)
 	go w.run(ctx, cancel)
 	return w
 }
 
 // expect notes progress and how long the next event may take.
-func (w *watch) expect(allowed time.Duration) {
-	w.allowed.Store(int64(allowed))
-	w.progress.Store(w.clock.Now().UnixNano())
+func (w *watchdog) reset(timeout time.Duration) {
+	w.timeout.Store(int64(timeout))
+	w.lastEvent.Store(w.clock.Now().UnixNano())
 }
 
-func (w *watch) left() time.Duration {
-	passed := w.clock.Now().UnixNano() - w.progress.Load()
-	return time.Duration(w.allowed.Load() - passed)
+func (w *watchdog) remaining() time.Duration {
+	elapsed := w.clock.Now().UnixNano() - w.lastEvent.Load()
+	return time.Duration(w.timeout.Load() - elapsed)
 }
 
-func (w *watch) run(ctx context.Context, cancel context.CancelCauseFunc) {
+func (w *watchdog) run(ctx context.Context, cancel context.CancelCauseFunc) {
 	for {
-		left := w.left()
-		if left <= 0 {
+		remaining := w.remaining()
+		if remaining <= 0 {
 			cancel(errStalled)
 			return
 		}
-		t := w.clock.NewTimer(left)
+		t := w.clock.NewTimer(remaining)
 		select {
 		case <-t.C():
 		case <-ctx.Done():
--- a/internal/gate/forward.go
+++ b/internal/gate/forward.go
@@ -43,7 +43,7 @@
 // Run runs the rest here, and elsewhere if it was not run here for want of room.
 func (f *forward) Run(ctx context.Context, x *Exchange, next Next) error {
 	err := next(ctx, x)
-	if err == nil || f.forwarder == nil || !f.may(x, err) {
+	if err == nil || f.forwarder == nil || !f.canForward(x, err) {
 		return err
 	}
 	halls := f.halls(x)
@@ -51,24 +51,24 @@
 		return err
 	}
 	f.meter.AttemptRetried("other_hall")
-	resp, sent := f.forwarder.Forward(ctx, halls, f.request(x), x.prompt.body)
-	if eris.Is(sent, barleystep.ErrNotStarted) {
+	resp, forwardErr := f.forwarder.Forward(ctx, halls, f.request(x), x.prompt.body)
+	if eris.Is(forwardErr, barleystep.ErrNotStarted) {
 		return err
 	}
-	if sent != nil {
-		return f.lost(ctx, x)
+	if forwardErr != nil {
+		return f.lostRefusal(ctx, x)
 	}
 	defer resp.Body.Close()
 	if resp.Header.Get(HeaderOutcome) == barleystep.OutcomeNotRun.String() {
 		return err
 	}
-	return f.pass(ctx, x, resp)
+	return f.relayResponse(ctx, x, resp)
 }
 
-func (f *forward) may(x *Exchange, err error) bool {
+func (f *forward) canForward(x *Exchange, err error) bool {
 	r := barleystep.AsRefusal(err)
-	mine := x.r.Header.Get(HeaderForwarded) == ""
-	return mine && forwardable[r.Reason()] && r.Outcome() == barleystep.OutcomeNotRun && !x.answer.begun
+	firstHop := x.r.Header.Get(HeaderForwarded) == ""
+	return firstHop && forwardable[r.Reason()] && r.Outcome() == barleystep.OutcomeNotRun && !x.answer.started
 }
 
 // halls returns the other halls that have targets for the request.
@@ -94,17 +94,17 @@
 	r := x.r.Clone(x.r.Context())
 	r.Header.Set(HeaderForwarded, f.hall)
 	left := x.deadline.Sub(f.clock.Now())
-	left -= min(left/4, longestMargin)
+	left -= min(left/4, maxMargin)
 	r.Header.Set(HeaderTimeLimit, left.Truncate(time.Millisecond).String())
 	return r
 }
 
 // longestMargin bounds how much earlier the other box gives up, so that its word
 // on the outcome arrives in time.
-const longestMargin = 500 * time.Millisecond
+const maxMargin = 500 * time.Millisecond
 
 // lost is a request that may have been run by the other box.
-func (f *forward) lost(ctx context.Context, x *Exchange) error {
+func (f *forward) lostRefusal(ctx context.Context, x *Exchange) error {
 	outcome := barleystep.OutcomeFailed
 	if !x.repeatable {
 		outcome = barleystep.OutcomeUnknown
@@ -116,8 +116,8 @@
 }
 
 // pass relays the other box's answer as it is. The caller sees its outcome.
-func (f *forward) pass(ctx context.Context, x *Exchange, resp *http.Response) error {
-	x.answer.begun = true
+func (f *forward) relayResponse(ctx context.Context, x *Exchange, resp *http.Response) error {
+	x.answer.started = true
 	x.answer.stream = isStream(resp.Header.Get("Content-Type"))
 	h := x.w.Header()
 	for _, name := range []string{"Content-Type", "Retry-After", HeaderOutcome, HeaderReason, HeaderConfig, HeaderRequest} {
@@ -129,26 +129,26 @@
 		h.Set("Trailer", HeaderOutcome)
 	}
 	x.w.WriteHeader(resp.StatusCode)
-	if _, err := io.Copy(flushing{x.answer}, resp.Body); err != nil {
-		return f.lost(ctx, x)
+	if _, err := io.Copy(flushWriter{x.answer}, resp.Body); err != nil {
+		return f.lostRefusal(ctx, x)
 	}
-	x.outcome = barleystep.OutcomeDone
+	x.forwardedOutcome = barleystep.OutcomeDone
 	for _, text := range []string{resp.Header.Get(HeaderOutcome), resp.Trailer.Get(HeaderOutcome)} {
 		if o, ok := barleystep.ParseOutcome(text); ok {
-			x.outcome = o
+			x.forwardedOutcome = o
 		}
 	}
 	return nil
 }
 
 // flushing writes to the caller without holding anything back.
-type flushing struct{ answer *answer }
+type flushWriter struct{ answer *answer }
 
 // Write writes and flushes.
-func (w flushing) Write(p []byte) (int, error) {
+func (w flushWriter) Write(p []byte) (int, error) {
 	n, err := w.answer.w.Write(p)
 	if err != nil {
 		return n, err
 	}
-	return n, w.answer.control.Flush()
+	return n, w.answer.controller.Flush()
 }
--- a/internal/gate/prompt.go
+++ b/internal/gate/prompt.go
@@ -16,20 +16,20 @@
 	model     string
 	textBytes int
 	tokens    int // tokens is the estimated length.
-	output    int // output is the most tokens that may be generated.
+	maxOutput int // output is the most tokens that may be generated.
 	prefix    []uint64
 }
 
 const (
-	startRatio = 4.0 // startRatio is the first guess of bytes per token.
+	defaultRatio = 4.0 // startRatio is the first guess of bytes per token.
 	// firstPrefix is the length in bytes of the shortest prefix that is hashed;
 	// each further one is twice as long.
-	firstPrefix = 4 << 10
+	minPrefixSize = 4 << 10
 	// minimumRatio and maximumRatio bound the learnt bytes per token.
-	minimumRatio = 1.0
-	maximumRatio = 8.0
+	minRatio = 1.0
+	maxRatio = 8.0
 	// learning is the weight of a new observation of bytes per token.
-	learning = 0.05
+	smoothing = 0.05
 )
 
 // fields are the few fields of a body that are needed.
@@ -80,19 +80,19 @@
 		body:      body,
 		model:     f.model.String(),
 		textBytes: len(text.Raw),
-		output:    int(output.Int()),
+		maxOutput: int(output.Int()),
 		prefix:    prefixHashes(text.Raw),
 	}, nil
 }
 
 // emptyArray bounds how much of an array is looked at: an empty one with more
 // blanks than this counts as a prompt.
-const emptyArray = 64
+const maxEmptyArray = 64
 
 func isEmpty(text gjson.Result) bool {
 	switch {
 	case text.IsArray():
-		return len(strings.TrimSpace(text.Raw[1:min(len(text.Raw), emptyArray)])) <= 1
+		return len(strings.TrimSpace(text.Raw[1:min(len(text.Raw), maxEmptyArray)])) <= 1
 	case text.Type == gjson.String:
 		return text.Str == ""
 	default:
@@ -104,10 +104,10 @@
 func prefixHashes(text string) []uint64 {
 	var hashes []uint64
 	d := xxhash.New()
-	done := 0
-	for size := firstPrefix; size <= len(text); size *= 2 {
-		_, _ = d.WriteString(text[done:size]) // A hash never fails to write.
-		done = size
+	hashed := 0
+	for size := minPrefixSize; size <= len(text); size *= 2 {
+		_, _ = d.WriteString(text[hashed:size]) // A hash never fails to write.
+		hashed = size
 		hashes = append(hashes, d.Sum64())
 	}
 	return hashes
@@ -130,14 +130,14 @@
 	if textBytes <= 0 || tokens <= 0 {
 		return
 	}
-	seen := min(max(float64(textBytes)/float64(tokens), minimumRatio), maximumRatio)
+	observed := min(max(float64(textBytes)/float64(tokens), minRatio), maxRatio)
 	old := e.ratio(model)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ratios == nil {
 		e.ratios = make(map[string]float64)
 	}
-	e.ratios[model] = old + learning*(seen-old)
+	e.ratios[model] = old + smoothing*(observed-old)
 }
 
 func (e *Estimator) ratio(model string) float64 {
@@ -146,5 +146,5 @@
 	if r, ok := e.ratios[model]; ok {
 		return r
 	}
-	return startRatio
+	return defaultRatio
 }
--- a/internal/gate/server.go
+++ b/internal/gate/server.go
@@ -42,13 +42,13 @@
 	// default is 20 seconds.
 	StallTimeout time.Duration
 
-	estimator Estimator
-	pipeline  Pipeline
-	running   atomic.Int64
-	leaving   atomic.Bool
+	estimator    Estimator
+	pipeline     Pipeline
+	running      atomic.Int64
+	shuttingDown atomic.Bool
 	// ending ends, by end, when all requests are to be answered.
-	ending context.Context
-	end    context.CancelFunc
+	canceled  context.Context
+	cancelAll context.CancelFunc
 }
 
 const defaultStall = 20 * time.Second
@@ -58,8 +58,8 @@
 	if s.StallTimeout == 0 {
 		s.StallTimeout = defaultStall
 	}
-	s.ending, s.end = context.WithCancel(context.Background())
-	d := &dispatch{clock: s.Clock, targets: s.Targets, meter: s.Meter, stall: s.StallTimeout}
+	s.canceled, s.cancelAll = context.WithCancel(context.Background())
+	d := &dispatch{clock: s.Clock, targets: s.Targets, meter: s.Meter, stallTimeout: s.StallTimeout}
 	s.pipeline = Pipeline{
 		&settle{clock: s.Clock, meter: s.Meter, log: s.Log},
 		authenticate{},
@@ -69,7 +69,7 @@
 		&claimOnce{book: s.Claims},
 		&attempt{
 			clock:     s.Clock,
-			source:    s.IDs,
+			ids:       s.IDs,
 			allocator: s.Allocator,
 			dispatch:  d,
 			canceller: s.Canceller,
@@ -81,7 +81,7 @@
 	mux.HandleFunc("POST /v1/chat/completions", s.complete)
 	mux.HandleFunc("POST /v1/completions", s.complete)
 	mux.HandleFunc("GET /v1/models", s.models)
-	mux.HandleFunc("/v1/services/{service}/{path...}", s.call)
+	mux.HandleFunc("/v1/services/{service}/{path...}", s.callService)
 	return mux
 }
 
@@ -90,20 +90,20 @@
 
 // Leave marks the box as stopping: callers' connections are closed after the
 // answers that are under way, so that they connect elsewhere.
-func (s *Server) BeginShutdown() { s.leaving.Store(true) }
+func (s *Server) BeginShutdown() { s.shuttingDown.Store(true) }
 
 // End answers all requests that are still being served, and that still come: those that no
 // target has run are refused as such.
-func (s *Server) CancelAll() { s.end() }
+func (s *Server) CancelAll() { s.cancelAll() }
 
 // Leaving reports whether Leave was called.
-func (s *Server) IsShuttingDown() bool { return s.leaving.Load() }
+func (s *Server) IsShuttingDown() bool { return s.shuttingDown.Load() }
 
 func (s *Server) complete(w http.ResponseWriter, r *http.Request) {
 	s.serve(w, r, &Exchange{path: r.URL.Path})
 }
 
-func (s *Server) call(w http.ResponseWriter, r *http.Request) {
+func (s *Server) callService(w http.ResponseWriter, r *http.Request) {
 	path := "/" + r.PathValue("path")
 	if r.URL.RawQuery != "" {
 		path += "?" + r.URL.RawQuery
@@ -114,37 +114,37 @@
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, x *Exchange) {
 	s.running.Add(1)
 	defer s.running.Add(-1)
-	if !s.begin(w, r, x) {
+	if !s.prepare(w, r, x) {
 		return
 	}
-	ctx, release := s.untilEnd(r.Context())
+	ctx, release := s.withCancelAll(r.Context())
 	defer release()
 	// The settling stage has told the caller of any error.
 	_ = s.pipeline.Run(ctx, x)
 }
 
 // errStopping is the cause of contexts that end because the box does.
-var errStopping = eris.New("gate: the box is stopping")
+var errShuttingDown = eris.New("gate: the box is stopping")
 
 // untilEnd returns a context that ends at End. The cancel function must be called.
-func (s *Server) untilEnd(ctx context.Context) (context.Context, context.CancelFunc) {
+func (s *Server) withCancelAll(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	forget := context.AfterFunc(s.ending, func() { cancel(errStopping) })
+	stop := context.AfterFunc(s.canceled, func() { cancel(errShuttingDown) })
 	return ctx, func() {
-		forget()
+		stop()
 		cancel(context.Canceled)
 	}
 }
 
 // begin fills in what every exchange has. It answers for itself when there is
 // no configuration yet.
-func (s *Server) begin(w http.ResponseWriter, r *http.Request, x *Exchange) (ok bool) {
+func (s *Server) prepare(w http.ResponseWriter, r *http.Request, x *Exchange) (ok bool) {
 	x.w = w
 	x.r = r
 	x.id = s.IDs.NextRequest()
 	x.started = s.Clock.Now()
 	x.answer = newAnswer(w)
-	x.answer.limit(s.Clock, x.started.Add(s.Limits.withDefaults().MaxTime))
+	x.answer.setWriteDeadline(s.Clock, x.started.Add(s.Limits.withDefaults().MaxTime))
 	w.Header().Set(HeaderRequest, x.id)
 	if s.IsShuttingDown() {
 		w.Header().Set("Connection", "close")
@@ -178,7 +178,7 @@
 
 func (s *Server) models(w http.ResponseWriter, r *http.Request) {
 	x := &Exchange{}
-	if !s.begin(w, r, x) {
+	if !s.prepare(w, r, x) {
 		return
 	}
 	list := func(*Exchange) {
--- a/internal/gate/stop_test.go
+++ b/internal/gate/stop_test.go
@@ -25,11 +25,11 @@
 }
 
 // TestEnd checks that all requests are answered when the box ends, by what is known of them.
-func TestEnd(t *testing.T) {
-	begun := make(chan struct{}, 9)
+func TestCancelAll(t *testing.T) {
+	received := make(chan struct{}, 9)
 	hang := http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body) // A server only notices that its caller left once the body was read.
-		begun <- struct{}{}
+		received <- struct{}{}
 		<-r.Context().Done()
 	})
 	cases := map[string]struct {
@@ -37,7 +37,7 @@
 		status    int
 		outcome   string
 	}{
-		"waits for a place":   {&fullAllocator{begun}, http.StatusServiceUnavailable, "not-run"},
+		"waits for a place":   {&fullAllocator{received}, http.StatusServiceUnavailable, "not-run"},
 		"sent, no answer yet": {&fixedAllocator{}, http.StatusBadGateway, "failed"},
 	}
 	for name, tc := range cases {
@@ -45,14 +45,14 @@
 			c := quicktest.New(t)
 			target := httptest.NewServer(hang)
 			t.Cleanup(target.Close)
-			url, s := serveGate(t, target.URL, tc.allocator)
+			url, s := startServer(t, target.URL, tc.allocator)
 			body := `{"model":"m","stream":true,"messages":[{"role":"user","content":"word"}]}`
 			req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url+"/v1/chat/completions", strings.NewReader(body))
 			c.Assert(err, quicktest.IsNil)
 			req.Header.Set("Authorization", "Bearer k")
 			req.Header.Set(gate.HeaderTimeLimit, "30s")
 			go func() {
-				<-begun
+				<-received
 				s.CancelAll()
 			}()
 			resp, err := http.DefaultClient.Do(req)
