--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	controlLimit = 4 << 20 // controlLimit bounds an answer of the control interface, in bytes.
-	drainLimit   = 64 << 10
+	maxControlBody = 4 << 20 // controlLimit bounds an answer of the control interface, in bytes.
+	maxDrain       = 64 << 10
 )
 
 // Client talks to one target over HTTP. Its exported fields are set before
@@ -35,7 +35,7 @@
 	MaxEventSize      int // EventLimit bounds one event in bytes; the default is 1 MiB.
 }
 
-const defaultEventLimit = 1 << 20
+const defaultMaxEventSize = 1 << 20
 
 var (
 	_ barleystep.Engine  = (*Client)(nil)
@@ -68,21 +68,21 @@
 			err = eris.Wrapf(err, "engine: attempt %s", a.ID)
 		}
 	}()
-	reached := false
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { reached = true }}
+	connected := false
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
 	req, err := c.request(httptrace.WithClientTrace(ctx, trace), a)
 	if err != nil {
 		return nil, eris.Wrap(barleystep.ErrNotStarted, err.Error())
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return nil, classify(err, reached)
+		return nil, classifyError(err, connected)
 	}
-	return c.open(resp, a)
+	return c.openStream(resp, a)
 }
 
-func classify(err error, reached bool) error {
-	if !reached {
+func classifyError(err error, connected bool) error {
+	if !connected {
 		return eris.Wrap(barleystep.ErrNotStarted, err.Error())
 	}
 	return eris.Wrap(barleystep.ErrUnknownEffect, err.Error())
@@ -131,7 +131,7 @@
 	return strings.Join(names, ",")
 }
 
-func (c *Client) open(resp *http.Response, a barleystep.Attempt) (barleystep.Stream, error) {
+func (c *Client) openStream(resp *http.Response, a barleystep.Attempt) (barleystep.Stream, error) {
 	if resp.Header.Get(HeaderStarted) == "false" {
 		drain(resp.Body)
 		_ = resp.Body.Close()
@@ -142,14 +142,14 @@
 		return nil, eris.Wrapf(barleystep.ErrWrongAttempt, "target answered for %q", got)
 	}
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		return newEventStream(resp, a, c.eventLimit()), nil
+		return newEventStream(resp, a, c.maxEventSize()), nil
 	}
 	return &bodyStream{resp: resp}, nil
 }
 
-func (c *Client) eventLimit() int {
+func (c *Client) maxEventSize() int {
 	if c.MaxEventSize == 0 {
-		return defaultEventLimit
+		return defaultMaxEventSize
 	}
 	return c.MaxEventSize
 }
@@ -176,14 +176,14 @@
 }
 
 // List asks the target which attempts it holds memory for.
-func (c *Client) List(ctx context.Context) (work []barleystep.HeldAttempt, err error) {
+func (c *Client) List(ctx context.Context) (attempts []barleystep.HeldAttempt, err error) {
 	defer func() {
 		if err != nil {
 			err = eris.Wrap(err, "engine: list")
 		}
 	}()
-	err = c.control(ctx, http.MethodGet, PathAttempts, &work)
-	return work, err
+	err = c.control(ctx, http.MethodGet, PathAttempts, &attempts)
+	return attempts, err
 }
 
 // orderBody is the body of an order.
@@ -240,10 +240,10 @@
 	if out == nil {
 		return nil
 	}
-	return json.NewDecoder(io.LimitReader(resp.Body, controlLimit)).Decode(out)
+	return json.NewDecoder(io.LimitReader(resp.Body, maxControlBody)).Decode(out)
 }
 
 // drain reads what is left of a short body, so that the connection is kept.
 func drain(body io.Reader) {
-	_, _ = io.CopyN(io.Discard, body, drainLimit)
+	_, _ = io.CopyN(io.Discard, body, maxDrain)
 }
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -27,7 +27,7 @@
 }
 
 // read reads an answer to its end.
-func read(s barleystep.Stream) error {
+func readAll(s barleystep.Stream) error {
 	defer s.Close()
 	for {
 		if _, err := s.Next(); err != nil {
@@ -42,7 +42,7 @@
 // TestNothingIsSentTwice lets a target run an attempt on a connection that was
 // used before and close it unanswered. The transport must not send it again by
 // itself, whatever headers it carries.
-func TestNothingIsSentTwice(t *testing.T) {
+func TestNoResend(t *testing.T) {
 	for name, method := range map[string]string{"post": http.MethodPost, "get": http.MethodGet, "delete": http.MethodDelete} {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
@@ -59,7 +59,7 @@
 			first := attempt(1)
 			s, err := client.Start(t.Context(), first)
 			c.Assert(err, quicktest.IsNil)
-			c.Assert(read(s), quicktest.IsNil)
+			c.Assert(readAll(s), quicktest.IsNil)
 			second := attempt(2)
 			second.Method = method
 			if method == http.MethodGet {
@@ -72,10 +72,10 @@
 	}
 }
 
-func TestStartSaysWhetherItMayHaveRun(t *testing.T) {
+func TestStartErrors(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	quicktest.Assert(t, err, quicktest.IsNil)
-	nobody := "http://" + closed.Addr().String()
+	closedURL := "http://" + closed.Addr().String()
 	closed.Close()
 	cases := map[string]struct {
 		handler http.HandlerFunc
@@ -100,7 +100,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			url := nobody
+			url := closedURL
 			if tc.handler != nil {
 				server := httptest.NewServer(tc.handler)
 				t.Cleanup(server.Close)
@@ -110,7 +110,7 @@
 			s, err := client.Start(context.Background(), attempt(1))
 			if tc.want == nil {
 				quicktest.Assert(t, err, quicktest.IsNil)
-				quicktest.Check(t, read(s), quicktest.IsNil)
+				quicktest.Check(t, readAll(s), quicktest.IsNil)
 				return
 			}
 			quicktest.Check(t, err, quicktest.ErrorIs, tc.want)
@@ -119,7 +119,7 @@
 }
 
 // TestTornBodies lists the ways in which an answer can be cut without a sign.
-func TestTornBodies(t *testing.T) {
+func TestBrokenBodies(t *testing.T) {
 	id := attempt(1).ID.String()
 	cases := map[string]string{
 		"shorter than announced":      "HTTP/1.1 200 OK\r\nBarleystep-Attempt: " + id + "\r\nContent-Length: 100\r\n\r\n{}",
@@ -141,9 +141,9 @@
 			client := &engine.Client{URL: "http://" + l.Addr().String(), HTTP: engine.NewHTTP(4)}
 			s, err := client.Start(t.Context(), attempt(1))
 			c.Assert(err, quicktest.IsNil)
-			err = read(s)
-			torn := errors.Is(err, barleystep.ErrBrokenStream) || errors.Is(err, barleystep.ErrWrongAttempt)
-			c.Check(torn, quicktest.IsTrue, quicktest.Commentf("%v", err))
+			err = readAll(s)
+			broken := errors.Is(err, barleystep.ErrBrokenStream) || errors.Is(err, barleystep.ErrWrongAttempt)
+			c.Check(broken, quicktest.IsTrue, quicktest.Commentf("%v", err))
 		})
 	}
 }
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -16,23 +16,23 @@
 // eventStream reads a streamed answer. Each event's id is the attempt, a slash
 // and the event's number.
 type eventStream struct {
-	resp    *http.Response
-	next    func() (sse.Event, error, bool)
-	stop    func()
-	attempt string
-	want    uint64
-	ended   bool
+	resp       *http.Response
+	next       func() (sse.Event, error, bool)
+	stop       func()
+	attempt    string
+	nextNumber uint64
+	ended      bool
 }
 
-func newEventStream(resp *http.Response, a barleystep.Attempt, limit int) *eventStream {
-	events := sse.Read(resp.Body, &sse.ReadConfig{MaxEventSize: limit})
+func newEventStream(resp *http.Response, a barleystep.Attempt, maxSize int) *eventStream {
+	events := sse.Read(resp.Body, &sse.ReadConfig{MaxEventSize: maxSize})
 	next, stop := iter.Pull2(iter.Seq2[sse.Event, error](events))
 	return &eventStream{
-		resp:    resp,
-		next:    next,
-		stop:    stop,
-		attempt: a.ID.String(),
-		want:    max(a.ResumeFrom, 1),
+		resp:       resp,
+		next:       next,
+		stop:       stop,
+		attempt:    a.ID.String(),
+		nextNumber: max(a.ResumeFrom, 1),
 	}
 }
 
@@ -56,23 +56,23 @@
 		if !ok {
 			return barleystep.Event{}, eris.Wrap(barleystep.ErrBrokenStream, "stream ended early")
 		}
-		number, err := s.number(e.LastEventID)
+		number, err := s.parseID(e.LastEventID)
 		if err != nil {
 			return barleystep.Event{}, err
 		}
-		if number < s.want {
+		if number < s.nextNumber {
 			continue
 		}
-		if number > s.want {
-			return barleystep.Event{}, eris.Wrapf(barleystep.ErrBrokenStream, "event %d came in place of %d", number, s.want)
+		if number > s.nextNumber {
+			return barleystep.Event{}, eris.Wrapf(barleystep.ErrBrokenStream, "event %d came in place of %d", number, s.nextNumber)
 		}
-		s.want++
+		s.nextNumber++
 		s.ended = e.Data == DoneData
 		return barleystep.NewEvent(number, []byte(e.Data), s.ended), nil
 	}
 }
 
-func (s *eventStream) number(id string) (uint64, error) {
+func (s *eventStream) parseID(id string) (uint64, error) {
 	text, ok := strings.CutPrefix(id, s.attempt)
 	if !ok || !strings.HasPrefix(text, "/") {
 		return 0, eris.Wrapf(barleystep.ErrWrongAttempt, "event has id %q", id)
