--- a/internal/object/memory.go
+++ b/internal/object/memory.go
@@ -26,7 +26,7 @@
 
 // Put stores a copy of data.
 func (m *Memory) Put(_ context.Context, name string, data []byte) error {
-	if err := m.fail("put", name); err != nil {
+	if err := m.fault("put", name); err != nil {
 		return err
 	}
 	m.mu.Lock()
@@ -40,7 +40,7 @@
 
 // Get returns the object.
 func (m *Memory) Get(_ context.Context, name string) ([]byte, error) {
-	if err := m.fail("get", name); err != nil {
+	if err := m.fault("get", name); err != nil {
 		return nil, err
 	}
 	m.mu.Lock()
@@ -54,7 +54,7 @@
 
 // Delete removes the object.
 func (m *Memory) Delete(_ context.Context, name string) error {
-	if err := m.fail("delete", name); err != nil {
+	if err := m.fault("delete", name); err != nil {
 		return err
 	}
 	m.mu.Lock()
@@ -63,7 +63,7 @@
 	return nil
 }
 
-func (m *Memory) fail(op, name string) error {
+func (m *Memory) fault(op, name string) error {
 	if m.FaultFunc == nil {
 		return nil
 	}
--- a/internal/object/object_test.go
+++ b/internal/object/object_test.go
@@ -17,7 +17,7 @@
 )
 
 // stores returns all implementations, whole or failing all calls.
-func stores(t *testing.T) map[string]func(down bool) barleystep.ObjectStore {
+func constructors(t *testing.T) map[string]func(down bool) barleystep.ObjectStore {
 	return map[string]func(bool) barleystep.ObjectStore{
 		"memory": func(down bool) barleystep.ObjectStore {
 			m := &object.Memory{}
@@ -43,7 +43,7 @@
 
 // TestContract holds every object store to what the interface promises.
 func TestContract(t *testing.T) {
-	for name, build := range stores(t) {
+	for name, build := range constructors(t) {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			ctx := context.Background()
