--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -15,11 +15,11 @@
 
 func (a *app) configCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "config", Short: "Versions of the configuration"}
-	cmd.AddCommand(a.getCommand(), a.submitCommand(), a.checkCommand(), a.historyCommand(), a.diffCommand(), a.restoreCommand())
+	cmd.AddCommand(a.configGetCommand(), a.submitCommand(), a.checkCommand(), a.historyCommand(), a.diffCommand(), a.restoreCommand())
 	return cmd
 }
 
-func (a *app) getCommand() *cobra.Command {
+func (a *app) configGetCommand() *cobra.Command {
 	var version int64
 	cmd := &cobra.Command{
 		Use:   "get",
@@ -64,13 +64,13 @@
 		if err != nil {
 			return eris.Wrapf(err, "submission %s", id)
 		}
-		return a.accepted(cmd, resp.Msg)
+		return a.printAccepted(cmd, resp.Msg)
 	}
 	return cmd
 }
 
 // accepted prints the version that a change became.
-func (a *app) accepted(cmd *cobra.Command, resp *adminv1.SubmitResponse) error {
+func (a *app) printAccepted(cmd *cobra.Command, resp *adminv1.SubmitResponse) error {
 	return a.print(cmd, resp, "", func(line func(...any)) { line(fmt.Sprintf("accepted as version %d", resp.GetVersion())) })
 }
 
@@ -158,7 +158,7 @@
 		if err != nil {
 			return err
 		}
-		return a.accepted(cmd, resp.Msg)
+		return a.printAccepted(cmd, resp.Msg)
 	}
 	return cmd
 }
--- a/internal/cli/edits.go
+++ b/internal/cli/edits.go
@@ -25,7 +25,7 @@
 		if err != nil {
 			return err
 		}
-		return a.accepted(cmd, resp.Msg)
+		return a.printAccepted(cmd, resp.Msg)
 	}
 	return cmd
 }
@@ -61,7 +61,7 @@
 		if err != nil {
 			return err
 		}
-		return a.accepted(cmd, resp.Msg)
+		return a.printAccepted(cmd, resp.Msg)
 	}
 	return cmd
 }
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -12,7 +12,7 @@
 
 func (a *app) policyCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "policy", Short: "Policies: who may use what share, in what order"}
-	cmd.AddCommand(a.policyCheckCommand(), a.explainCommand())
+	cmd.AddCommand(a.policyCheckCommand(), a.policyExplainCommand())
 	return cmd
 }
 
@@ -57,7 +57,7 @@
 	return config.NewView(1, d)
 }
 
-func (a *app) explainCommand() *cobra.Command {
+func (a *app) policyExplainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain ACCOUNT CLASS",
 		Short: "Say what the policy in force gives to an account in a class",
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -47,14 +47,14 @@
 	case connect.CodeUnavailable:
 		return ExitUnavailable
 	case connect.CodeUnknown:
-		return exitOfUnknown(err)
+		return unknownExitCode(err)
 	default:
 		return command.ExitFailure
 	}
 }
 
 // exitOfUnknown tells an answer of the API from any other error.
-func exitOfUnknown(err error) int {
+func unknownExitCode(err error) int {
 	if connect.IsWireError(err) {
 		return ExitUnknown
 	}
@@ -106,11 +106,11 @@
 	return root
 }
 
-func envOr(name, other string) string {
+func envOr(name, fallback string) string {
 	if v := os.Getenv(name); v != "" {
 		return v
 	}
-	return other
+	return fallback
 }
 
 // client returns the API's client.
