--- a/internal/policy/program.go
+++ b/internal/policy/program.go
@@ -120,7 +120,7 @@
 	if err := s.merge(out); err != nil {
 		return Share{}, err
 	}
-	return s, s.check()
+	return s, s.validate()
 }
 
 func (s *Share) merge(out ref.Val) error {
@@ -138,7 +138,7 @@
 }
 
 func (s *Share) set(key, value any) error {
-	n, ok := number(value)
+	n, ok := toNumber(value)
 	if !ok {
 		return eris.Errorf("%v is %v; it must be a number", key, value)
 	}
@@ -157,7 +157,7 @@
 	return nil
 }
 
-func number(v any) (n float64, ok bool) {
+func toNumber(v any) (n float64, ok bool) {
 	switch v := v.(type) {
 	case float64:
 		return v, !math.IsNaN(v) && !math.IsInf(v, 0)
@@ -168,7 +168,7 @@
 	}
 }
 
-func (s Share) check() error {
+func (s Share) validate() error {
 	switch {
 	case s.Weight <= 0:
 		return eris.Errorf("weight is %g; it must be above 0", s.Weight)
