--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -56,7 +56,7 @@
 		if !ok {
 			return barleystep.Event{}, eris.Wrap(barleystep.ErrBrokenStream, "stream ended early")
 		}
-		number, err := s.parseID(e.LastEventID)
+		number, err := s.number(e.LastEventID)
 		if err != nil {
 			return barleystep.Event{}, err
 		}
@@ -72,7 +72,7 @@
 	}
 }
 
-func (s *eventStream) parseID(id string) (uint64, error) {
+func (s *eventStream) number(id string) (uint64, error) {
 	text, ok := strings.CutPrefix(id, s.attempt)
 	if !ok || !strings.HasPrefix(text, "/") {
 		return 0, eris.Wrapf(barleystep.ErrWrongAttempt, "event has id %q", id)
--- a/internal/gate/answer.go
+++ b/internal/gate/answer.go
@@ -22,7 +22,7 @@
 	// events counts the events that were passed on.
 	events uint64
 	// copy keeps what was sent, for requests whose result is stored.
-	stored *Result
+	copy *Result
 	// beforeLast runs before the event that completes the answer is sent.
 	beforeLastEvent func()
 }
@@ -44,7 +44,7 @@
 }
 
 // limit keeps a caller that reads slowly from holding the request for ever.
-func (a *answer) setWriteDeadline(clk barleystep.Clock, deadline time.Time) {
+func (a *answer) limit(clk barleystep.Clock, deadline time.Time) {
 	_ = a.controller.SetWriteDeadline(clock.WallTime(clk, deadline)) // Recorders in tests have no deadline.
 }
 
@@ -59,9 +59,9 @@
 	} else {
 		h.Set(HeaderOutcome, barleystep.OutcomeDone.String())
 	}
-	if a.stored != nil {
-		a.stored.Status = status
-		a.stored.Type = contentType
+	if a.copy != nil {
+		a.copy.Status = status
+		a.copy.Type = contentType
 	}
 	a.w.WriteHeader(status)
 }
@@ -79,8 +79,8 @@
 	if a.stream {
 		data = frameEvent(data)
 	}
-	if a.stored != nil {
-		a.stored.Body = append(a.stored.Body, data...)
+	if a.copy != nil {
+		a.copy.Body = append(a.copy.Body, data...)
 	}
 	if e.Last() && a.beforeLastEvent != nil {
 		a.beforeLastEvent()
@@ -113,7 +113,7 @@
 }
 
 // outcome tells the outcome of a streamed answer.
-func (a *answer) setOutcomeTrailer(o barleystep.Outcome) {
+func (a *answer) outcome(o barleystep.Outcome) {
 	if a.stream {
 		a.w.Header().Set(HeaderOutcome, o.String())
 	}
@@ -165,7 +165,7 @@
 	}
 	_, _ = a.w.Write([]byte("event: error\n")) // The caller may have gone away.
 	_, _ = a.w.Write(frameEvent(body))
-	a.setOutcomeTrailer(r.Outcome())
+	a.outcome(r.Outcome())
 	_ = a.controller.Flush()
 }
 
--- a/internal/gate/attempt.go
+++ b/internal/gate/attempt.go
@@ -45,15 +45,15 @@
 		last = err
 		var retry *retryError
 		if !eris.As(err, &retry) {
-			return a.refusal(ctx, x, err)
+			return a.refusalFor(ctx, x, err)
 		}
 		a.meter.AttemptRetried(string(retry.reason))
 		d.FailedTargets = append(d.FailedTargets, retry.target)
 		if !clock.Sleep(ctx, a.clock, firstBackoff<<try) {
-			return a.refusal(ctx, x, ctx.Err())
+			return a.refusalFor(ctx, x, ctx.Err())
 		}
 	}
-	return a.refusal(ctx, x, last)
+	return a.refusalFor(ctx, x, last)
 }
 
 func (a *attempt) demand(x *Exchange) barleystep.Demand {
@@ -91,7 +91,7 @@
 		return err
 	}
 	r := &relay{
-		dispatch:   a.dispatch,
+		dispatcher: a.dispatch,
 		exchange:   x,
 		allocation: allocation,
 		id:         d.Attempt,
@@ -142,7 +142,7 @@
 }
 
 // ended turns the last error into a refusal with a truthful outcome.
-func (a *attempt) refusal(ctx context.Context, x *Exchange, err error) error {
+func (a *attempt) refusalFor(ctx context.Context, x *Exchange, err error) error {
 	outcome := x.attemptOutcome
 	if outcome == barleystep.OutcomePending {
 		outcome = barleystep.OutcomeNotRun
--- a/internal/gate/claim.go
+++ b/internal/gate/claim.go
@@ -49,7 +49,7 @@
 		// be recorded.
 		held.Finish(context.WithoutCancel(ctx), o, answer)
 	}
-	x.answer.stored = result
+	x.answer.copy = result
 	x.answer.beforeLastEvent = func() { finish(barleystep.OutcomeDone, encodeResult(result)) }
 	err := next(ctx, x)
 	finish(x.attemptOutcome, encodeResult(result))
--- a/internal/gate/classify.go
+++ b/internal/gate/classify.go
@@ -58,7 +58,7 @@
 
 // Run refuses what is malformed or unknown and sets the request's deadline.
 func (c *classify) Run(ctx context.Context, x *Exchange, next Next) error {
-	steps := []func(*Exchange) error{c.setClass, c.setDeadline, c.setRepeatable, c.parseBody}
+	steps := []func(*Exchange) error{c.class, c.deadline, c.repeatable, c.body}
 	for _, step := range steps {
 		if err := step(x); err != nil {
 			return err
@@ -69,7 +69,7 @@
 	return next(ctx, x)
 }
 
-func (c *classify) setClass(x *Exchange) error {
+func (c *classify) class(x *Exchange) error {
 	name := x.r.Header.Get(HeaderClass)
 	if name == "" {
 		name = defaultClass(x)
@@ -90,7 +90,7 @@
 	return x.view.DefaultClass()
 }
 
-func (c *classify) setDeadline(x *Exchange) error {
+func (c *classify) deadline(x *Exchange) error {
 	limit := time.Duration(x.class.Limit)
 	if text := x.r.Header.Get(HeaderTimeLimit); text != "" {
 		d, err := time.ParseDuration(text)
@@ -101,11 +101,11 @@
 		limit = d
 	}
 	x.deadline = x.started.Add(limit)
-	x.answer.setWriteDeadline(c.clock, x.deadline.Add(refusalWriteTime))
+	x.answer.limit(c.clock, x.deadline.Add(refusalWriteTime))
 	return nil
 }
 
-func (c *classify) setRepeatable(x *Exchange) error {
+func (c *classify) repeatable(x *Exchange) error {
 	x.key = x.r.Header.Get(HeaderIdempotencyKey)
 	x.repeatable = x.r.Header.Get(HeaderRepeatable) != "no"
 	if !x.repeatable && x.key == "" {
@@ -115,7 +115,7 @@
 	return nil
 }
 
-func (c *classify) parseBody(x *Exchange) (err error) {
+func (c *classify) body(x *Exchange) (err error) {
 	body, err := c.readBody(x)
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -127,7 +127,7 @@
 		x.prompt = prompt{body: body}
 		return c.checkService(x)
 	}
-	return c.setPrompt(x, body)
+	return c.model(x, body)
 }
 
 // readBody reads the body into one buffer of the announced size.
@@ -145,7 +145,7 @@
 	return nil
 }
 
-func (c *classify) setPrompt(x *Exchange, body []byte) error {
+func (c *classify) model(x *Exchange, body []byte) error {
 	p, err := parsePrompt(body)
 	if err != nil {
 		return err
--- a/internal/gate/exchange.go
+++ b/internal/gate/exchange.go
@@ -23,12 +23,12 @@
 	service string // service is set for a call of a plain service.
 	path    string // path is what the target is asked for.
 
-	deadline         time.Time
-	repeatable       bool
-	key              string // key is the caller's idempotency key.
-	answer           *answer
-	attemptOutcome   barleystep.Outcome // targetState is what the attempts have come to.
-	forwardedOutcome barleystep.Outcome // outcome is what another box has said of the request.
+	deadline       time.Time
+	repeatable     bool
+	key            string // key is the caller's idempotency key.
+	answer         *answer
+	attemptOutcome barleystep.Outcome // targetState is what the attempts have come to.
+	outcome        barleystep.Outcome // outcome is what another box has said of the request.
 }
 
 // ID returns the id of the request.
--- a/internal/gate/forward.go
+++ b/internal/gate/forward.go
@@ -132,10 +132,10 @@
 	if _, err := io.Copy(flushWriter{x.answer}, resp.Body); err != nil {
 		return f.lostRefusal(ctx, x)
 	}
-	x.forwardedOutcome = barleystep.OutcomeDone
+	x.outcome = barleystep.OutcomeDone
 	for _, text := range []string{resp.Header.Get(HeaderOutcome), resp.Trailer.Get(HeaderOutcome)} {
 		if o, ok := barleystep.ParseOutcome(text); ok {
-			x.forwardedOutcome = o
+			x.outcome = o
 		}
 	}
 	return nil
--- a/internal/gate/prompt.go
+++ b/internal/gate/prompt.go
@@ -72,15 +72,15 @@
 	if isEmpty(text) {
 		return prompt{}, refuse(barleystep.ReasonEmptyPrompt, "The prompt is empty.")
 	}
-	output := f.maxCompletion
-	if !output.Exists() {
-		output = f.maxTokens
+	maxOutput := f.maxCompletion
+	if !maxOutput.Exists() {
+		maxOutput = f.maxTokens
 	}
 	return prompt{
 		body:      body,
 		model:     f.model.String(),
 		textBytes: len(text.Raw),
-		maxOutput: int(output.Int()),
+		maxOutput: int(maxOutput.Int()),
 		prefix:    prefixHashes(text.Raw),
 	}, nil
 }
--- a/internal/gate/relay.go
+++ b/internal/gate/relay.go
@@ -18,7 +18,7 @@
 
 // relay passes the answer of one attempt on to the caller.
 type relay struct {
-	dispatch   *dispatch
+	dispatcher *dispatch
 	exchange   *Exchange
 	allocation barleystep.Allocation
 	id         barleystep.AttemptID
@@ -32,14 +32,14 @@
 // run sends the attempt and relays it to its end. It resumes a torn stream when
 // the attempt cannot be tried elsewhere.
 func (r *relay) run(ctx context.Context) error {
-	r.sentAt = r.dispatch.clock.Now()
+	r.sentAt = r.dispatcher.clock.Now()
 	r.next = 1
 	err := r.stream(ctx, 0)
 	for range maxResumes {
 		if err == nil || eris.Is(err, barleystep.ErrNotStarted) || !r.canResume(ctx, err) {
 			return err
 		}
-		r.dispatch.meter.AttemptRetried("resume")
+		r.dispatcher.meter.AttemptRetried("resume")
 		if resumeErr := r.stream(ctx, r.next); !eris.Is(resumeErr, barleystep.ErrNotStarted) {
 			err = resumeErr
 		}
@@ -65,8 +65,8 @@
 func (r *relay) stream(ctx context.Context, from uint64) (err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	r.watchdog = newWatchdog(ctx, r.dispatch.clock, r.dispatch.firstEventTimeout(r.exchange), cancel)
-	s, err := r.dispatch.start(ctx, r, from)
+	r.watchdog = newWatchdog(ctx, r.dispatcher.clock, r.dispatcher.firstEventTimeout(r.exchange), cancel)
+	s, err := r.dispatcher.start(ctx, r, from)
 	if err != nil {
 		return r.preferStall(ctx, err)
 	}
@@ -74,7 +74,7 @@
 	if err := r.checkStatus(s); err != nil {
 		return err
 	}
-	return r.preferStall(ctx, r.copyEvents(s))
+	return r.preferStall(ctx, r.copy(s))
 }
 
 // because names a stall as the cause of an error that it led to.
@@ -93,7 +93,7 @@
 	return nil
 }
 
-func (r *relay) copyEvents(s barleystep.Stream) error {
+func (r *relay) copy(s barleystep.Stream) error {
 	for {
 		e, err := s.Next()
 		if eris.Is(err, io.EOF) {
@@ -103,7 +103,7 @@
 			return err
 		}
 		r.observe(e)
-		r.startAnswer(s)
+		r.writeHeader(s)
 		if err := r.exchange.answer.writeEvent(e); err != nil {
 			return eris.Wrap(errCallerWrite, err.Error())
 		}
@@ -114,7 +114,7 @@
 	}
 }
 
-func (r *relay) startAnswer(s barleystep.Stream) {
+func (r *relay) writeHeader(s barleystep.Stream) {
 	if r.exchange.answer.started {
 		return
 	}
@@ -123,12 +123,12 @@
 
 // note learns from an event: progress, and the usage that closes an answer.
 func (r *relay) observe(e barleystep.Event) {
-	r.watchdog.reset(r.dispatch.stallTimeout)
+	r.watchdog.reset(r.dispatcher.stallTimeout)
 	if r.usage.TimeToFirstEvent == 0 {
-		r.usage.TimeToFirstEvent = max(r.dispatch.clock.Now().Sub(r.sentAt), 1)
+		r.usage.TimeToFirstEvent = max(r.dispatcher.clock.Now().Sub(r.sentAt), 1)
 		r.allocation.FirstToken()
 		band := barleystep.BandOf(r.exchange.prompt.tokens)
-		r.dispatch.meter.FirstToken(band.String(), r.dispatch.clock.Now().Sub(r.exchange.started))
+		r.dispatcher.meter.FirstToken(band.String(), r.dispatcher.clock.Now().Sub(r.exchange.started))
 	}
 	if bytes.Contains(e.Data(), usageField) {
 		r.usage.PromptTokens = int(gjson.GetBytes(e.Data(), "usage.prompt_tokens").Int())
--- a/internal/gate/server.go
+++ b/internal/gate/server.go
@@ -144,7 +144,7 @@
 	x.id = s.IDs.NextRequest()
 	x.started = s.Clock.Now()
 	x.answer = newAnswer(w)
-	x.answer.setWriteDeadline(s.Clock, x.started.Add(s.Limits.withDefaults().MaxTime))
+	x.answer.limit(s.Clock, x.started.Add(s.Limits.withDefaults().MaxTime))
 	w.Header().Set(HeaderRequest, x.id)
 	if s.IsShuttingDown() {
 		w.Header().Set("Connection", "close")
--- a/internal/gate/settle.go
+++ b/internal/gate/settle.go
@@ -21,10 +21,10 @@
 	err := next(ctx, x)
 	if err == nil {
 		outcome := barleystep.OutcomeDone
-		if x.forwardedOutcome != barleystep.OutcomePending {
-			outcome = x.forwardedOutcome
+		if x.outcome != barleystep.OutcomePending {
+			outcome = x.outcome
 		}
-		x.answer.setOutcomeTrailer(outcome)
+		x.answer.outcome(outcome)
 		s.meter.RequestEnded(outcome.String())
 		return nil
 	}
