--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -69,7 +69,7 @@
 	return cmd
 }
 
-// accepted prints the version that a change became.
+// printAccepted prints the version in which a change was accepted.
 func (a *app) printAccepted(cmd *cobra.Command, resp *adminv1.SubmitResponse) error {
 	return a.print(cmd, resp, "", func(line func(...any)) { line(fmt.Sprintf("accepted as version %d", resp.GetVersion())) })
 }
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -11,7 +11,7 @@
 	"github.com/barleystep/barleystep/internal/explain"
 )
 
-// explainCommand returns the command that tells the story of one request.
+// explainCommand returns the command that prints the log lines of one request.
 func explainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain REQUEST [FILE ...]",
@@ -39,7 +39,8 @@
 	}
 }
 
-// lossesCommand returns the command that tells why streams were late.
+// lossesCommand returns the command that prints, for each route, why streams were late or not
+// served.
 func lossesCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "losses [FILE ...]",
@@ -63,14 +64,14 @@
 	}
 }
 
-// openAll returns the content of the files, one after another, or the standard
-// input if there are none.
+// openAll returns the concatenated content of the files, or standard input if there are none.
+// closeAll closes the files.
 func openAll(stdin io.Reader, names []string) (in io.Reader, closeAll func(), err error) {
 	var readers []io.Reader
 	var files []*os.File
 	closeAll = func() {
 		for _, f := range files {
-			_ = f.Close() // It was only read.
+			_ = f.Close() // The file was only read.
 		}
 	}
 	for _, name := range names {
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -40,7 +40,7 @@
 
 const shareHeader = "ACCOUNT\tCLASS\tRANK\tWEIGHT\tRATE\tLIMIT"
 
-// readView checks a configuration file with the code that the boxes run.
+// readView reads and validates a configuration file with the same code as the boxes.
 func readView(name string) (*config.View, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -1,4 +1,4 @@
-// Package cli is the operators' command line over the administration API.
+// Package cli implements the operators' command line, a client of the administration API.
 package cli
 
 import (
@@ -18,19 +18,19 @@
 	"github.com/barleystep/barleystep/internal/command"
 )
 
-// Exit codes beside those that all programs share.
+// Exit codes of this command, in addition to those of package command.
 const (
 	ExitConflict    = 3
 	ExitNotAllowed  = 4
 	ExitNotFound    = 5
 	ExitInvalid     = 6
 	ExitUnavailable = 7
-	// ExitUnknown means that a change may have been accepted; the same command
-	// with the printed id settles it.
+	// ExitUnknown means that a change may have been accepted; running the same command with the
+	// printed id tells whether it was.
 	ExitUnknown = 8
 )
 
-// ExitCode returns the exit code for an error of a command.
+// ExitCode returns the exit code for the error of a command; nil gives command.ExitOK.
 func ExitCode(err error) int {
 	if err == nil {
 		return command.ExitOK
@@ -53,7 +53,7 @@
 	}
 }
 
-// exitOfUnknown tells an answer of the API from any other error.
+// unknownExitCode returns ExitUnknown if the API returned the error, else command.ExitFailure.
 func unknownExitCode(err error) int {
 	if connect.IsWireError(err) {
 		return ExitUnknown
@@ -61,14 +61,14 @@
 	return command.ExitFailure
 }
 
-// app is what the commands share.
+// app holds the flags that all commands share.
 type app struct {
 	server string
 	token  string
 	output string
 }
 
-// The environment variables that stand in for flags.
+// Environment variables that set the defaults of flags.
 const (
 	envServer = "BARLEYSTEP_SERVER"
 	envToken  = "BARLEYSTEP_TOKEN"
@@ -80,7 +80,7 @@
 	outputJSON    = "json"
 )
 
-// New returns the command with all its subcommands.
+// New returns the root command with all subcommands.
 func New() *cobra.Command {
 	a := &app{}
 	root := &cobra.Command{
@@ -113,7 +113,7 @@
 	return fallback
 }
 
-// client returns the API's client.
+// client returns a client of the administration API that sends the operator's token.
 func (a *app) client() adminv1connect.AdminClient {
 	if a.token == "" {
 		a.token = os.Getenv(envToken)
@@ -127,7 +127,7 @@
 	return adminv1connect.NewAdminClient(http.DefaultClient, a.server, connect.WithInterceptors(withToken))
 }
 
-// print writes the message as JSON, or as a table by rows.
+// print writes the message as JSON, or the header and rows as a table.
 func (a *app) print(cmd *cobra.Command, m proto.Message, header string, rows func(line func(cells ...any))) error {
 	out := cmd.OutOrStdout()
 	if a.output == outputJSON {
@@ -135,7 +135,7 @@
 		if err != nil {
 			return err
 		}
-		// protojson varies its blanks on purpose; scripts want the same text.
+		// protojson randomizes white space on purpose; scripts need stable output.
 		var value any
 		if err := json.Unmarshal(text, &value); err != nil {
 			return err
@@ -158,7 +158,7 @@
 	return w.Flush()
 }
 
-// reasonFlag adds the flag that every change needs.
+// reasonFlag adds the required flag for the reason of a change.
 func reasonFlag(cmd *cobra.Command) *string {
 	reason := cmd.Flags().StringP("reason", "m", "", "reason for the change, kept in the history")
 	_ = cmd.MarkFlagRequired("reason") // The flag exists.
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	maxControlBody = 4 << 20 // controlLimit bounds an answer of the control interface, in bytes.
+	maxControlBody = 4 << 20 // maxControlBody bounds the body of a control response, in bytes.
 	maxDrain       = 64 << 10
 )
 
-// Client talks to one target over HTTP. Its exported fields are set before
-// use; it is safe for concurrent use.
+// Client is an HTTP client for one target. Its exported fields are set before use; it is safe for
+// concurrent use.
 type Client struct {
-	// URL is the root of the target, without a slash at the end.
+	// URL is the base URL of the target, without a trailing slash.
 	URL string
-	// HTTP sends the requests. It must neither follow redirects nor set a
-	// timeout of its own. The default is a client made by NewHTTP.
+	// HTTP sends the requests. It must neither follow redirects nor set a timeout. NewHTTP
+	// returns a suitable client.
 	HTTP *http.Client
-	// Fresh opens a connection for each attempt, so that a connection that the
-	// target closed while idle cannot leave the attempt's fate open.
+	// NewConnPerAttempt opens a new connection for each attempt. On a reused connection that the
+	// target has closed while idle, it would be unknown whether the attempt ran.
 	NewConnPerAttempt bool
-	MaxEventSize      int // EventLimit bounds one event in bytes; the default is 1 MiB.
+	MaxEventSize      int // MaxEventSize is the maximum size of an event in bytes; the default is 1 MiB.
 }
 
 const defaultMaxEventSize = 1 << 20
@@ -42,8 +42,8 @@
 	_ barleystep.Service = (*Client)(nil)
 )
 
-// NewHTTP returns a client for targets that keeps up to idle connections to
-// each. It sends nothing twice by itself: bodies cannot be rewound.
+// NewHTTP returns an HTTP client that keeps up to idle idle connections to each target. It never
+// resends the requests of Client, since their bodies cannot be rewound.
 func NewHTTP(idle int) *http.Client {
 	t := http.DefaultTransport.(*http.Transport).Clone()
 	t.Proxy = nil
@@ -56,12 +56,13 @@
 	}
 }
 
-// Start runs or resumes the attempt.
+// Start sends the attempt to the engine, or resumes it.
 func (c *Client) Start(ctx context.Context, a barleystep.Attempt) (s barleystep.Stream, err error) {
 	return c.Call(ctx, a)
 }
 
-// Call runs the attempt.
+// Call sends the attempt to the target. The error is barleystep.ErrNotStarted if the target cannot
+// have run it.
 func (c *Client) Call(ctx context.Context, a barleystep.Attempt) (s barleystep.Stream, err error) {
 	defer func() {
 		if err != nil {
@@ -93,8 +94,8 @@
 	if method == "" {
 		method = http.MethodPost
 	}
-	// The body is wrapped so that net/http cannot rewind it: a request that can
-	// be rewound may be sent a second time on a connection that broke.
+	// The body is wrapped so that net/http cannot rewind it: net/http may resend a request with
+	// a rewindable body after a connection breaks.
 	body := io.NopCloser(bytes.NewReader(a.Body))
 	req, err := http.NewRequestWithContext(ctx, method, c.URL+a.Path, body)
 	if err != nil {
@@ -154,7 +155,7 @@
 	return c.MaxEventSize
 }
 
-// Cancel ends the attempt at the target.
+// Cancel cancels the attempt at the target.
 func (c *Client) Cancel(ctx context.Context, id string) (err error) {
 	defer func() {
 		if err != nil {
@@ -164,7 +165,7 @@
 	return c.control(ctx, http.MethodDelete, PathAttempts+"/"+url.PathEscape(id), nil)
 }
 
-// Load asks the target for its load report.
+// Load returns the target's load report.
 func (c *Client) Load(ctx context.Context) (l barleystep.Load, err error) {
 	defer func() {
 		if err != nil {
@@ -175,7 +176,7 @@
 	return l, err
 }
 
-// List asks the target which attempts it holds memory for.
+// List returns the attempts that the target holds memory for.
 func (c *Client) List(ctx context.Context) (attempts []barleystep.HeldAttempt, err error) {
 	defer func() {
 		if err != nil {
@@ -186,12 +187,13 @@
 	return attempts, err
 }
 
-// orderBody is the body of an order.
+// orderBody is the JSON body of an order.
 type orderBody struct {
 	Weights string `json:"weights"`
 }
 
-// Order gives the target an order.
+// Order sends an order to the target. It returns barleystep.ErrConflict if the target rejects the
+// fencing token, and barleystep.ErrUnknownEffect if the order may have been executed.
 func (c *Client) Order(ctx context.Context, o barleystep.Order) (err error) {
 	defer func() {
 		if err != nil {
@@ -243,7 +245,7 @@
 	return json.NewDecoder(io.LimitReader(resp.Body, maxControlBody)).Decode(out)
 }
 
-// drain reads what is left of a short body, so that the connection is kept.
+// drain reads up to maxDrain bytes of the rest of a body, so that the connection can be reused.
 func drain(body io.Reader) {
 	_, _ = io.CopyN(io.Discard, body, maxDrain)
 }
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -20,13 +20,13 @@
 	return barleystep.Attempt{ID: barleystep.NewAttemptID("b", 1, n), Path: "/v1/completions", Body: []byte("{}")}
 }
 
-// echo answers well.
+// echo answers an attempt with its id and an empty JSON object.
 func echo(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(engine.HeaderAttempt, r.Header.Get(engine.HeaderAttempt))
 	_, _ = io.WriteString(w, "{}")
 }
 
-// read reads an answer to its end.
+// readAll reads a stream to its end and closes it.
 func readAll(s barleystep.Stream) error {
 	defer s.Close()
 	for {
@@ -39,9 +39,8 @@
 	}
 }
 
-// TestNothingIsSentTwice lets a target run an attempt on a connection that was
-// used before and close it unanswered. The transport must not send it again by
-// itself, whatever headers it carries.
+// TestNoResend checks that the transport does not resend an attempt when the target closes a
+// reused connection without an answer, whatever headers the attempt has.
 func TestNoResend(t *testing.T) {
 	for name, method := range map[string]string{"post": http.MethodPost, "get": http.MethodGet, "delete": http.MethodDelete} {
 		t.Run(name, func(t *testing.T) {
@@ -82,21 +81,21 @@
 		want    error
 	}{
 		"answers": {echo, nil},
-		"says it did not start": {func(w http.ResponseWriter, _ *http.Request) {
+		"refuses to start": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(engine.HeaderStarted, "false")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, barleystep.ErrNotStarted},
-		"does not say so": {func(w http.ResponseWriter, _ *http.Request) {
+		"answers without an id": {func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, barleystep.ErrWrongAttempt},
-		"answers for another": {func(w http.ResponseWriter, _ *http.Request) {
+		"answers for another attempt": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(engine.HeaderAttempt, "b.1.9")
 		}, barleystep.ErrWrongAttempt},
 		"redirects": {func(w http.ResponseWriter, r *http.Request) {
 			http.Redirect(w, r, "/elsewhere", http.StatusTemporaryRedirect)
 		}, barleystep.ErrWrongAttempt},
-		"breaks off":      {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, barleystep.ErrUnknownEffect},
-		"nobody is there": {nil, barleystep.ErrNotStarted},
+		"disconnects":      {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, barleystep.ErrUnknownEffect},
+		"is not reachable": {nil, barleystep.ErrNotStarted},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -118,7 +117,7 @@
 	}
 }
 
-// TestTornBodies lists the ways in which an answer can be cut without a sign.
+// TestBrokenBodies checks that truncated and inconsistent answers are detected.
 func TestBrokenBodies(t *testing.T) {
 	id := attempt(1).ID.String()
 	cases := map[string]string{
@@ -148,7 +147,7 @@
 	}
 }
 
-// answerRaw answers one request with raw bytes and closes the connection.
+// answerRaw answers one request with the bytes of raw and closes the connection.
 func answerRaw(l net.Listener, raw string) {
 	conn, err := l.Accept()
 	if err != nil {
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -8,8 +8,8 @@
 	"github.com/barleystep/barleystep/internal/config"
 )
 
-// Pool finds the adapters of the configured targets. Its exported field is set
-// before use; it is safe for concurrent use.
+// Pool holds the clients of the configured targets. Its exported field is set before use; it is
+// safe for concurrent use.
 type Pool struct {
 	Configuration config.Source
 
@@ -24,10 +24,11 @@
 	fresh bool
 }
 
-// idlePerTarget is how many idle connections are kept to each target.
+// idlePerTarget is the maximum number of idle connections to each target.
 const idlePerTarget = 64
 
-// Engine returns the adapter of the target in the configuration in force.
+// Engine returns the client of the target in the current configuration; it returns false if the
+// target is not configured. If fresh is true, the client opens a new connection for each attempt.
 func (p *Pool) Engine(id barleystep.TargetID, fresh bool) (barleystep.Engine, bool) {
 	v, _ := p.Configuration.View()
 	if v == nil {
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -13,8 +13,8 @@
 	"github.com/barleystep/barleystep"
 )
 
-// eventStream reads a streamed answer. Each event's id is the attempt, a slash
-// and the event's number.
+// eventStream reads a streamed answer. The id of each event is the attempt id, a slash and the
+// event's number.
 type eventStream struct {
 	resp       *http.Response
 	next       func() (sse.Event, error, bool)
@@ -42,8 +42,8 @@
 // ContentType returns the content type.
 func (s *eventStream) ContentType() string { return s.resp.Header.Get("Content-Type") }
 
-// Next returns the next event of the attempt. Events that were already
-// returned are skipped, as a resumed stream may repeat them.
+// Next returns the next event of the attempt. It skips events that were already returned, since a
+// resumed stream may repeat them.
 func (s *eventStream) Next() (barleystep.Event, error) {
 	if s.ended {
 		return barleystep.Event{}, io.EOF
@@ -84,14 +84,14 @@
 	return n, nil
 }
 
-// Close gives up the stream.
+// Close closes the response body.
 func (s *eventStream) Close() error {
 	err := s.resp.Body.Close()
 	s.stop()
 	return err
 }
 
-// bodyStream reads an answer that comes as one body: a single event.
+// bodyStream returns an answer that is not streamed as a single event.
 type bodyStream struct {
 	resp *http.Response
 	read bool
@@ -103,8 +103,8 @@
 // ContentType returns the content type.
 func (s *bodyStream) ContentType() string { return s.resp.Header.Get("Content-Type") }
 
-// Next returns the whole body as one event. A body without a declared length
-// or chunked framing cannot be told from a torn one and is refused.
+// Next returns the whole body as one event. A body without a declared length or chunked encoding
+// is rejected, since a truncated one could not be detected.
 func (s *bodyStream) Next() (barleystep.Event, error) {
 	if s.read {
 		return barleystep.Event{}, io.EOF
@@ -120,5 +120,5 @@
 	return barleystep.NewEvent(1, data, true), nil
 }
 
-// Close gives up the stream.
+// Close closes the response body.
 func (s *bodyStream) Close() error { return s.resp.Body.Close() }
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -1,38 +1,38 @@
-// Package engine is the thin adapter to model engines and plain services. All
-// that is particular to their protocol stays here.
+// Package engine is the HTTP client for model engines and plain services. Only this package depends
+// on their protocol.
 package engine
 
 import "time"
 
-// The header names of the engines' protocol.
+// Headers of the engine protocol.
 const (
-	// HeaderAttempt carries the attempt id; the target echoes it.
+	// HeaderAttempt is the attempt id; the target echoes it.
 	HeaderAttempt = "Barleystep-Attempt"
-	// HeaderFrom asks for the events from a number on; absent starts an attempt.
+	// HeaderResumeFrom is the event number to resume from; if absent, a new attempt is started.
 	HeaderResumeFrom = "Barleystep-From"
 	// HeaderPriority orders work inside an engine, lower first.
 	HeaderPriority = "Barleystep-Priority"
-	// HeaderDeadline is the time by which the engine drops the attempt.
+	// HeaderDeadline is the time at which the engine cancels the attempt.
 	HeaderDeadline = "Barleystep-Deadline"
-	// HeaderGroup names the engines that serve one prompt together.
+	// HeaderGroup lists the engines that serve one prompt together, separated by commas.
 	HeaderGroup = "Barleystep-Group"
-	// HeaderStarted is "false" on an answer that says nothing was started.
+	// HeaderStarted is "false" in the response if the attempt was not started.
 	HeaderStarted = "Barleystep-Started"
-	// HeaderFence carries the fencing token of an order.
+	// HeaderFence is the fencing token of an order.
 	HeaderFence = "Barleystep-Fence"
 )
 
-// The paths of the engines' control interface.
+// Paths of the engine control API.
 const (
-	// PathAttempts lists attempts; with an id appended it is one attempt.
+	// PathAttempts is the list of attempts; with a slash and an id appended, a single attempt.
 	PathAttempts = "/control/attempts"
 	// PathLoad is the load report.
 	PathLoad = "/control/load"
-	// PathOrders takes orders to load weights or to change role.
+	// PathOrders accepts orders to load weights or to change role.
 	PathOrders = "/control/orders"
 )
 
-// Done is the data of the event that closes a streamed answer.
+// DoneData is the data of the last event of a streamed answer.
 const DoneData = "[DONE]"
 
 // DeadlineLayout is the format of HeaderDeadline.
--- a/internal/gate/admit.go
+++ b/internal/gate/admit.go
@@ -7,13 +7,13 @@
 	"github.com/barleystep/barleystep/internal/limit"
 )
 
-// admit holds accounts to the rates that the policy gives them.
+// admit enforces the rate limits that the policy gives to accounts.
 type admit struct {
 	limiter *limit.Limiter
 }
 
-// Run refuses a request of an account that has used up its rate, at once and
-// with the time after which it may come back.
+// Run refuses a request of an account that has used up its rate, with the time after which it may
+// be retried. Calls of plain services are not limited.
 func (a *admit) Run(ctx context.Context, x *Exchange, next Next) error {
 	if a.limiter == nil || x.isService() {
 		return next(ctx, x)
--- a/internal/gate/answer.go
+++ b/internal/gate/answer.go
@@ -13,28 +13,28 @@
 	"github.com/barleystep/barleystep/internal/clock"
 )
 
-// answer writes to the caller. It is used by one goroutine.
+// answer writes the response to the caller. It is used by one goroutine at a time.
 type answer struct {
 	w          http.ResponseWriter
 	controller *http.ResponseController
 	started    bool
 	stream     bool
-	// events counts the events that were passed on.
+	// events is the number of events written.
 	events uint64
-	// copy keeps what was sent, for requests whose result is stored.
+	// copy receives a copy of what is sent, for requests whose result is stored; else nil.
 	copy *Result
-	// beforeLast runs before the event that completes the answer is sent.
+	// beforeLastEvent, if set, is called before the last event is sent.
 	beforeLastEvent func()
 }
 
-// Result is a whole answer as it is stored for the caller's retries.
+// Result is a complete answer as stored for retries by the caller.
 type Result struct {
 	Status int    `json:"status"`
 	Type   string `json:"type"`
 	Body   []byte `json:"body"`
 }
 
-// isStream reports whether an answer of the content type comes as events.
+// isStream reports whether the content type is that of an event stream.
 func isStream(contentType string) bool {
 	return strings.HasPrefix(contentType, "text/event-stream")
 }
@@ -43,9 +43,10 @@
 	return &answer{w: w, controller: http.NewResponseController(w)}
 }
 
-// limit keeps a caller that reads slowly from holding the request for ever.
+// limit sets the write deadline, so that a slow reader cannot hold the request
+// indefinitely.
 func (a *answer) limit(clk barleystep.Clock, deadline time.Time) {
-	_ = a.controller.SetWriteDeadline(clock.WallTime(clk, deadline)) // Recorders in tests have no deadline.
+	_ = a.controller.SetWriteDeadline(clock.WallTime(clk, deadline)) // Response recorders in tests do not support deadlines.
 }
 
 func (a *answer) writeHeader(status int, contentType string, stream bool) {
@@ -73,7 +74,7 @@
 	eventLine  = []byte("\ndata: ")
 )
 
-// event passes on one event.
+// writeEvent writes one event, and flushes it if the answer is a stream.
 func (a *answer) writeEvent(e barleystep.Event) error {
 	data := e.Data()
 	if a.stream {
@@ -95,7 +96,7 @@
 	return a.controller.Flush()
 }
 
-// frame writes data as one event of an event stream.
+// frameEvent returns data encoded as one server-sent event.
 func frameEvent(data []byte) []byte {
 	if bytes.Contains(data, newline) {
 		data = bytes.ReplaceAll(data, newline, eventLine)
@@ -106,20 +107,20 @@
 	return append(framed, eventEnd...)
 }
 
-// replay sends a stored result.
+// replay writes a stored result.
 func (a *answer) replay(r Result) {
 	a.writeHeader(r.Status, r.Type, false)
-	_, _ = a.w.Write(r.Body) // The caller may have gone away.
+	_, _ = a.w.Write(r.Body) // The caller may have disconnected.
 }
 
-// outcome tells the outcome of a streamed answer.
+// outcome sets the outcome trailer of a streamed answer.
 func (a *answer) outcome(o barleystep.Outcome) {
 	if a.stream {
 		a.w.Header().Set(HeaderOutcome, o.String())
 	}
 }
 
-// errorBody has the shape that clients of the OpenAI interface parse.
+// errorBody is an error in the format of the OpenAI API.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -131,8 +132,8 @@
 	Outcome string `json:"outcome"`
 }
 
-// refuse ends the answer with an error: as a whole answer, or as an error event
-// when the stream has begun.
+// refuse ends the answer with an error: as a complete response, or as an error event if the
+// stream has started.
 func (a *answer) refuse(r *barleystep.Refusal) {
 	body, err := json.Marshal(errorBody{errorDetail{
 		Message: r.Error(),
@@ -155,15 +156,15 @@
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(r.RetryAfter().Seconds()))))
 	}
 	a.w.WriteHeader(statusOf(r))
-	_, _ = a.w.Write(body) // The caller may have gone away.
+	_, _ = a.w.Write(body) // The caller may have disconnected.
 }
 
 func (a *answer) refuseStarted(body []byte, r *barleystep.Refusal) {
 	if !a.stream {
-		// A body that was cut must not look whole.
+		// Abort the connection, so that a truncated body does not look complete.
 		panic(http.ErrAbortHandler)
 	}
-	_, _ = a.w.Write([]byte("event: error\n")) // The caller may have gone away.
+	_, _ = a.w.Write([]byte("event: error\n")) // The caller may have disconnected.
 	_, _ = a.w.Write(frameEvent(body))
 	a.outcome(r.Outcome())
 	_ = a.controller.Flush()
@@ -207,8 +208,8 @@
 	barleystep.ReasonInternal:              http.StatusInternalServerError,
 }
 
-// statusOf returns the HTTP status for a refusal. A box that stops does not say that it was
-// unable to serve what a target may have run.
+// statusOf returns the HTTP status of a refusal. A box that shuts down answers 502 instead of 503
+// for a request that a target may have run.
 func statusOf(r *barleystep.Refusal) int {
 	if r.Reason() == barleystep.ReasonStopping && r.Outcome() != barleystep.OutcomeNotRun {
 		return http.StatusBadGateway
--- a/internal/gate/attempt.go
+++ b/internal/gate/attempt.go
@@ -13,8 +13,7 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// attempt queues the request for targets, sends it, and tries again where that
-// is safe.
+// attempt acquires targets for the request, sends it, and retries where that is safe.
 type attempt struct {
 	clock     barleystep.Clock
 	ids       *identity.Generator
@@ -27,12 +26,11 @@
 
 const (
 	maxTries = 6
-	// firstPause is the wait before the first new try when a target refused; it
-	// doubles with each try.
+	// firstBackoff is the wait before the first retry; it doubles with each retry.
 	firstBackoff = 20 * time.Millisecond
 )
 
-// Run makes attempts until one ends the request.
+// Run makes up to maxTries attempts, until one succeeds or fails for good.
 func (a *attempt) Run(ctx context.Context, x *Exchange, next Next) error {
 	d := a.demand(x)
 	var last error
@@ -74,17 +72,17 @@
 	return d
 }
 
-// retryError says that the request may be tried at another target.
+// retryError is the error of an attempt that may be retried on another target.
 type retryError struct {
 	reason barleystep.Reason
 	target barleystep.TargetID
 	cause  error
 }
 
-// Error returns the cause.
+// Error returns the text of the cause.
 func (e *retryError) Error() string { return e.cause.Error() }
 
-// once makes one attempt. It returns a retryError if another may follow.
+// tryOnce makes one attempt. It returns a retryError if the request may be retried.
 func (a *attempt) tryOnce(ctx context.Context, x *Exchange, d barleystep.Demand) (err error) {
 	allocation, err := a.allocator.Acquire(ctx, d)
 	if err != nil {
@@ -109,7 +107,8 @@
 	return a.classifyFailure(x, r, err)
 }
 
-// judge decides what a failed attempt means for the request.
+// classifyFailure sets the request's outcome after a failed attempt, and returns a retryError if
+// the request may be retried.
 func (a *attempt) classifyFailure(x *Exchange, r *relay, err error) error {
 	target := r.allocation.Target()
 	if eris.Is(err, barleystep.ErrNotStarted) {
@@ -141,7 +140,7 @@
 	}
 }
 
-// ended turns the last error into a refusal with a truthful outcome.
+// refusalFor converts the last error into a refusal with the outcome of the attempts.
 func (a *attempt) refusalFor(ctx context.Context, x *Exchange, err error) error {
 	outcome := x.attemptOutcome
 	if outcome == barleystep.OutcomePending {
@@ -165,7 +164,7 @@
 	return barleystep.NewRefusal(reasonOf(err), outcome, "The target failed before the answer was whole.")
 }
 
-// interrupted returns the refusal for a request whose context has ended.
+// interrupted returns the refusal for a request whose context is done.
 func interrupted(ctx context.Context, outcome barleystep.Outcome) error {
 	switch cause := context.Cause(ctx); {
 	case eris.Is(cause, errShuttingDown):
@@ -177,5 +176,5 @@
 	}
 }
 
-// stoppingPause is when a caller may come back whose box ends; another one takes it.
+// shutdownRetryAfter is the Retry-After of a box that shuts down; another box serves the retry.
 const shutdownRetryAfter = time.Second
--- a/internal/gate/attempt_test.go
+++ b/internal/gate/attempt_test.go
@@ -15,8 +15,8 @@
 	"github.com/barleystep/barleystep/internal/gate"
 )
 
-// TestSlowReader lets a caller not read a long answer: the request ends by its
-// time limit all the same, and its target is free.
+// TestSlowReader checks that a request whose caller does not read a long answer still ends at its
+// time limit and releases its target.
 func TestSlowReader(t *testing.T) {
 	c := quicktest.New(t)
 	target := httptest.NewServer(chunks(1_000_000))
@@ -31,13 +31,13 @@
 	resp, err := http.DefaultClient.Do(req)
 	c.Assert(err, quicktest.IsNil)
 	defer resp.Body.Close()
-	<-a.released // Nothing of the answer was read so far.
+	<-a.released // The body is not read until the allocation is released.
 	text, _ := io.ReadAll(resp.Body)
 	c.Check(strings.Contains(string(text), "[DONE]"), quicktest.IsFalse)
 }
 
-// TestUsage checks what an attempt is said to teach about its target: a caller
-// who leaves is not the target's fault.
+// TestUsage checks the usage reported for an attempt: a caller that disconnects does not count as
+// a failure of the target.
 func TestUsage(t *testing.T) {
 	received := make(chan struct{}, 9)
 	cases := map[string]struct {
@@ -46,14 +46,14 @@
 		failed bool
 		full   bool
 	}{
-		"answers well": {func(w http.ResponseWriter, r *http.Request) { chunks(3).ServeHTTP(w, r) }, false, false, false},
-		"breaks off":   {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, false, true, false},
-		"has no room": {func(w http.ResponseWriter, _ *http.Request) {
+		"answers":     {func(w http.ResponseWriter, r *http.Request) { chunks(3).ServeHTTP(w, r) }, false, false, false},
+		"disconnects": {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, false, true, false},
+		"is at capacity": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(engine.HeaderStarted, "false")
 			w.WriteHeader(http.StatusTooManyRequests)
 		}, false, false, true},
-		"the caller leaves": {func(_ http.ResponseWriter, r *http.Request) {
-			// A server only notices that its caller left once the body was read.
+		"the caller disconnects": {func(_ http.ResponseWriter, r *http.Request) {
+			// An HTTP server detects a disconnected caller only once the body is read.
 			_, _ = io.Copy(io.Discard, r.Body)
 			received <- struct{}{}
 			<-r.Context().Done()
--- a/internal/gate/authenticate.go
+++ b/internal/gate/authenticate.go
@@ -9,7 +9,7 @@
 
 const bearer = "Bearer "
 
-// authenticate finds the client account of the caller's key.
+// authenticate looks up the client account of the caller's API key.
 type authenticate struct{}
 
 // Run refuses a caller without a valid key.
@@ -26,7 +26,7 @@
 	return next(ctx, x)
 }
 
-// refuse returns a refusal of a request that was not run.
+// refuse returns a refusal with the outcome "not-run".
 func refuse(reason barleystep.Reason, message string) *barleystep.Refusal {
 	return barleystep.NewRefusal(reason, barleystep.OutcomeNotRun, message)
 }
--- a/internal/gate/bench_test.go
+++ b/internal/gate/bench_test.go
@@ -22,10 +22,10 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// fixedAllocator always allots the same target, and passes on what was learnt.
+// fixedAllocator always allocates the same target, and sends the usage on release to released.
 type fixedAllocator struct{ released chan barleystep.Usage }
 
-// Acquire returns the target at once.
+// Acquire returns an allocation of target e immediately.
 func (a *fixedAllocator) Acquire(context.Context, barleystep.Demand) (barleystep.Allocation, error) {
 	hooks := barleystep.AllocationHooks{}
 	if a.released != nil {
@@ -34,7 +34,7 @@
 	return barleystep.NewAllocation([]barleystep.TargetID{"e"}, 0, hooks), nil
 }
 
-// chunks answers every attempt with a stream of n events, written at once.
+// chunks returns a target that answers each attempt with a stream of n events without delay.
 func chunks(n int) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get(engine.HeaderAttempt)
@@ -48,13 +48,13 @@
 	})
 }
 
-// serve starts the path before a target and returns its address.
+// startGate starts a gate in front of a target and returns its URL.
 func startGate(b testing.TB, target string, allocator barleystep.Allocator) string {
 	url, _ := startServer(b, target, allocator)
 	return url
 }
 
-// serveGate is serve that returns the server, too.
+// startServer is like startGate and also returns the server.
 func startServer(b testing.TB, target string, allocator barleystep.Allocator) (url string, s *gate.Server) {
 	d, err := config.File{
 		Accounts: []config.Account{{Name: "a", Keys: []config.Key{{ID: "1", SHA256: config.HashKey("k")}}}},
@@ -94,9 +94,9 @@
 	resp.Body.Close()
 }
 
-// BenchmarkCapacityPath compares a request through the path with a direct call
-// of the same target, for prompts and answers of several sizes. The difference
-// of two answer lengths is the cost of a chunk.
+// BenchmarkCapacityPath compares a request through the gate with a direct request to the same
+// target, for several sizes of prompts and answers. The difference between two answer lengths is
+// the cost of the additional chunks.
 func BenchmarkCapacityPath(b *testing.B) {
 	for _, s := range []struct{ prompt, chunks int }{{1_000, 1}, {1_000, 300}, {1_000_000, 1}} {
 		target := httptest.NewServer(chunks(s.chunks))
--- a/internal/gate/cancel.go
+++ b/internal/gate/cancel.go
@@ -12,9 +12,9 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// Canceller tells targets to drop attempts that nobody waits for. What it
-// cannot deliver is found later by the keeper's clean-up. Its exported fields
-// are set before Serve.
+// Canceller cancels abandoned attempts at their targets. Attempts whose cancellation cannot be
+// delivered are found later by the clean-up of the keeper. Its exported fields are set before
+// Serve.
 type Canceller struct {
 	Clock   barleystep.Clock
 	Targets Targets
@@ -37,10 +37,11 @@
 	cancelTimeout   = 5 * time.Second
 )
 
-// NewCanceller returns a canceller whose fields are yet to be set.
+// NewCanceller returns a Canceller whose exported fields are still to be set.
 func NewCanceller() *Canceller { return &Canceller{queue: make(chan cancellation, cancelQueueSize)} }
 
-// Add asks for the attempt to be cancelled. It does not wait.
+// Enqueue queues the cancellation of an attempt. It does not block: if the queue is full, the
+// cancellation is dropped and counted.
 func (c *Canceller) Enqueue(target barleystep.TargetID, id barleystep.AttemptID) {
 	select {
 	case c.queue <- cancellation{target, id}:
@@ -49,7 +50,7 @@
 	}
 }
 
-// Serve delivers cancellations until ctx ends.
+// Serve delivers cancellations until ctx is done.
 func (c *Canceller) Serve(ctx context.Context) error {
 	var wait sync.WaitGroup
 	for range cancelWorkers {
@@ -86,7 +87,7 @@
 	}
 	c.Meter.AttemptCancelled("undelivered")
 	c.Log.Warn().Str("target", string(n.target)).Stringer("attempt", n.id).
-		Msg(logPrefix + "Target did not take a cancellation.")
+		Msg(logPrefix + "Cancellation of an attempt was not delivered.")
 }
 
 func (c *Canceller) cancel(ctx context.Context, e barleystep.Engine, id barleystep.AttemptID) error {
--- a/internal/gate/claim.go
+++ b/internal/gate/claim.go
@@ -11,13 +11,13 @@
 	"github.com/barleystep/barleystep/internal/claim"
 )
 
-// claimOnce lets a request that is marked as not repeatable through only under
-// a claim, and answers its retries.
+// claimOnce claims the idempotency key of a request that must run at most once, and answers
+// retries of the request with the stored result.
 type claimOnce struct {
 	book *claim.Manager
 }
 
-// Run claims the request's key, and records what became of the request.
+// Run claims the request's key, and records the outcome and the answer of the request.
 func (c *claimOnce) Run(ctx context.Context, x *Exchange, next Next) error {
 	if x.repeatable {
 		return next(ctx, x)
@@ -45,8 +45,7 @@
 			return
 		}
 		finished = true
-		// The request's own context may have ended; the claim's end must still
-		// be recorded.
+		// The outcome must be recorded even if the request's context is done.
 		held.Finish(context.WithoutCancel(ctx), o, answer)
 	}
 	x.answer.copy = result
@@ -59,7 +58,7 @@
 func encodeResult(r *Result) []byte {
 	data, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // All fields have plain types.
+		panic(err) // All fields have basic types, so encoding cannot fail.
 	}
 	return data
 }
@@ -73,7 +72,7 @@
 	return nil
 }
 
-// digest tells apart requests that use the same key.
+// requestDigest returns a digest by which different requests with the same key are told apart.
 func requestDigest(x *Exchange) string {
 	h := sha256.New()
 	fmt.Fprintf(h, "%s\n%s\n%s\n", x.r.Method, x.service, x.path)
--- a/internal/gate/classify.go
+++ b/internal/gate/classify.go
@@ -15,28 +15,26 @@
 	"github.com/barleystep/barleystep/internal/config"
 )
 
-// classify reads the request's headers and body and works out what it asks for.
+// classify parses the request's headers and body, and sets its class, deadline and prompt.
 type classify struct {
 	clock     barleystep.Clock
 	estimator *Estimator
 	limits    Limits
 }
 
-// Limits bounds what callers may ask for.
+// Limits bounds what callers may request.
 type Limits struct {
-	// Body bounds a body in bytes; the default is 16 MiB.
+	// Body is the maximum size of a body in bytes; the default is 16 MiB.
 	Body int64
-	// MinTime and MaxTime bound the time limit; the defaults are 100 ms and one
-	// hour.
+	// MinTime and MaxTime bound the time limit of a request; the defaults are 100 ms and one hour.
 	MinTime time.Duration
 	MaxTime time.Duration
 }
 
-// lastWord is how long after the deadline the caller may take to read why the
-// request has ended.
+// refusalWriteTime is how long after the deadline a refusal can still be written to the caller.
 const refusalWriteTime = time.Second
 
-// The defaults of Limits.
+// Defaults of Limits.
 const (
 	DefaultBodyLimit = 16 << 20
 	DefaultMinTime   = 100 * time.Millisecond
@@ -56,7 +54,8 @@
 	return l
 }
 
-// Run refuses what is malformed or unknown and sets the request's deadline.
+// Run refuses malformed requests and unknown names, and runs the later stages with the request's
+// deadline.
 func (c *classify) Run(ctx context.Context, x *Exchange, next Next) error {
 	steps := []func(*Exchange) error{c.class, c.deadline, c.repeatable, c.body}
 	for _, step := range steps {
@@ -130,7 +129,7 @@
 	return c.model(x, body)
 }
 
-// readBody reads the body into one buffer of the announced size.
+// readBody reads the body into one buffer of the size in Content-Length.
 func (c *classify) readBody(x *Exchange) ([]byte, error) {
 	size := min(max(x.r.ContentLength, 0), c.limits.Body)
 	buffer := bytes.NewBuffer(make([]byte, 0, size+bytes.MinRead))
--- a/internal/gate/dispatch.go
+++ b/internal/gate/dispatch.go
@@ -11,12 +11,10 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// Targets finds the adapter of a target. Implementations are safe for
-// concurrent use.
+// Targets looks up the adapters of targets. Implementations are safe for concurrent use.
 type Targets interface {
-	// Engine returns the adapter of the engine or service; ok is false for a
-	// target that is not configured. Fresh adapters open a connection for each
-	// attempt.
+	// Engine returns the adapter of the engine or service; ok is false if the target is not
+	// configured. If fresh is true, the adapter opens a new connection for each attempt.
 	Engine(id barleystep.TargetID, fresh bool) (e barleystep.Engine, ok bool)
 }
 
@@ -25,13 +23,13 @@
 	clock   barleystep.Clock
 	targets Targets
 	meter   *metric.Meter
-	// stall is how long a target may send nothing in the midst of an answer.
+	// stallTimeout bounds the time between two events of an answer.
 	stallTimeout time.Duration
 }
 
 var errStalled = eris.Wrap(barleystep.ErrBrokenStream, "target sent nothing for too long")
 
-// start sends the attempt, or asks for its events from a number on.
+// start sends the attempt, or resumes it at event number from if from is not 0.
 func (d *dispatch) start(ctx context.Context, r *relay, from uint64) (barleystep.Stream, error) {
 	x := r.exchange
 	target := r.allocation.Target()
@@ -52,8 +50,8 @@
 	})
 }
 
-// firstWait is how long the first event may take: reading the prompt several
-// times over, and the stall limit.
+// firstEventTimeout returns how long the first event may take: the stall timeout plus 8 times the
+// estimated prefill time of the prompt.
 func (d *dispatch) firstEventTimeout(x *Exchange) time.Duration {
 	const margin = 8
 	m, ok := x.view.Model(x.prompt.model)
@@ -64,14 +62,14 @@
 	return d.stallTimeout + time.Duration(prefill*float64(time.Second))
 }
 
-// watch cancels an attempt that makes no progress.
+// watchdog cancels an attempt whose next event does not arrive in time.
 type watchdog struct {
 	clock     barleystep.Clock
-	lastEvent atomic.Int64 // progress is the time of the last event, in nanoseconds.
-	timeout   atomic.Int64 // allowed is how long the next event may take.
+	lastEvent atomic.Int64 // lastEvent is the time of the last event, in Unix nanoseconds.
+	timeout   atomic.Int64 // timeout bounds the time until the next event, in nanoseconds.
 }
 
-// newWatch starts to watch; it ends with ctx.
+// newWatchdog starts a watchdog that runs until ctx is done.
 func newWatchdog(ctx context.Context, clk barleystep.Clock, timeout time.Duration, cancel context.CancelCauseFunc) *watchdog {
 	w := &watchdog{clock: clk}
 	w.reset(timeout)
@@ -79,7 +77,7 @@
 	return w
 }
 
-// expect notes progress and how long the next event may take.
+// reset records an event and sets the timeout for the next one.
 func (w *watchdog) reset(timeout time.Duration) {
 	w.timeout.Store(int64(timeout))
 	w.lastEvent.Store(w.clock.Now().UnixNano())
--- a/internal/gate/exchange.go
+++ b/internal/gate/exchange.go
@@ -8,8 +8,7 @@
 	"github.com/barleystep/barleystep/internal/config"
 )
 
-// Exchange is one request on its way through the stages. It is used by one
-// goroutine at a time.
+// Exchange is the state of one request in the pipeline. It is used by one goroutine at a time.
 type Exchange struct {
 	w       http.ResponseWriter
 	r       *http.Request
@@ -20,15 +19,15 @@
 	account config.Account
 	class   config.Class
 	prompt  prompt
-	service string // service is set for a call of a plain service.
-	path    string // path is what the target is asked for.
+	service string // service is the plain service that is called; empty for a prompt.
+	path    string // path is the path and query sent to the target.
 
 	deadline       time.Time
 	repeatable     bool
 	key            string // key is the caller's idempotency key.
 	answer         *answer
-	attemptOutcome barleystep.Outcome // targetState is what the attempts have come to.
-	outcome        barleystep.Outcome // outcome is what another box has said of the request.
+	attemptOutcome barleystep.Outcome // attemptOutcome is the outcome of the attempts so far.
+	outcome        barleystep.Outcome // outcome is the outcome reported by the box that the request was forwarded to.
 }
 
 // ID returns the id of the request.
--- a/internal/gate/final.go
+++ b/internal/gate/final.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// final is the last stage of a request that needs no target.
+// final is the last stage of a request that the box answers itself, without a target.
 type final func(x *Exchange)
 
 // Run answers the request.
--- a/internal/gate/forward.go
+++ b/internal/gate/forward.go
@@ -13,20 +13,19 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// HeaderForwarded marks a request that came from a box of another hall. It goes
-// no further.
+// HeaderForwarded marks a request that a box of another hall has forwarded. It is not forwarded
+// again.
 const HeaderForwarded = "Barleystep-Forwarded"
 
-// Forwarder sends requests to boxes of other halls. Implementations are safe for
-// concurrent use.
+// Forwarder sends requests to boxes of other halls. Implementations are safe for concurrent use.
 type Forwarder interface {
 	// Forward sends the request to a box of one of the halls. It returns
-	// barleystep.ErrNotStarted if the request cannot have reached any.
+	// barleystep.ErrNotStarted if the request cannot have reached a box.
 	Forward(ctx context.Context, halls []string, r *http.Request, body []byte) (*http.Response, error)
 }
 
-// forward passes a request on to another hall, one hop at most, when this hall
-// has no room for it. It stands around the claim, which is given back before.
+// forward sends a request to another hall, at most one hop, if this hall has no capacity for it.
+// It runs outside the claim stage, so that the claim is released first.
 type forward struct {
 	forwarder Forwarder
 	hall      string
@@ -34,13 +33,13 @@
 	meter     *metric.Meter
 }
 
-// forwardable are the reasons for which another hall may do better.
+// forwardable holds the reasons for refusal that another hall may not have.
 var forwardable = map[barleystep.Reason]bool{
 	barleystep.ReasonNoTarget:  true,
 	barleystep.ReasonQueueFull: true,
 }
 
-// Run runs the rest here, and elsewhere if it was not run here for want of room.
+// Run runs the later stages, and forwards the request if they did not run it for lack of capacity.
 func (f *forward) Run(ctx context.Context, x *Exchange, next Next) error {
 	err := next(ctx, x)
 	if err == nil || f.forwarder == nil || !f.canForward(x, err) {
@@ -71,7 +70,7 @@
 	return firstHop && forwardable[r.Reason()] && r.Outcome() == barleystep.OutcomeNotRun && !x.answer.started
 }
 
-// halls returns the other halls that have targets for the request.
+// halls returns the other halls that have targets for the request, without duplicates.
 func (f *forward) halls(x *Exchange) []string {
 	seen := make(map[string]bool)
 	var halls []string
@@ -88,8 +87,8 @@
 	return halls
 }
 
-// request returns the request as the other box gets it, with the time that is
-// left.
+// request returns the request to forward. Its time limit is the remaining time less a margin of a
+// quarter, at most maxMargin.
 func (f *forward) request(x *Exchange) *http.Request {
 	r := x.r.Clone(x.r.Context())
 	r.Header.Set(HeaderForwarded, f.hall)
@@ -99,11 +98,11 @@
 	return r
 }
 
-// longestMargin bounds how much earlier the other box gives up, so that its word
-// on the outcome arrives in time.
+// maxMargin bounds how much earlier the other box's deadline is, so that its outcome arrives in
+// time.
 const maxMargin = 500 * time.Millisecond
 
-// lost is a request that may have been run by the other box.
+// lostRefusal returns the refusal for a request that the other box may have run.
 func (f *forward) lostRefusal(ctx context.Context, x *Exchange) error {
 	outcome := barleystep.OutcomeFailed
 	if !x.repeatable {
@@ -115,7 +114,7 @@
 	return barleystep.NewRefusal(barleystep.ReasonTargetFailed, outcome, "The other hall did not answer.")
 }
 
-// pass relays the other box's answer as it is. The caller sees its outcome.
+// relayResponse copies the other box's response, with its outcome, to the caller.
 func (f *forward) relayResponse(ctx context.Context, x *Exchange, resp *http.Response) error {
 	x.answer.started = true
 	x.answer.stream = isStream(resp.Header.Get("Content-Type"))
@@ -141,10 +140,10 @@
 	return nil
 }
 
-// flushing writes to the caller without holding anything back.
+// flushWriter writes to the caller and flushes after each write.
 type flushWriter struct{ answer *answer }
 
-// Write writes and flushes.
+// Write writes p and flushes it.
 func (w flushWriter) Write(p []byte) (int, error) {
 	n, err := w.answer.w.Write(p)
 	if err != nil {
--- a/internal/gate/headers.go
+++ b/internal/gate/headers.go
@@ -1,26 +1,25 @@
-// Package gate serves callers. A request is an Exchange that passes through a
-// Pipeline of stages: authenticate, classify, admit, claim, attempt (which
-// queues, dispatches and relays) and settle. Each stage is a small type of its
-// own; Server wires them in one place.
+// Package gate serves the OpenAI API and plain services to callers. A request is an Exchange that
+// passes through a Pipeline of stages: settle, authenticate, classify, admit, forward, claimOnce
+// and attempt, which queues, dispatches and relays. Server.Handler builds the pipeline.
 package gate
 
-// The headers that callers may send.
+// Request headers of callers.
 const (
 	// HeaderClass names the priority class.
 	HeaderClass = "Barleystep-Class"
-	// HeaderTimeLimit bounds the request, as a duration such as "90s".
+	// HeaderTimeLimit is the time limit of the request, as a duration such as "90s".
 	HeaderTimeLimit = "Barleystep-Time-Limit"
 	// HeaderRepeatable set to "no" marks a request that runs at most once.
 	HeaderRepeatable = "Barleystep-Repeatable"
-	// HeaderIdempotencyKey names a request across its caller's retries.
+	// HeaderIdempotencyKey identifies a request across the caller's retries.
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// The headers of answers.
+// Response headers.
 const (
 	// HeaderRequest is the id of the request.
 	HeaderRequest = "Barleystep-Request"
-	// HeaderConfig is the version of the configuration that decided the request.
+	// HeaderConfig is the version of the configuration that the request was served with.
 	HeaderConfig = "Barleystep-Config"
 	// HeaderConfigConfirmed is "no" while the version could not be confirmed.
 	HeaderConfigConfirmed = "Barleystep-Config-Confirmed"
--- a/internal/gate/pipeline.go
+++ b/internal/gate/pipeline.go
@@ -2,11 +2,11 @@
 
 import "github.com/barleystep/barleystep/internal/pipeline"
 
-// The parts of the pipeline through which exchanges pass.
+// The pipeline types for exchanges.
 type (
 	// Next runs the stages that follow.
 	Next = pipeline.Next[*Exchange]
-	// Stage is one filter of the pipeline.
+	// Stage is one step of the pipeline; it calls Next to continue.
 	Stage = pipeline.Stage[*Exchange]
 	// Pipeline runs its stages in order.
 	Pipeline = pipeline.Pipeline[*Exchange]
--- a/internal/gate/prompt.go
+++ b/internal/gate/prompt.go
@@ -10,36 +10,35 @@
 	"github.com/barleystep/barleystep"
 )
 
-// prompt is what the decisions need to know of a body.
+// prompt holds the fields of a body that placement and admission need.
 type prompt struct {
 	body      []byte
 	model     string
 	textBytes int
-	tokens    int // tokens is the estimated length.
-	maxOutput int // output is the most tokens that may be generated.
+	tokens    int // tokens is the estimated prompt length in tokens.
+	maxOutput int // maxOutput is the maximum number of tokens to generate.
 	prefix    []uint64
 }
 
 const (
-	defaultRatio = 4.0 // startRatio is the first guess of bytes per token.
-	// firstPrefix is the length in bytes of the shortest prefix that is hashed;
-	// each further one is twice as long.
+	defaultRatio = 4.0 // defaultRatio is the initial estimate of bytes per token.
+	// minPrefixSize is the length in bytes of the shortest prefix that is hashed; each further
+	// prefix is twice as long.
 	minPrefixSize = 4 << 10
-	// minimumRatio and maximumRatio bound the learnt bytes per token.
+	// minRatio and maxRatio bound an observation of bytes per token.
 	minRatio = 1.0
 	maxRatio = 8.0
-	// learning is the weight of a new observation of bytes per token.
+	// smoothing is the weight of a new observation in the moving average of bytes per token.
 	smoothing = 0.05
 )
 
-// fields are the few fields of a body that are needed.
+// fields are the JSON fields of a body that parsePrompt uses.
 type fields struct {
 	model, messages, prompt, maxCompletion, maxTokens gjson.Result
 }
 
-// readFields goes over the body once; long prompts make each pass cost
-// milliseconds. Where a field is there twice, the last counts, as engines read
-// it.
+// readFields returns the fields of a body in a single pass, since each pass over a long prompt
+// takes milliseconds. If a field occurs twice, the last one counts, as in engines.
 func readFields(body []byte) (f fields) {
 	gjson.Parse(string(body)).ForEach(func(key, value gjson.Result) bool {
 		switch key.Str {
@@ -59,7 +58,7 @@
 	return f
 }
 
-// parsePrompt reads what the decisions need and leaves the body alone.
+// parsePrompt parses a body without changing it. It refuses invalid JSON and an empty prompt.
 func parsePrompt(body []byte) (p prompt, err error) {
 	if !gjson.ValidBytes(body) {
 		return prompt{}, refuse(barleystep.ReasonMalformed, "The body is not valid JSON.")
@@ -85,8 +84,8 @@
 	}, nil
 }
 
-// emptyArray bounds how much of an array is looked at: an empty one with more
-// blanks than this counts as a prompt.
+// maxEmptyArray bounds the bytes of an array that isEmpty checks: an empty array with more
+// white space than this counts as a prompt.
 const maxEmptyArray = 64
 
 func isEmpty(text gjson.Result) bool {
@@ -100,32 +99,32 @@
 	}
 }
 
-// prefixHashes hashes prefixes of growing length, shortest first.
+// prefixHashes returns hashes of prefixes of doubling length, shortest first.
 func prefixHashes(text string) []uint64 {
 	var hashes []uint64
 	d := xxhash.New()
 	hashed := 0
 	for size := minPrefixSize; size <= len(text); size *= 2 {
-		_, _ = d.WriteString(text[hashed:size]) // A hash never fails to write.
+		_, _ = d.WriteString(text[hashed:size]) // Writing to a hash never fails.
 		hashed = size
 		hashes = append(hashes, d.Sum64())
 	}
 	return hashes
 }
 
-// Estimator guesses prompt lengths and learns from what engines report. Its
-// zero value is ready; it is safe for concurrent use.
+// Estimator estimates prompt lengths in tokens from the usage that engines report. Its zero value
+// is ready to use; it is safe for concurrent use.
 type Estimator struct {
 	mu     sync.Mutex
 	ratios map[string]float64 // ratios holds bytes per token by model.
 }
 
-// Tokens returns the estimated tokens of a text of the given size.
+// Tokens returns the estimated number of tokens of a text of the given size.
 func (e *Estimator) Tokens(model string, textBytes int) int {
 	return int(float64(textBytes)/e.ratio(model)) + 1
 }
 
-// Learn corrects the model's bytes per token by one report of usage.
+// Observe updates the model's bytes per token with the usage of one prompt.
 func (e *Estimator) Observe(model string, textBytes, tokens int) {
 	if textBytes <= 0 || tokens <= 0 {
 		return
--- a/internal/gate/relay.go
+++ b/internal/gate/relay.go
@@ -13,10 +13,10 @@
 	"github.com/barleystep/barleystep"
 )
 
-// maxResumes bounds how often one attempt's stream is taken up again.
+// maxResumes bounds how often the stream of one attempt is resumed.
 const maxResumes = 3
 
-// relay passes the answer of one attempt on to the caller.
+// relay copies the answer of one attempt to the caller.
 type relay struct {
 	dispatcher *dispatch
 	exchange   *Exchange
@@ -25,12 +25,12 @@
 
 	watchdog *watchdog
 	sentAt   time.Time
-	next     uint64 // next is the number of the event that is wanted.
+	next     uint64 // next is the number of the next event.
 	usage    barleystep.Usage
 }
 
-// run sends the attempt and relays it to its end. It resumes a torn stream when
-// the attempt cannot be tried elsewhere.
+// run sends the attempt and copies its answer until the end. It resumes a broken stream if the
+// attempt cannot be retried on another target.
 func (r *relay) run(ctx context.Context) error {
 	r.sentAt = r.dispatcher.clock.Now()
 	r.next = 1
@@ -43,8 +43,8 @@
 		if resumeErr := r.stream(ctx, r.next); !eris.Is(resumeErr, barleystep.ErrNotStarted) {
 			err = resumeErr
 		}
-		// A target that knows nothing of the attempt has not thereby said that
-		// it never ran: the first error stands.
+		// ErrNotStarted from a resume does not prove that the attempt never ran, so the first
+		// error is kept.
 	}
 	return err
 }
@@ -61,7 +61,7 @@
 	errTargetStatus = eris.New("gate: the target answered with an error")
 )
 
-// stream takes one stream of the attempt as far as it goes.
+// stream opens one stream of the attempt, from event number from, and copies it to its end.
 func (r *relay) stream(ctx context.Context, from uint64) (err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -77,7 +77,7 @@
 	return r.preferStall(ctx, r.copy(s))
 }
 
-// because names a stall as the cause of an error that it led to.
+// preferStall returns errStalled in place of an error that a stall has caused.
 func (r *relay) preferStall(ctx context.Context, err error) error {
 	if err != nil && eris.Is(context.Cause(ctx), errStalled) {
 		return errStalled
@@ -85,7 +85,7 @@
 	return err
 }
 
-// checkStatus refuses a target's own failure before anything is relayed.
+// checkStatus returns an error if the target's status is 5xx, before anything is copied.
 func (r *relay) checkStatus(s barleystep.Stream) error {
 	if s.Status() >= http.StatusInternalServerError {
 		return eris.Wrapf(errTargetStatus, "status %d", s.Status())
@@ -121,7 +121,7 @@
 	r.exchange.answer.writeHeader(s.Status(), s.ContentType(), isStream(s.ContentType()))
 }
 
-// note learns from an event: progress, and the usage that closes an answer.
+// observe resets the watchdog, and records the time to first token and the usage of the prompt.
 func (r *relay) observe(e barleystep.Event) {
 	r.watchdog.reset(r.dispatcher.stallTimeout)
 	if r.usage.TimeToFirstEvent == 0 {
@@ -135,5 +135,5 @@
 	}
 }
 
-// usageMark is looked for before an event is decoded: few events hold usage.
+// usageField is searched for before an event is decoded, since few events contain usage.
 var usageField = []byte(`"usage":{`)
--- a/internal/gate/server.go
+++ b/internal/gate/server.go
@@ -19,8 +19,8 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// Server serves callers. Its exported fields are set before Handler; the ones
-// with a default may be left out.
+// Server serves the HTTP API for callers. Its exported fields are set before Handler; those
+// with a default may be zero.
 type Server struct {
 	Clock         barleystep.Clock
 	IDs           *identity.Generator
@@ -29,31 +29,31 @@
 	Targets       Targets
 	Canceller     *Canceller
 	Claims        *claim.Manager
-	// Hall is the box's hall, and Forwarder the way to others; nil forwards
-	// nothing.
+	// Hall is the hall of this box. Forwarder sends requests to other halls; if nil, none are
+	// forwarded.
 	Hall      barleystep.HallID
 	Forwarder Forwarder
-	// Limiter holds accounts to their rates; nil holds them to none.
+	// Limiter enforces the rate limits of accounts; if nil, there are none.
 	Limiter *limit.Limiter
 	Meter   *metric.Meter
 	Log     *log.Logger
 	Limits  Limits
-	// Stall is how long a target may send nothing in the midst of an answer; the
-	// default is 20 seconds.
+	// StallTimeout bounds the time between two events of a target's answer; the default is
+	// 20 seconds.
 	StallTimeout time.Duration
 
 	estimator    Estimator
 	pipeline     Pipeline
 	running      atomic.Int64
 	shuttingDown atomic.Bool
-	// ending ends, by end, when all requests are to be answered.
+	// canceled is canceled by cancelAll, which ends all requests.
 	canceled  context.Context
 	cancelAll context.CancelFunc
 }
 
 const defaultStall = 20 * time.Second
 
-// Handler wires the stages and returns the handler for callers.
+// Handler builds the pipeline and returns the HTTP handler for callers.
 func (s *Server) Handler() http.Handler {
 	if s.StallTimeout == 0 {
 		s.StallTimeout = defaultStall
@@ -85,18 +85,18 @@
 	return mux
 }
 
-// Running returns how many requests are being served.
+// Running returns the number of requests in progress.
 func (s *Server) Running() int64 { return s.running.Load() }
 
-// Leave marks the box as stopping: callers' connections are closed after the
-// answers that are under way, so that they connect elsewhere.
+// BeginShutdown marks the box as shutting down: each caller's connection is closed after its
+// current answer, so that callers connect to other boxes.
 func (s *Server) BeginShutdown() { s.shuttingDown.Store(true) }
 
-// End answers all requests that are still being served, and that still come: those that no
-// target has run are refused as such.
+// CancelAll ends all current and later requests with a refusal. Requests that no target has run
+// are refused with the outcome "not-run".
 func (s *Server) CancelAll() { s.cancelAll() }
 
-// Leaving reports whether Leave was called.
+// IsShuttingDown reports whether BeginShutdown was called.
 func (s *Server) IsShuttingDown() bool { return s.shuttingDown.Load() }
 
 func (s *Server) complete(w http.ResponseWriter, r *http.Request) {
@@ -119,14 +119,15 @@
 	}
 	ctx, release := s.withCancelAll(r.Context())
 	defer release()
-	// The settling stage has told the caller of any error.
+	// The settle stage has already sent any error to the caller.
 	_ = s.pipeline.Run(ctx, x)
 }
 
-// errStopping is the cause of contexts that end because the box does.
+// errShuttingDown is the cause of contexts that CancelAll cancels.
 var errShuttingDown = eris.New("gate: the box is stopping")
 
-// untilEnd returns a context that ends at End. The cancel function must be called.
+// withCancelAll returns a context that CancelAll cancels. The caller must call the returned
+// function.
 func (s *Server) withCancelAll(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	stop := context.AfterFunc(s.canceled, func() { cancel(errShuttingDown) })
@@ -136,8 +137,8 @@
 	}
 }
 
-// begin fills in what every exchange has. It answers for itself when there is
-// no configuration yet.
+// prepare sets the fields that every exchange has. If there is no configuration yet, it refuses
+// the request and returns false.
 func (s *Server) prepare(w http.ResponseWriter, r *http.Request, x *Exchange) (ok bool) {
 	x.w = w
 	x.r = r
@@ -188,8 +189,8 @@
 		}
 		w.Header().Set("Content-Type", "application/json")
 		w.Header().Set(HeaderOutcome, barleystep.OutcomeDone.String())
-		_ = json.NewEncoder(w).Encode(body) // The caller may have gone away.
+		_ = json.NewEncoder(w).Encode(body) // The caller may have disconnected.
 	}
 	p := Pipeline{s.pipeline[0], authenticate{}, final(list)}
-	_ = p.Run(r.Context(), x) // The settling stage has told the caller.
+	_ = p.Run(r.Context(), x) // The settle stage has already sent any error.
 }
--- a/internal/gate/settle.go
+++ b/internal/gate/settle.go
@@ -9,14 +9,14 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// settle ends every request with exactly one outcome, which it counts.
+// settle reports and counts exactly one outcome for each request.
 type settle struct {
 	clock barleystep.Clock
 	meter *metric.Meter
 	log   *log.Logger
 }
 
-// Run runs the rest and tells the caller what became of the request.
+// Run runs the later stages, and sends the outcome or the refusal to the caller.
 func (s *settle) Run(ctx context.Context, x *Exchange, next Next) error {
 	err := next(ctx, x)
 	if err == nil {
@@ -33,7 +33,7 @@
 	s.meter.RequestRefused(string(r.Reason()), r.Outcome().String())
 	s.log.Info().Str("request", x.id).Str("account", x.account.Name).
 		Str("reason", string(r.Reason())).Stringer("outcome", r.Outcome()).
-		Dur("took", s.clock.Now().Sub(x.started)).Msg(logPrefix + "Request ended without an answer.")
+		Dur("took", s.clock.Now().Sub(x.started)).Msg(logPrefix + "Request was refused or failed.")
 	x.answer.refuse(r)
 	return err
 }
--- a/internal/gate/stop_test.go
+++ b/internal/gate/stop_test.go
@@ -14,21 +14,21 @@
 	"github.com/barleystep/barleystep/internal/gate"
 )
 
-// fullAllocator has no place for anything, and tells of each question.
+// fullAllocator never has capacity, and signals each request on asked.
 type fullAllocator struct{ asked chan struct{} }
 
-// Acquire waits until the request is given up.
+// Acquire blocks until ctx is done.
 func (a *fullAllocator) Acquire(ctx context.Context, _ barleystep.Demand) (barleystep.Allocation, error) {
 	a.asked <- struct{}{}
 	<-ctx.Done()
 	return barleystep.Allocation{}, ctx.Err()
 }
 
-// TestEnd checks that all requests are answered when the box ends, by what is known of them.
+// TestCancelAll checks that CancelAll answers waiting and sent requests with their outcomes.
 func TestCancelAll(t *testing.T) {
 	received := make(chan struct{}, 9)
 	hang := http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // A server only notices that its caller left once the body was read.
+		_, _ = io.Copy(io.Discard, r.Body) // An HTTP server detects a disconnected caller only once the body is read.
 		received <- struct{}{}
 		<-r.Context().Done()
 	})
@@ -37,7 +37,7 @@
 		status    int
 		outcome   string
 	}{
-		"waits for a place":   {&fullAllocator{received}, http.StatusServiceUnavailable, "not-run"},
+		"waits for capacity":  {&fullAllocator{received}, http.StatusServiceUnavailable, "not-run"},
 		"sent, no answer yet": {&fixedAllocator{}, http.StatusBadGateway, "failed"},
 	}
 	for name, tc := range cases {
--- a/internal/object/memory.go
+++ b/internal/object/memory.go
@@ -1,5 +1,4 @@
-// Package object implements barleystep.ObjectStore: Memory for tests and the
-// local hall.
+// Package object implements barleystep.ObjectStore in memory, for tests and the local hall.
 package object
 
 import (
@@ -11,11 +10,11 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Memory keeps all objects in memory. Its zero value is empty; it is safe for
+// Memory is an in-memory object store. Its zero value is empty and ready to use; it is safe for
 // concurrent use.
 type Memory struct {
-	// Fail is asked before each call; an error is returned in the call's place.
-	// Nil fails nothing.
+	// FaultFunc, if set, is called before each operation; if it returns an error, the operation
+	// is not executed and returns that error.
 	FaultFunc func(op, name string) error
 
 	mu      sync.Mutex
@@ -38,7 +37,7 @@
 	return nil
 }
 
-// Get returns the object.
+// Get returns the object, or barleystep.ErrNotFound.
 func (m *Memory) Get(_ context.Context, name string) ([]byte, error) {
 	if err := m.fault("get", name); err != nil {
 		return nil, err
@@ -52,7 +51,7 @@
 	return data, nil
 }
 
-// Delete removes the object.
+// Delete removes the object, if it exists.
 func (m *Memory) Delete(_ context.Context, name string) error {
 	if err := m.fault("delete", name); err != nil {
 		return err
--- a/internal/object/object_test.go
+++ b/internal/object/object_test.go
@@ -16,7 +16,7 @@
 	"github.com/barleystep/barleystep/platform/platformtest"
 )
 
-// stores returns all implementations, whole or failing all calls.
+// constructors returns constructors of all implementations; if down is true, all calls fail.
 func constructors(t *testing.T) map[string]func(down bool) barleystep.ObjectStore {
 	return map[string]func(bool) barleystep.ObjectStore{
 		"memory": func(down bool) barleystep.ObjectStore {
@@ -41,7 +41,7 @@
 	}
 }
 
-// TestContract holds every object store to what the interface promises.
+// TestContract checks that every object store satisfies barleystep.ObjectStore.
 func TestContract(t *testing.T) {
 	for name, build := range constructors(t) {
 		t.Run(name, func(t *testing.T) {
@@ -65,7 +65,7 @@
 			s := build(true)
 			c.Check(barleystep.FaultOf(s.Put(ctx, "a", nil)), quicktest.Equals, barleystep.FaultUnavailable)
 			_, err := s.Get(ctx, "a")
-			c.Check(err, quicktest.ErrorIs, barleystep.ErrUnavailable, quicktest.Commentf("a store that is down does not say that the object is missing"))
+			c.Check(err, quicktest.ErrorIs, barleystep.ErrUnavailable, quicktest.Commentf("an unavailable store must not report the object as missing"))
 		})
 	}
 }
--- a/internal/policy/program.go
+++ b/internal/policy/program.go
@@ -1,9 +1,9 @@
-// Package policy compiles and runs the short programs by which operators state
-// who may use what share of the fleet and in what order.
+// Package policy compiles and evaluates the programs by which operators set the shares of the
+// fleet and the priorities of client accounts.
 //
-// A program is one CEL expression that yields a map. It reads the variables
-// account, weight, rate, labels, class and rank and nothing else, has no clock
-// and no randomness, and is bounded by a cost that covers steps and memory.
+// A program is one CEL expression that evaluates to a map. It can only read the variables account,
+// weight, rate, labels, class and rank. It has no access to a clock or to randomness, and a cost
+// limit bounds its steps and memory.
 package policy
 
 import (
@@ -16,16 +16,16 @@
 	"github.com/rotisserie/eris"
 )
 
-// Bounds on a program.
+// Limits of a program.
 const (
-	// MaxCost bounds one run, in CEL cost units: about one for each step and
-	// each ten bytes that are made.
+	// MaxCost is the limit of one evaluation in CEL cost units: about one unit for each step and
+	// for each ten bytes allocated.
 	MaxCost = 10_000
-	// MaxProgram bounds the text of a program, in bytes.
+	// MaxProgramSize is the maximum size of a program's text in bytes.
 	MaxProgramSize = 16 << 10
 )
 
-// Input is all that a program can read.
+// Input holds the variables of a program.
 type Input struct {
 	Account string
 	Weight  float64
@@ -37,14 +37,14 @@
 
 // Share is the result of a program for one account and class.
 type Share struct {
-	// Weight is the account's part of a contended fleet against the others.
+	// Weight is the account's share of a contended fleet relative to other accounts.
 	Weight float64
-	// Rate bounds the account's tokens per second; zero is no bound.
+	// Rate is the account's limit in tokens per second; zero is unlimited.
 	Rate float64
-	// Rank orders classes in a queue, lower first.
+	// Rank is the priority of the class in a queue; lower ranks come first.
 	Rank int
-	// Limit is the largest part of a pool that the account may hold, from 0 to
-	// 1; 1 is no bound.
+	// Limit is the maximum fraction of a pool that the account may hold, above 0 and at most 1;
+	// 1 is unlimited.
 	Limit float64
 }
 
@@ -54,11 +54,11 @@
 	program cel.Program
 }
 
-// Default returns the program that is in force when no policy is configured:
-// weights, rates and ranks as they stand in the accounts and classes.
+// Default returns the program that is used if no policy is configured: weights, rates and ranks
+// are those of the accounts and classes.
 func Default() *Program { return &Program{name: "default"} }
 
-// Compile checks a program's text. Errors give line and column.
+// Compile compiles a program. Compilation errors give line and column.
 func Compile(name, text string) (p *Program, err error) {
 	defer func() {
 		if err != nil {
@@ -94,8 +94,8 @@
 	)
 }
 
-// Share runs the program. A result with an unknown name, a wrong type or a
-// value out of range is an error.
+// Share evaluates the program. It returns an error if the result has an unknown key, a wrong type
+// or a value out of range.
 func (p *Program) Share(in Input) (s Share, err error) {
 	defer func() {
 		if err != nil {
--- a/internal/policy/program_test.go
+++ b/internal/policy/program_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// BenchmarkCapacityPolicy measures one account in one class; it is run when a
-// version is accepted, never for a request.
+// BenchmarkCapacityPolicy measures one evaluation for an account and a class. Programs are
+// evaluated when a version is accepted, not for each request.
 func BenchmarkCapacityPolicy(b *testing.B) {
 	p, err := policy.Compile("p", `class == "urgent" ? {"weight": weight * 4.0} : "archive" in labels ? {"limit": 0.5} : {}`)
 	quicktest.Assert(b, err, quicktest.IsNil)
