--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -24,14 +24,14 @@
 				return err
 			}
 			defer closeAll()
-			story, err := explain.RequestLines(in, args[0])
+			lines, err := explain.RequestLines(in, args[0])
 			if err != nil {
 				return err
 			}
-			if len(story) == 0 {
+			if len(lines) == 0 {
 				return eris.Errorf("no line is about request %q", args[0])
 			}
-			for _, l := range story {
+			for _, l := range lines {
 				fmt.Fprintln(cmd.OutOrStdout(), l)
 			}
 			return nil
@@ -52,11 +52,11 @@
 				return err
 			}
 			defer closeAll()
-			list, err := explain.LossesByRoute(in)
+			losses, err := explain.LossesByRoute(in)
 			if err != nil {
 				return err
 			}
-			for _, l := range list {
+			for _, l := range losses {
 				fmt.Fprintln(cmd.OutOrStdout(), l)
 			}
 			return nil
