--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -11,7 +11,7 @@
 	"github.com/barleystep/barleystep/internal/explain"
 )
 
-// explainCommand returns the command that tells the story of one request.
+// explainCommand returns the command that prints the log lines of one request.
 func explainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain REQUEST [FILE ...]",
@@ -24,14 +24,14 @@
 				return err
 			}
 			defer closeAll()
-			story, err := explain.RequestLines(in, args[0])
+			lines, err := explain.RequestLines(in, args[0])
 			if err != nil {
 				return err
 			}
-			if len(story) == 0 {
+			if len(lines) == 0 {
 				return eris.Errorf("no line is about request %q", args[0])
 			}
-			for _, l := range story {
+			for _, l := range lines {
 				fmt.Fprintln(cmd.OutOrStdout(), l)
 			}
 			return nil
@@ -39,7 +39,8 @@
 	}
 }
 
-// lossesCommand returns the command that tells why streams were late.
+// lossesCommand returns the command that prints, for each route, why streams were late or not
+// served.
 func lossesCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "losses [FILE ...]",
@@ -51,11 +52,11 @@
 				return err
 			}
 			defer closeAll()
-			list, err := explain.LossesByRoute(in)
+			losses, err := explain.LossesByRoute(in)
 			if err != nil {
 				return err
 			}
-			for _, l := range list {
+			for _, l := range losses {
 				fmt.Fprintln(cmd.OutOrStdout(), l)
 			}
 			return nil
@@ -63,14 +64,14 @@
 	}
 }
 
-// openAll returns the content of the files, one after another, or the standard
-// input if there are none.
+// openAll returns the concatenated content of the files, or standard input if there are none.
+// closeAll closes the files.
 func openAll(stdin io.Reader, names []string) (in io.Reader, closeAll func(), err error) {
 	var readers []io.Reader
 	var files []*os.File
 	closeAll = func() {
 		for _, f := range files {
-			_ = f.Close() // It was only read.
+			_ = f.Close() // The file was only read.
 		}
 	}
 	for _, name := range names {
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -17,33 +17,33 @@
 )
 
 const (
-	controlLimit = 4 << 20 // controlLimit bounds an answer of the control interface, in bytes.
-	drainLimit   = 64 << 10
+	maxControlBody = 4 << 20 // maxControlBody bounds the body of a control response, in bytes.
+	maxDrain       = 64 << 10
 )
 
-// Client talks to one target over HTTP. Its exported fields are set before
-// use; it is safe for concurrent use.
+// Client is an HTTP client for one target. Its exported fields are set before use; it is safe for
+// concurrent use.
 type Client struct {
-	// URL is the root of the target, without a slash at the end.
+	// URL is the base URL of the target, without a trailing slash.
 	URL string
-	// HTTP sends the requests. It must neither follow redirects nor set a
-	// timeout of its own. The default is a client made by NewHTTP.
+	// HTTP sends the requests. It must neither follow redirects nor set a timeout. NewHTTP
+	// returns a suitable client.
 	HTTP *http.Client
-	// Fresh opens a connection for each attempt, so that a connection that the
-	// target closed while idle cannot leave the attempt's fate open.
+	// NewConnPerAttempt opens a new connection for each attempt. On a reused connection that the
+	// target has closed while idle, it would be unknown whether the attempt ran.
 	NewConnPerAttempt bool
-	MaxEventSize      int // EventLimit bounds one event in bytes; the default is 1 MiB.
+	MaxEventSize      int // MaxEventSize is the maximum size of an event in bytes; the default is 1 MiB.
 }
 
-const defaultEventLimit = 1 << 20
+const defaultMaxEventSize = 1 << 20
 
 var (
 	_ barleystep.Engine  = (*Client)(nil)
 	_ barleystep.Service = (*Client)(nil)
 )
 
-// NewHTTP returns a client for targets that keeps up to idle connections to
-// each. It sends nothing twice by itself: bodies cannot be rewound.
+// NewHTTP returns an HTTP client that keeps up to idle idle connections to each target. It never
+// resends the requests of Client, since their bodies cannot be rewound.
 func NewHTTP(idle int) *http.Client {
 	t := http.DefaultTransport.(*http.Transport).Clone()
 	t.Proxy = nil
@@ -56,33 +56,34 @@
 	}
 }
 
-// Start runs or resumes the attempt.
+// Start sends the attempt to the engine, or resumes it.
 func (c *Client) Start(ctx context.Context, a barleystep.Attempt) (s barleystep.Stream, err error) {
 	return c.Call(ctx, a)
 }
 
-// Call runs the attempt.
+// Call sends the attempt to the target. The error is barleystep.ErrNotStarted if the target cannot
+// have run it.
 func (c *Client) Call(ctx context.Context, a barleystep.Attempt) (s barleystep.Stream, err error) {
 	defer func() {
 		if err != nil {
 			err = eris.Wrapf(err, "engine: attempt %s", a.ID)
 		}
 	}()
-	reached := false
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { reached = true }}
+	connected := false
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
 	req, err := c.request(httptrace.WithClientTrace(ctx, trace), a)
 	if err != nil {
 		return nil, eris.Wrap(barleystep.ErrNotStarted, err.Error())
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return nil, classify(err, reached)
+		return nil, classifyError(err, connected)
 	}
-	return c.open(resp, a)
+	return c.openStream(resp, a)
 }
 
-func classify(err error, reached bool) error {
-	if !reached {
+func classifyError(err error, connected bool) error {
+	if !connected {
 		return eris.Wrap(barleystep.ErrNotStarted, err.Error())
 	}
 	return eris.Wrap(barleystep.ErrUnknownEffect, err.Error())
@@ -93,8 +94,8 @@
 	if method == "" {
 		method = http.MethodPost
 	}
-	// The body is wrapped so that net/http cannot rewind it: a request that can
-	// be rewound may be sent a second time on a connection that broke.
+	// The body is wrapped so that net/http cannot rewind it: net/http may resend a request with
+	// a rewindable body after a connection breaks.
 	body := io.NopCloser(bytes.NewReader(a.Body))
 	req, err := http.NewRequestWithContext(ctx, method, c.URL+a.Path, body)
 	if err != nil {
@@ -131,7 +132,7 @@
 	return strings.Join(names, ",")
 }
 
-func (c *Client) open(resp *http.Response, a barleystep.Attempt) (barleystep.Stream, error) {
+func (c *Client) openStream(resp *http.Response, a barleystep.Attempt) (barleystep.Stream, error) {
 	if resp.Header.Get(HeaderStarted) == "false" {
 		drain(resp.Body)
 		_ = resp.Body.Close()
@@ -142,19 +143,19 @@
 		return nil, eris.Wrapf(barleystep.ErrWrongAttempt, "target answered for %q", got)
 	}
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		return newEventStream(resp, a, c.eventLimit()), nil
+		return newEventStream(resp, a, c.maxEventSize()), nil
 	}
 	return &bodyStream{resp: resp}, nil
 }
 
-func (c *Client) eventLimit() int {
+func (c *Client) maxEventSize() int {
 	if c.MaxEventSize == 0 {
-		return defaultEventLimit
+		return defaultMaxEventSize
 	}
 	return c.MaxEventSize
 }
 
-// Cancel ends the attempt at the target.
+// Cancel cancels the attempt at the target.
 func (c *Client) Cancel(ctx context.Context, id string) (err error) {
 	defer func() {
 		if err != nil {
@@ -164,7 +165,7 @@
 	return c.control(ctx, http.MethodDelete, PathAttempts+"/"+url.PathEscape(id), nil)
 }
 
-// Load asks the target for its load report.
+// Load returns the target's load report.
 func (c *Client) Load(ctx context.Context) (l barleystep.Load, err error) {
 	defer func() {
 		if err != nil {
@@ -175,23 +176,24 @@
 	return l, err
 }
 
-// List asks the target which attempts it holds memory for.
-func (c *Client) List(ctx context.Context) (work []barleystep.HeldAttempt, err error) {
+// List returns the attempts that the target holds memory for.
+func (c *Client) List(ctx context.Context) (attempts []barleystep.HeldAttempt, err error) {
 	defer func() {
 		if err != nil {
 			err = eris.Wrap(err, "engine: list")
 		}
 	}()
-	err = c.control(ctx, http.MethodGet, PathAttempts, &work)
-	return work, err
+	err = c.control(ctx, http.MethodGet, PathAttempts, &attempts)
+	return attempts, err
 }
 
-// orderBody is the body of an order.
+// orderBody is the JSON body of an order.
 type orderBody struct {
 	Weights string `json:"weights"`
 }
 
-// Order gives the target an order.
+// Order sends an order to the target. It returns barleystep.ErrConflict if the target rejects the
+// fencing token, and barleystep.ErrUnknownEffect if the order may have been executed.
 func (c *Client) Order(ctx context.Context, o barleystep.Order) (err error) {
 	defer func() {
 		if err != nil {
@@ -240,10 +242,10 @@
 	if out == nil {
 		return nil
 	}
-	return json.NewDecoder(io.LimitReader(resp.Body, controlLimit)).Decode(out)
+	return json.NewDecoder(io.LimitReader(resp.Body, maxControlBody)).Decode(out)
 }
 
-// drain reads what is left of a short body, so that the connection is kept.
+// drain reads up to maxDrain bytes of the rest of a body, so that the connection can be reused.
 func drain(body io.Reader) {
-	_, _ = io.CopyN(io.Discard, body, drainLimit)
+	_, _ = io.CopyN(io.Discard, body, maxDrain)
 }
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -20,14 +20,14 @@
 	return barleystep.Attempt{ID: barleystep.NewAttemptID("b", 1, n), Path: "/v1/completions", Body: []byte("{}")}
 }
 
-// echo answers well.
+// echo answers an attempt with its id and an empty JSON object.
 func echo(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(engine.HeaderAttempt, r.Header.Get(engine.HeaderAttempt))
 	_, _ = io.WriteString(w, "{}")
 }
 
-// read reads an answer to its end.
-func read(s barleystep.Stream) error {
+// readAll reads a stream to its end and closes it.
+func readAll(s barleystep.Stream) error {
 	defer s.Close()
 	for {
 		if _, err := s.Next(); err != nil {
@@ -39,10 +39,9 @@
 	}
 }
 
-// TestNothingIsSentTwice lets a target run an attempt on a connection that was
-// used before and close it unanswered. The transport must not send it again by
-// itself, whatever headers it carries.
-func TestNothingIsSentTwice(t *testing.T) {
+// TestNoResend checks that the transport does not resend an attempt when the target closes a
+// reused connection without an answer, whatever headers the attempt has.
+func TestNoResend(t *testing.T) {
 	for name, method := range map[string]string{"post": http.MethodPost, "get": http.MethodGet, "delete": http.MethodDelete} {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
@@ -59,7 +58,7 @@
 			first := attempt(1)
 			s, err := client.Start(t.Context(), first)
 			c.Assert(err, quicktest.IsNil)
-			c.Assert(read(s), quicktest.IsNil)
+			c.Assert(readAll(s), quicktest.IsNil)
 			second := attempt(2)
 			second.Method = method
 			if method == http.MethodGet {
@@ -72,35 +71,35 @@
 	}
 }
 
-func TestStartSaysWhetherItMayHaveRun(t *testing.T) {
+func TestStartErrors(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	quicktest.Assert(t, err, quicktest.IsNil)
-	nobody := "http://" + closed.Addr().String()
+	closedURL := "http://" + closed.Addr().String()
 	closed.Close()
 	cases := map[string]struct {
 		handler http.HandlerFunc
 		want    error
 	}{
 		"answers": {echo, nil},
-		"says it did not start": {func(w http.ResponseWriter, _ *http.Request) {
+		"refuses to start": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(engine.HeaderStarted, "false")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, barleystep.ErrNotStarted},
-		"does not say so": {func(w http.ResponseWriter, _ *http.Request) {
+		"answers without an id": {func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, barleystep.ErrWrongAttempt},
-		"answers for another": {func(w http.ResponseWriter, _ *http.Request) {
+		"answers for another attempt": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(engine.HeaderAttempt, "b.1.9")
 		}, barleystep.ErrWrongAttempt},
 		"redirects": {func(w http.ResponseWriter, r *http.Request) {
 			http.Redirect(w, r, "/elsewhere", http.StatusTemporaryRedirect)
 		}, barleystep.ErrWrongAttempt},
-		"breaks off":      {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, barleystep.ErrUnknownEffect},
-		"nobody is there": {nil, barleystep.ErrNotStarted},
+		"disconnects":      {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, barleystep.ErrUnknownEffect},
+		"is not reachable": {nil, barleystep.ErrNotStarted},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			url := nobody
+			url := closedURL
 			if tc.handler != nil {
 				server := httptest.NewServer(tc.handler)
 				t.Cleanup(server.Close)
@@ -110,7 +109,7 @@
 			s, err := client.Start(context.Background(), attempt(1))
 			if tc.want == nil {
 				quicktest.Assert(t, err, quicktest.IsNil)
-				quicktest.Check(t, read(s), quicktest.IsNil)
+				quicktest.Check(t, readAll(s), quicktest.IsNil)
 				return
 			}
 			quicktest.Check(t, err, quicktest.ErrorIs, tc.want)
@@ -118,8 +117,8 @@
 	}
 }
 
-// TestTornBodies lists the ways in which an answer can be cut without a sign.
-func TestTornBodies(t *testing.T) {
+// TestBrokenBodies checks that truncated and inconsistent answers are detected.
+func TestBrokenBodies(t *testing.T) {
 	id := attempt(1).ID.String()
 	cases := map[string]string{
 		"shorter than announced":      "HTTP/1.1 200 OK\r\nBarleystep-Attempt: " + id + "\r\nContent-Length: 100\r\n\r\n{}",
@@ -141,14 +140,14 @@
 			client := &engine.Client{URL: "http://" + l.Addr().String(), HTTP: engine.NewHTTP(4)}
 			s, err := client.Start(t.Context(), attempt(1))
 			c.Assert(err, quicktest.IsNil)
-			err = read(s)
-			torn := errors.Is(err, barleystep.ErrBrokenStream) || errors.Is(err, barleystep.ErrWrongAttempt)
-			c.Check(torn, quicktest.IsTrue, quicktest.Commentf("%v", err))
+			err = readAll(s)
+			broken := errors.Is(err, barleystep.ErrBrokenStream) || errors.Is(err, barleystep.ErrWrongAttempt)
+			c.Check(broken, quicktest.IsTrue, quicktest.Commentf("%v", err))
 		})
 	}
 }
 
-// answerRaw answers one request with raw bytes and closes the connection.
+// answerRaw answers one request with the bytes of raw and closes the connection.
 func answerRaw(l net.Listener, raw string) {
 	conn, err := l.Accept()
 	if err != nil {
--- a/internal/gate/claim.go
+++ b/internal/gate/claim.go
@@ -11,13 +11,13 @@
 	"github.com/barleystep/barleystep/internal/claim"
 )
 
-// claimOnce lets a request that is marked as not repeatable through only under
-// a claim, and answers its retries.
+// claimOnce claims the idempotency key of a request that must run at most once, and answers
+// retries of the request with the stored result.
 type claimOnce struct {
 	book *claim.Manager
 }
 
-// Run claims the request's key, and records what became of the request.
+// Run claims the request's key, and records the outcome and the answer of the request.
 func (c *claimOnce) Run(ctx context.Context, x *Exchange, next Next) error {
 	if x.repeatable {
 		return next(ctx, x)
@@ -25,7 +25,7 @@
 	d, err := c.book.Claim(ctx, claim.Request{
 		Account:  x.account.Name,
 		Key:      x.key,
-		Digest:   digest(x),
+		Digest:   requestDigest(x),
 		Deadline: x.deadline,
 	})
 	if err != nil {
@@ -45,21 +45,20 @@
 			return
 		}
 		finished = true
-		// The request's own context may have ended; the claim's end must still
-		// be recorded.
+		// The outcome must be recorded even if the request's context is done.
 		held.Finish(context.WithoutCancel(ctx), o, answer)
 	}
 	x.answer.copy = result
-	x.answer.beforeLast = func() { finish(barleystep.OutcomeDone, encode(result)) }
+	x.answer.beforeLastEvent = func() { finish(barleystep.OutcomeDone, encodeResult(result)) }
 	err := next(ctx, x)
-	finish(x.targetState, encode(result))
+	finish(x.attemptOutcome, encodeResult(result))
 	return err
 }
 
-func encode(r *Result) []byte {
+func encodeResult(r *Result) []byte {
 	data, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // All fields have plain types.
+		panic(err) // All fields have basic types, so encoding cannot fail.
 	}
 	return data
 }
@@ -73,8 +72,8 @@
 	return nil
 }
 
-// digest tells apart requests that use the same key.
-func digest(x *Exchange) string {
+// requestDigest returns a digest by which different requests with the same key are told apart.
+func requestDigest(x *Exchange) string {
 	h := sha256.New()
 	fmt.Fprintf(h, "%s\n%s\n%s\n", x.r.Method, x.service, x.path)
 	h.Write(x.prompt.body)
--- a/internal/gate/classify.go
+++ b/internal/gate/classify.go
@@ -15,28 +15,26 @@
 	"github.com/barleystep/barleystep/internal/config"
 )
 
-// classify reads the request's headers and body and works out what it asks for.
+// classify parses the request's headers and body, and sets its class, deadline and prompt.
 type classify struct {
 	clock     barleystep.Clock
 	estimator *Estimator
 	limits    Limits
 }
 
-// Limits bounds what callers may ask for.
+// Limits bounds what callers may request.
 type Limits struct {
-	// Body bounds a body in bytes; the default is 16 MiB.
+	// Body is the maximum size of a body in bytes; the default is 16 MiB.
 	Body int64
-	// MinTime and MaxTime bound the time limit; the defaults are 100 ms and one
-	// hour.
+	// MinTime and MaxTime bound the time limit of a request; the defaults are 100 ms and one hour.
 	MinTime time.Duration
 	MaxTime time.Duration
 }
 
-// lastWord is how long after the deadline the caller may take to read why the
-// request has ended.
-const lastWord = time.Second
+// refusalWriteTime is how long after the deadline a refusal can still be written to the caller.
+const refusalWriteTime = time.Second
 
-// The defaults of Limits.
+// Defaults of Limits.
 const (
 	DefaultBodyLimit = 16 << 20
 	DefaultMinTime   = 100 * time.Millisecond
@@ -56,7 +54,8 @@
 	return l
 }
 
-// Run refuses what is malformed or unknown and sets the request's deadline.
+// Run refuses malformed requests and unknown names, and runs the later stages with the request's
+// deadline.
 func (c *classify) Run(ctx context.Context, x *Exchange, next Next) error {
 	steps := []func(*Exchange) error{c.class, c.deadline, c.repeatable, c.body}
 	for _, step := range steps {
@@ -101,7 +100,7 @@
 		limit = d
 	}
 	x.deadline = x.started.Add(limit)
-	x.answer.limit(c.clock, x.deadline.Add(lastWord))
+	x.answer.limit(c.clock, x.deadline.Add(refusalWriteTime))
 	return nil
 }
 
@@ -125,12 +124,12 @@
 		return refuse(barleystep.ReasonCallerGone, "The body could not be read.")
 	case x.isService():
 		x.prompt = prompt{body: body}
-		return c.serviceKnown(x)
+		return c.checkService(x)
 	}
 	return c.model(x, body)
 }
 
-// readBody reads the body into one buffer of the announced size.
+// readBody reads the body into one buffer of the size in Content-Length.
 func (c *classify) readBody(x *Exchange) ([]byte, error) {
 	size := min(max(x.r.ContentLength, 0), c.limits.Body)
 	buffer := bytes.NewBuffer(make([]byte, 0, size+bytes.MinRead))
@@ -138,7 +137,7 @@
 	return buffer.Bytes(), err
 }
 
-func (c *classify) serviceKnown(x *Exchange) error {
+func (c *classify) checkService(x *Exchange) error {
 	if _, ok := x.view.Service(x.service); !ok {
 		return refuse(barleystep.ReasonUnknownService, fmt.Sprintf("There is no service %q.", x.service))
 	}
@@ -155,7 +154,7 @@
 		return refuse(barleystep.ReasonUnknownModel, fmt.Sprintf("There is no model %q.", p.model))
 	}
 	p.tokens = c.estimator.Tokens(p.model, p.textBytes)
-	p.output = outputTokens(p.output, m)
+	p.maxOutput = outputTokens(p.maxOutput, m)
 	x.prompt = p
 	if p.tokens > m.MaxPrompt {
 		return refuse(barleystep.ReasonPromptTooLong, fmt.Sprintf(
@@ -164,9 +163,9 @@
 	return nil
 }
 
-func outputTokens(asked int, m config.Model) int {
-	if asked <= 0 || asked > m.MaxOutput {
+func outputTokens(requested int, m config.Model) int {
+	if requested <= 0 || requested > m.MaxOutput {
 		return m.MaxOutput
 	}
-	return asked
+	return requested
 }
--- a/internal/gate/forward.go
+++ b/internal/gate/forward.go
@@ -13,20 +13,19 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// HeaderForwarded marks a request that came from a box of another hall. It goes
-// no further.
+// HeaderForwarded marks a request that a box of another hall has forwarded. It is not forwarded
+// again.
 const HeaderForwarded = "Barleystep-Forwarded"
 
-// Forwarder sends requests to boxes of other halls. Implementations are safe for
-// concurrent use.
+// Forwarder sends requests to boxes of other halls. Implementations are safe for concurrent use.
 type Forwarder interface {
 	// Forward sends the request to a box of one of the halls. It returns
-	// barleystep.ErrNotStarted if the request cannot have reached any.
+	// barleystep.ErrNotStarted if the request cannot have reached a box.
 	Forward(ctx context.Context, halls []string, r *http.Request, body []byte) (*http.Response, error)
 }
 
-// forward passes a request on to another hall, one hop at most, when this hall
-// has no room for it. It stands around the claim, which is given back before.
+// forward sends a request to another hall, at most one hop, if this hall has no capacity for it.
+// It runs outside the claim stage, so that the claim is released first.
 type forward struct {
 	forwarder Forwarder
 	hall      string
@@ -34,16 +33,16 @@
 	meter     *metric.Meter
 }
 
-// forwardable are the reasons for which another hall may do better.
+// forwardable holds the reasons for refusal that another hall may not have.
 var forwardable = map[barleystep.Reason]bool{
 	barleystep.ReasonNoTarget:  true,
 	barleystep.ReasonQueueFull: true,
 }
 
-// Run runs the rest here, and elsewhere if it was not run here for want of room.
+// Run runs the later stages, and forwards the request if they did not run it for lack of capacity.
 func (f *forward) Run(ctx context.Context, x *Exchange, next Next) error {
 	err := next(ctx, x)
-	if err == nil || f.forwarder == nil || !f.may(x, err) {
+	if err == nil || f.forwarder == nil || !f.canForward(x, err) {
 		return err
 	}
 	halls := f.halls(x)
@@ -51,27 +50,27 @@
 		return err
 	}
 	f.meter.AttemptRetried("other_hall")
-	resp, sent := f.forwarder.Forward(ctx, halls, f.request(x), x.prompt.body)
-	if eris.Is(sent, barleystep.ErrNotStarted) {
+	resp, forwardErr := f.forwarder.Forward(ctx, halls, f.request(x), x.prompt.body)
+	if eris.Is(forwardErr, barleystep.ErrNotStarted) {
 		return err
 	}
-	if sent != nil {
-		return f.lost(ctx, x)
+	if forwardErr != nil {
+		return f.lostRefusal(ctx, x)
 	}
 	defer resp.Body.Close()
 	if resp.Header.Get(HeaderOutcome) == barleystep.OutcomeNotRun.String() {
 		return err
 	}
-	return f.pass(ctx, x, resp)
+	return f.relayResponse(ctx, x, resp)
 }
 
-func (f *forward) may(x *Exchange, err error) bool {
+func (f *forward) canForward(x *Exchange, err error) bool {
 	r := barleystep.AsRefusal(err)
-	mine := x.r.Header.Get(HeaderForwarded) == ""
-	return mine && forwardable[r.Reason()] && r.Outcome() == barleystep.OutcomeNotRun && !x.answer.begun
+	firstHop := x.r.Header.Get(HeaderForwarded) == ""
+	return firstHop && forwardable[r.Reason()] && r.Outcome() == barleystep.OutcomeNotRun && !x.answer.started
 }
 
-// halls returns the other halls that have targets for the request.
+// halls returns the other halls that have targets for the request, without duplicates.
 func (f *forward) halls(x *Exchange) []string {
 	seen := make(map[string]bool)
 	var halls []string
@@ -88,23 +87,23 @@
 	return halls
 }
 
-// request returns the request as the other box gets it, with the time that is
-// left.
+// request returns the request to forward. Its time limit is the remaining time less a margin of a
+// quarter, at most maxMargin.
 func (f *forward) request(x *Exchange) *http.Request {
 	r := x.r.Clone(x.r.Context())
 	r.Header.Set(HeaderForwarded, f.hall)
 	left := x.deadline.Sub(f.clock.Now())
-	left -= min(left/4, longestMargin)
+	left -= min(left/4, maxMargin)
 	r.Header.Set(HeaderTimeLimit, left.Truncate(time.Millisecond).String())
 	return r
 }
 
-// longestMargin bounds how much earlier the other box gives up, so that its word
-// on the outcome arrives in time.
-const longestMargin = 500 * time.Millisecond
+// maxMargin bounds how much earlier the other box's deadline is, so that its outcome arrives in
+// time.
+const maxMargin = 500 * time.Millisecond
 
-// lost is a request that may have been run by the other box.
-func (f *forward) lost(ctx context.Context, x *Exchange) error {
+// lostRefusal returns the refusal for a request that the other box may have run.
+func (f *forward) lostRefusal(ctx context.Context, x *Exchange) error {
 	outcome := barleystep.OutcomeFailed
 	if !x.repeatable {
 		outcome = barleystep.OutcomeUnknown
@@ -115,9 +114,9 @@
 	return barleystep.NewRefusal(barleystep.ReasonTargetFailed, outcome, "The other hall did not answer.")
 }
 
-// pass relays the other box's answer as it is. The caller sees its outcome.
-func (f *forward) pass(ctx context.Context, x *Exchange, resp *http.Response) error {
-	x.answer.begun = true
+// relayResponse copies the other box's response, with its outcome, to the caller.
+func (f *forward) relayResponse(ctx context.Context, x *Exchange, resp *http.Response) error {
+	x.answer.started = true
 	x.answer.stream = isStream(resp.Header.Get("Content-Type"))
 	h := x.w.Header()
 	for _, name := range []string{"Content-Type", "Retry-After", HeaderOutcome, HeaderReason, HeaderConfig, HeaderRequest} {
@@ -129,8 +128,8 @@
 		h.Set("Trailer", HeaderOutcome)
 	}
 	x.w.WriteHeader(resp.StatusCode)
-	if _, err := io.Copy(flushing{x.answer}, resp.Body); err != nil {
-		return f.lost(ctx, x)
+	if _, err := io.Copy(flushWriter{x.answer}, resp.Body); err != nil {
+		return f.lostRefusal(ctx, x)
 	}
 	x.outcome = barleystep.OutcomeDone
 	for _, text := range []string{resp.Header.Get(HeaderOutcome), resp.Trailer.Get(HeaderOutcome)} {
@@ -141,14 +140,14 @@
 	return nil
 }
 
-// flushing writes to the caller without holding anything back.
-type flushing struct{ answer *answer }
+// flushWriter writes to the caller and flushes after each write.
+type flushWriter struct{ answer *answer }
 
-// Write writes and flushes.
-func (w flushing) Write(p []byte) (int, error) {
+// Write writes p and flushes it.
+func (w flushWriter) Write(p []byte) (int, error) {
 	n, err := w.answer.w.Write(p)
 	if err != nil {
 		return n, err
 	}
-	return n, w.answer.control.Flush()
+	return n, w.answer.controller.Flush()
 }
--- a/internal/object/object_test.go
+++ b/internal/object/object_test.go
@@ -16,8 +16,8 @@
 	"github.com/barleystep/barleystep/platform/platformtest"
 )
 
-// stores returns all implementations, whole or failing all calls.
-func stores(t *testing.T) map[string]func(down bool) barleystep.ObjectStore {
+// constructors returns constructors of all implementations; if down is true, all calls fail.
+func constructors(t *testing.T) map[string]func(down bool) barleystep.ObjectStore {
 	return map[string]func(bool) barleystep.ObjectStore{
 		"memory": func(down bool) barleystep.ObjectStore {
 			m := &object.Memory{}
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestContract holds every object store to what the interface promises.
+// TestContract checks that every object store satisfies barleystep.ObjectStore.
 func TestContract(t *testing.T) {
-	for name, build := range stores(t) {
+	for name, build := range constructors(t) {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			ctx := context.Background()
@@ -65,7 +65,7 @@
 			s := build(true)
 			c.Check(barleystep.FaultOf(s.Put(ctx, "a", nil)), quicktest.Equals, barleystep.FaultUnavailable)
 			_, err := s.Get(ctx, "a")
-			c.Check(err, quicktest.ErrorIs, barleystep.ErrUnavailable, quicktest.Commentf("a store that is down does not say that the object is missing"))
+			c.Check(err, quicktest.ErrorIs, barleystep.ErrUnavailable, quicktest.Commentf("an unavailable store must not report the object as missing"))
 		})
 	}
 }
