--- a/internal/table/group.go
+++ b/internal/table/batcher.go
@@ -27,29 +27,29 @@
 	// the default is 5 seconds.
 	Timeout time.Duration
 
-	queue chan *grouped
+	queue chan *pendingTxn
 }
 
-type grouped struct {
+type pendingTxn struct {
 	txn  barleystep.Txn
 	done chan error
 }
 
 const (
-	defaultGroupEvery = 50 * time.Millisecond
-	defaultGroupMost  = 100
-	groupQueue        = 4096
-	groupTimeout      = 5 * time.Second
+	defaultInterval      = 50 * time.Millisecond
+	defaultMaxTxns       = 100
+	queueSize            = 4096
+	defaultCommitTimeout = 5 * time.Second
 	// groupRounds is how often conflicting transactions are taken out of a commit
 	// before the others go one by one.
-	groupRounds = 3
+	maxConflictRounds = 3
 )
 
 var _ barleystep.Table = (*Batcher)(nil)
 
 // NewGroup returns a group before the table.
 func NewBatcher(t barleystep.Table, clk barleystep.Clock) *Batcher {
-	return &Batcher{Table: t, Clock: clk, queue: make(chan *grouped, groupQueue)}
+	return &Batcher{Table: t, Clock: clk, queue: make(chan *pendingTxn, queueSize)}
 }
 
 // Read reads from the table behind.
@@ -65,7 +65,7 @@
 // Commit commits t together with others. A caller that does not wait for the
 // answer cannot know the effect.
 func (g *Batcher) Commit(ctx context.Context, t barleystep.Txn) error {
-	w := &grouped{txn: t, done: make(chan error, 1)}
+	w := &pendingTxn{txn: t, done: make(chan error, 1)}
 	select {
 	case g.queue <- w:
 	default:
@@ -82,21 +82,21 @@
 // Serve commits until ctx ends.
 func (g *Batcher) Serve(ctx context.Context) error {
 	if g.Interval == 0 {
-		g.Interval = defaultGroupEvery
+		g.Interval = defaultInterval
 	}
 	if g.MaxTxns == 0 {
-		g.MaxTxns = defaultGroupMost
+		g.MaxTxns = defaultMaxTxns
 	}
 	if g.Timeout == 0 {
-		g.Timeout = groupTimeout
+		g.Timeout = defaultCommitTimeout
 	}
-	var left *grouped // left shares a key with the last commit.
+	var deferred *pendingTxn // left shares a key with the last commit.
 	for {
-		batch, next := g.collect(ctx, left)
+		batch, next := g.collect(ctx, deferred)
 		if batch == nil {
 			return ctx.Err()
 		}
-		left = next
+		deferred = next
 		g.commit(ctx, batch)
 		if !clock.Sleep(ctx, g.Clock, g.Interval) {
 			return ctx.Err()
@@ -106,7 +106,7 @@
 
 // collect waits for one transaction and takes along those that wait already, up
 // to the first that shares a key.
-func (g *Batcher) collect(ctx context.Context, first *grouped) (batch []*grouped, left *grouped) {
+func (g *Batcher) collect(ctx context.Context, first *pendingTxn) (batch []*pendingTxn, deferred *pendingTxn) {
 	if first == nil {
 		select {
 		case first = <-g.queue:
@@ -115,12 +115,12 @@
 		}
 	}
 	keys := make(map[string]bool)
-	claimKeys(keys, first.txn)
-	batch = []*grouped{first}
+	addKeys(keys, first.txn)
+	batch = []*pendingTxn{first}
 	for len(batch) < g.MaxTxns {
 		select {
 		case w := <-g.queue:
-			if !claimKeys(keys, w.txn) {
+			if !addKeys(keys, w.txn) {
 				return batch, w
 			}
 			batch = append(batch, w)
@@ -132,7 +132,7 @@
 }
 
 // claimKeys adds the keys of t, unless one is there.
-func claimKeys(keys map[string]bool, t barleystep.Txn) bool {
+func addKeys(keys map[string]bool, t barleystep.Txn) bool {
 	own := keysOf(t)
 	for k := range own {
 		if keys[k] {
@@ -157,30 +157,30 @@
 }
 
 // commit commits the batch and answers each of its transactions.
-func (g *Batcher) commit(ctx context.Context, batch []*grouped) {
+func (g *Batcher) commit(ctx context.Context, batch []*pendingTxn) {
 	ctx, cancel := clock.WithDeadline(ctx, g.Clock, g.Clock.Now().Add(g.Timeout))
 	defer cancel()
-	for range groupRounds {
+	for range maxConflictRounds {
 		if len(batch) == 0 {
 			return
 		}
 		err := g.Table.Commit(ctx, merge(batch))
 		if barleystep.FaultOf(err) != barleystep.FaultConflict {
-			answerAll(batch, err)
+			replyAll(batch, err)
 			return
 		}
 		if len(batch) == 1 {
-			answerAll(batch, err)
+			replyAll(batch, err)
 			return
 		}
-		batch = g.takeOut(ctx, batch)
+		batch = g.rejectOutdated(ctx, batch)
 	}
 	for _, w := range batch {
 		w.done <- g.Table.Commit(ctx, w.txn)
 	}
 }
 
-func merge(batch []*grouped) (t barleystep.Txn) {
+func merge(batch []*pendingTxn) (t barleystep.Txn) {
 	for _, w := range batch {
 		t.Conditions = append(t.Conditions, w.txn.Conditions...)
 		t.Writes = append(t.Writes, w.txn.Writes...)
@@ -188,7 +188,7 @@
 	return t
 }
 
-func answerAll(batch []*grouped, err error) {
+func replyAll(batch []*pendingTxn, err error) {
 	for _, w := range batch {
 		w.done <- err
 	}
@@ -196,7 +196,7 @@
 
 // takeOut answers the transactions whose conditions do not hold and returns the
 // others. A read that fails, or that shows no reason, takes nothing out.
-func (g *Batcher) takeOut(ctx context.Context, batch []*grouped) []*grouped {
+func (g *Batcher) rejectOutdated(ctx context.Context, batch []*pendingTxn) []*pendingTxn {
 	var keys []string
 	for _, w := range batch {
 		for _, c := range w.txn.Conditions {
@@ -211,7 +211,7 @@
 	for _, r := range rows {
 		versions[r.Key()] = r.Version()
 	}
-	var kept []*grouped
+	var kept []*pendingTxn
 	for _, w := range batch {
 		if outdated(w.txn, versions) {
 			w.done <- barleystep.ErrConflict
--- a/internal/table/faulty.go
+++ b/internal/table/faulty.go
@@ -33,10 +33,10 @@
 	// Table is the table behind; it must be set.
 	Table barleystep.Table
 
-	mu    sync.Mutex
-	plan  func(call Call) Failure
-	late  []barleystep.Txn
-	stale map[string]barleystep.Row
+	mu      sync.Mutex
+	plan    func(call Call) Failure
+	delayed []barleystep.Txn
+	stale   map[string]barleystep.Row
 }
 
 // Call describes a call to a Faulty table.
@@ -78,10 +78,10 @@
 // ReleaseLate lets the lost commits take effect now and returns how many did.
 func (f *Faulty) ApplyDelayed(ctx context.Context) (applied int) {
 	f.mu.Lock()
-	late := f.late
-	f.late = nil
+	delayed := f.delayed
+	f.delayed = nil
 	f.mu.Unlock()
-	for _, t := range late {
+	for _, t := range delayed {
 		if f.Table.Commit(ctx, t) == nil {
 			applied++
 		}
@@ -129,7 +129,7 @@
 		return barleystep.ErrUnknownEffect
 	case FailureDelayed:
 		f.mu.Lock()
-		f.late = append(f.late, t)
+		f.delayed = append(f.delayed, t)
 		f.mu.Unlock()
 		return barleystep.ErrUnknownEffect
 	case FailureHang:
--- a/internal/table/relay.go
+++ b/internal/table/relay.go
@@ -35,7 +35,7 @@
 // Commit commits t at the hall's writer. A writer that certainly did nothing is
 // passed over for this box's own group.
 func (r *Relay) Commit(ctx context.Context, t barleystep.Txn) error {
-	id := r.writer()
+	id := r.writerBox()
 	if id == r.Box {
 		return r.Local.Commit(ctx, t)
 	}
@@ -46,7 +46,7 @@
 	return err
 }
 
-func (r *Relay) writer() barleystep.BoxID {
+func (r *Relay) writerBox() barleystep.BoxID {
 	if id := place.Owner("claims", r.Membership.Alive()); id != "" {
 		return id
 	}
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -19,9 +19,9 @@
 )
 
 // planner makes the calls of a table fail.
-type planner func(plan func(write bool) table.Failure)
+type faultSetter func(plan func(write bool) table.Failure)
 
-func planOf(f *table.Faulty) planner {
+func faultSetterOf(f *table.Faulty) faultSetter {
 	return func(plan func(write bool) table.Failure) {
 		if plan == nil {
 			f.SetPlan(nil)
@@ -41,13 +41,13 @@
 }
 
 // tables returns all implementations, each before a table that can fail.
-func tables(t *testing.T) map[string]func() (barleystep.Table, planner) {
-	return map[string]func() (barleystep.Table, planner){
-		"memory": func() (barleystep.Table, planner) {
+func tables(t *testing.T) map[string]func() (barleystep.Table, faultSetter) {
+	return map[string]func() (barleystep.Table, faultSetter){
+		"memory": func() (barleystep.Table, faultSetter) {
 			f := &table.Faulty{Table: &table.Memory{}}
-			return f, planOf(f)
+			return f, faultSetterOf(f)
 		},
-		"platform": func() (barleystep.Table, planner) {
+		"platform": func() (barleystep.Table, faultSetter) {
 			p := &platformtest.Store{Clock: clock.System{}}
 			s := httptest.NewServer(p)
 			t.Cleanup(s.Close)
@@ -63,12 +63,12 @@
 				p.SetFaultFunc(func(kind string) platformtest.Fault { return storeFaults[plan(kind == "rows-tx")] })
 			}
 		},
-		"group": func() (barleystep.Table, planner) {
+		"group": func() (barleystep.Table, faultSetter) {
 			f := &table.Faulty{Table: &table.Memory{}}
 			g := table.NewBatcher(f, clock.System{})
 			g.Interval = time.Millisecond
 			serve(t, g)
-			return g, planOf(f)
+			return g, faultSetterOf(f)
 		},
 	}
 }
@@ -158,7 +158,7 @@
 }
 
 // TestGroupOutlivesAHang lets one commit hang; the next goes through.
-func TestGroupOutlivesAHang(t *testing.T) {
+func TestBatcherContinuesAfterHang(t *testing.T) {
 	c := quicktest.New(t)
 	faulty := &table.Faulty{Table: &table.Memory{}}
 	faulty.SetPlan(func(table.Call) table.Failure { return table.FailureHang })
@@ -173,7 +173,7 @@
 
 // TestGroup puts inserts of many goroutines into few commits; those that
 // conflict are told so, and only those.
-func TestGroup(t *testing.T) {
+func TestBatcher(t *testing.T) {
 	c := quicktest.New(t)
 	ctx := context.Background()
 	m := &table.Memory{}
