--- a/internal/claim/finish.go
+++ b/internal/claim/finish.go
@@ -25,14 +25,14 @@
 // takes it.
 func (c *Claim) Finish(ctx context.Context, o barleystep.Outcome, answer []byte) {
 	t := task{request: c.request, machine: c.machine, state: stateOf(o), answer: answer}
-	until := c.book.Clock.Now().Add(c.book.patience())
+	until := c.manager.Clock.Now().Add(c.manager.storeTimeout())
 	if c.request.Deadline.Before(until) {
 		until = c.request.Deadline
 	}
-	ctx, cancel := clock.WithDeadline(ctx, c.book.Clock, until)
+	ctx, cancel := clock.WithDeadline(ctx, c.manager.Clock, until)
 	defer cancel()
-	if c.book.settle(ctx, t) != nil {
-		c.book.later(t)
+	if c.manager.settle(ctx, t) != nil {
+		c.manager.enqueue(t)
 	}
 }
 
@@ -49,9 +49,9 @@
 	}
 }
 
-func (b *Manager) later(t task) {
+func (b *Manager) enqueue(t task) {
 	select {
-	case b.open <- t:
+	case b.tasks <- t:
 	default:
 		b.Meter.StoreFault("claim_finish", "queue_full")
 		b.Log.Warn().Str("account", t.request.Account).Msg(logPrefix + "Too many claims wait for the store.")
@@ -64,30 +64,30 @@
 func (b *Manager) Serve(ctx context.Context) error {
 	var wait sync.WaitGroup
 	for range workers {
-		wait.Go(func() { b.work(ctx) })
+		wait.Go(func() { b.runWorker(ctx) })
 	}
 	wait.Wait()
 	return ctx.Err()
 }
 
-func (b *Manager) work(ctx context.Context) {
+func (b *Manager) runWorker(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case t := <-b.open:
-			b.persist(ctx, t)
+		case t := <-b.tasks:
+			b.settleWithRetry(ctx, t)
 		}
 	}
 }
 
 // persist tries until the task is settled.
-func (b *Manager) persist(ctx context.Context, t task) {
-	for pause := firstPause; ; pause = min(2*pause, lastPause) {
-		try, cancel := clock.WithDeadline(ctx, b.Clock, b.Clock.Now().Add(b.patience()))
-		err := b.settle(try, t)
+func (b *Manager) settleWithRetry(ctx context.Context, t task) {
+	for backoff := minBackoff; ; backoff = min(2*backoff, maxBackoff) {
+		tryCtx, cancel := clock.WithDeadline(ctx, b.Clock, b.Clock.Now().Add(b.storeTimeout()))
+		err := b.settle(tryCtx, t)
 		cancel()
-		if err == nil || !clock.Sleep(ctx, b.Clock, pause) {
+		if err == nil || !clock.Sleep(ctx, b.Clock, backoff) {
 			return
 		}
 	}
@@ -96,7 +96,7 @@
 // settle makes one try at writing the claim's final row.
 func (b *Manager) settle(ctx context.Context, t task) error {
 	if t.state == "" {
-		return b.withdraw(ctx, t)
+		return b.release(ctx, t)
 	}
 	final := t.request.row(t.state, t.machine.Nonce)
 	if t.state == StateDone {
@@ -106,19 +106,19 @@
 			return err
 		}
 	}
-	return b.replaceMine(ctx, t, final)
+	return b.replaceHeld(ctx, t, final)
 }
 
 // withdraw gives up a claim that was never sent. A write of it may yet take
 // effect, which the exclusion prevents or the replacement undoes.
-func (b *Manager) withdraw(ctx context.Context, t task) error {
+func (b *Manager) release(ctx context.Context, t task) error {
 	key := rowKey(t.request.Account, t.request.Key)
-	free := t.request.row(StateNotRun, t.machine.Nonce)
-	switch b.write(ctx, key, t.machine.BaseVersion, free).Event {
+	notRun := t.request.row(StateNotRun, t.machine.Nonce)
+	switch b.write(ctx, key, t.machine.BaseVersion, notRun).Event {
 	case EventWritten:
 		return nil
 	case EventConflict:
-		return b.replaceMine(ctx, t, free)
+		return b.replaceHeld(ctx, t, notRun)
 	default:
 		return errUnsettled
 	}
@@ -127,7 +127,7 @@
 // replaceMine writes final over the held row of the claim. A row of another
 // claim is left alone, and a read that still shows the row's past is not
 // believed.
-func (b *Manager) replaceMine(ctx context.Context, t task, final Row) error {
+func (b *Manager) replaceHeld(ctx context.Context, t task, final Row) error {
 	key := rowKey(t.request.Account, t.request.Key)
 	r, err := b.read(ctx, key)
 	if err != nil {
--- a/internal/claim/book.go
+++ b/internal/claim/manager.go
@@ -28,7 +28,7 @@
 	// the difference between boxes' clocks. The default is 5 seconds.
 	Grace time.Duration
 
-	open chan task
+	tasks chan task
 }
 
 // The defaults of a Book.
@@ -36,14 +36,14 @@
 	DefaultStoreTimeout = 2 * time.Second
 	DefaultGrace        = 5 * time.Second
 
-	firstPause = 10 * time.Millisecond
-	lastPause  = time.Second
-	taskQueue  = 4096
-	workers    = 16
+	minBackoff    = 10 * time.Millisecond
+	maxBackoff    = time.Second
+	taskQueueSize = 4096
+	workers       = 16
 )
 
 // NewBook returns a book whose fields are yet to be set.
-func NewManager() *Manager { return &Manager{open: make(chan task, taskQueue)} }
+func NewManager() *Manager { return &Manager{tasks: make(chan task, taskQueueSize)} }
 
 // Request is what is claimed.
 type Request struct {
@@ -62,7 +62,7 @@
 
 // Claim is the right to send one request once.
 type Claim struct {
-	book    *Manager
+	manager *Manager
 	request Request
 	machine Machine
 }
@@ -84,21 +84,21 @@
 func (b *Manager) Claim(ctx context.Context, r Request) (d Decision, err error) {
 	m := b.decide(ctx, r)
 	if m.MayBeHeld && m.Verdict != VerdictSend {
-		b.later(task{request: r, machine: m})
+		b.enqueue(task{request: r, machine: m})
 	}
 	if m.Verdict == VerdictSend {
-		return Decision{claim: &Claim{book: b, request: r, machine: m}}, nil
+		return Decision{claim: &Claim{manager: b, request: r, machine: m}}, nil
 	}
-	return b.earlier(ctx, m)
+	return b.earlierResult(ctx, m)
 }
 
 // decide drives one claim to its verdict.
 func (b *Manager) decide(ctx context.Context, r Request) Machine {
-	ctx, cancel := clock.WithDeadline(ctx, b.Clock, b.Clock.Now().Add(b.patience()))
+	ctx, cancel := clock.WithDeadline(ctx, b.Clock, b.Clock.Now().Add(b.storeTimeout()))
 	defer cancel()
 	nonce := b.IDs.NextAttempt().String()
 	m, action := Start(nonce, r.Digest, b.grace())
-	pause := firstPause
+	backoff := minBackoff
 	for action != ActionNone {
 		if ctx.Err() != nil {
 			m, action = Step(m, Input{Event: EventDeadline})
@@ -106,8 +106,8 @@
 		}
 		in := b.perform(ctx, r, m, action)
 		if in.Event == EventUnknownEffect || in.Event == EventUnavailable {
-			clock.Sleep(ctx, b.Clock, pause)
-			pause = min(2*pause, lastPause)
+			clock.Sleep(ctx, b.Clock, backoff)
+			backoff = min(2*backoff, maxBackoff)
 		}
 		m, action = Step(m, in)
 	}
@@ -162,10 +162,10 @@
 }
 
 // earlier answers a request whose key is held or was settled by another claim.
-func (b *Manager) earlier(ctx context.Context, m Machine) (Decision, error) {
+func (b *Manager) earlierResult(ctx context.Context, m Machine) (Decision, error) {
 	switch m.Verdict {
 	case VerdictDone:
-		return b.stored(ctx, m.Row)
+		return b.storedAnswer(ctx, m.Row)
 	case VerdictRunning:
 		wait := max(time.Second, m.Row.Deadline.Sub(b.Clock.Now()))
 		return Decision{}, barleystep.NewRefusal(barleystep.ReasonStillRunning, barleystep.OutcomePending,
@@ -178,31 +178,31 @@
 			"The key belongs to another request.")
 	case VerdictStoreUnavailable:
 		return Decision{}, barleystep.NewRefusal(barleystep.ReasonStoreUnavailable, barleystep.OutcomeNotRun,
-			"The claim could not be written; nothing was run.").WithRetryAfter(b.patience())
+			"The claim could not be written; nothing was run.").WithRetryAfter(b.storeTimeout())
 	default:
-		return Decision{}, b.unknown(m)
+		return Decision{}, b.unknownOutcome(m)
 	}
 }
 
-func (b *Manager) unknown(m Machine) error {
+func (b *Manager) unknownOutcome(m Machine) error {
 	if m.OtherClaim {
 		return barleystep.NewRefusal(barleystep.ReasonStoreUnavailable, barleystep.OutcomeUnknown,
-			"The state of this key could not be read.").WithRetryAfter(b.patience())
+			"The state of this key could not be read.").WithRetryAfter(b.storeTimeout())
 	}
 	return barleystep.NewRefusal(barleystep.ReasonEarlierOutcomeUnknown, barleystep.OutcomeUnknown,
 		"A request with this key may have run; nobody can tell.")
 }
 
-func (b *Manager) stored(ctx context.Context, r Row) (Decision, error) {
+func (b *Manager) storedAnswer(ctx context.Context, r Row) (Decision, error) {
 	data, err := b.Objects.Get(ctx, r.Object)
 	if err != nil {
 		return Decision{}, barleystep.NewRefusal(barleystep.ReasonStoreUnavailable, barleystep.OutcomeDone,
-			"The request was run; its answer can't be read now.").WithRetryAfter(b.patience())
+			"The request was run; its answer can't be read now.").WithRetryAfter(b.storeTimeout())
 	}
 	return Decision{answer: data}, nil
 }
 
-func (b *Manager) patience() time.Duration {
+func (b *Manager) storeTimeout() time.Duration {
 	if b.StoreTimeout == 0 {
 		return DefaultStoreTimeout
 	}
--- a/internal/claim/step.go
+++ b/internal/claim/step.go
@@ -117,11 +117,11 @@
 // Step takes in one event and returns the next state and action. It is pure.
 func Step(m Machine, in Input) (Machine, Action) {
 	if in.Event == EventDeadline {
-		return m.giveUp()
+		return m.timeOut()
 	}
 	switch m.Phase {
 	case PhaseInsert, PhaseTakeOver:
-		return m.afterClaim(in)
+		return m.afterHeldWrite(in)
 	case PhaseExclude:
 		return m.afterExclude(in)
 	case PhaseRead:
@@ -134,7 +134,7 @@
 // giveUp ends a claim that the store left open for too long. Nothing was sent,
 // and nothing will be; but where another claim's row is known to exist, that
 // one may have run.
-func (m Machine) giveUp() (Machine, Action) {
+func (m Machine) timeOut() (Machine, Action) {
 	if m.OtherClaim {
 		return m.end(VerdictUnknown)
 	}
@@ -157,7 +157,7 @@
 	return m, ActionExclude
 }
 
-func (m Machine) afterClaim(in Input) (Machine, Action) {
+func (m Machine) afterHeldWrite(in Input) (Machine, Action) {
 	switch in.Event {
 	case EventWritten:
 		return m.end(VerdictSend)
@@ -195,20 +195,20 @@
 	m.Row = r
 	switch {
 	case r.Version() == 0:
-		return m.absent()
+		return m.absentRow()
 	case r.Nonce == m.Nonce && r.State == StateHeld:
-		return m.mine()
+		return m.ownRow()
 	case m.MayBeHeld && r.Version() <= m.BaseVersion:
 		// The read is older than the write that excluded ours.
 		return m.exclude()
 	}
 	m.MayBeHeld = false
-	return m.others(r, in.Now)
+	return m.otherRow(r, in.Now)
 }
 
 // mine is the row of this claim: its write took effect although the answer was
 // lost. Only a claim with an open write can find it.
-func (m Machine) mine() (Machine, Action) {
+func (m Machine) ownRow() (Machine, Action) {
 	if m.MayBeHeld {
 		return m.end(VerdictSend)
 	}
@@ -217,7 +217,7 @@
 
 // absent is a stale read, or a row that was cleared: the claim starts again.
 // While an earlier write is open, it is first excluded.
-func (m Machine) absent() (Machine, Action) {
+func (m Machine) absentRow() (Machine, Action) {
 	m.BaseVersion = 0
 	if m.MayBeHeld {
 		return m.exclude()
@@ -227,7 +227,7 @@
 	return m, ActionInsert
 }
 
-func (m Machine) others(r Row, now time.Time) (Machine, Action) {
+func (m Machine) otherRow(r Row, now time.Time) (Machine, Action) {
 	if r.State == StateNotRun {
 		m.OtherClaim = false
 		m.BaseVersion = r.Version()
--- a/internal/claim/step_test.go
+++ b/internal/claim/step_test.go
@@ -25,18 +25,18 @@
 }
 
 // world is the table and the claimers of one key.
-type world struct {
-	row      claim.Row
-	version  int64
-	past     []claim.Row // past holds what stale reads may show.
-	late     []lateWrite
-	claimers []*claimer
-	sends    int
-	now      time.Time
+type model struct {
+	row       claim.Row
+	version   int64
+	staleRows []claim.Row // past holds what stale reads may show.
+	delayed   []delayedWrite
+	claimers  []*claimer
+	sends     int
+	now       time.Time
 }
 
 // lateWrite is a write whose answer was lost and that has not taken effect yet.
-type lateWrite struct {
+type delayedWrite struct {
 	base int64
 	row  claim.Row
 }
@@ -55,11 +55,11 @@
 
 var start = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-func (w *world) commit(base int64, r claim.Row) bool {
+func (w *model) commit(base int64, r claim.Row) bool {
 	if w.row.Version() != base {
 		return false
 	}
-	w.past = append(w.past, w.row)
+	w.staleRows = append(w.staleRows, w.row)
 	w.version++
 	w.row = r.WithVersion(w.version)
 	return true
@@ -74,7 +74,7 @@
 	return r
 }
 
-func (w *world) perform(t *rapid.T, c *claimer) claim.Input {
+func (w *model) perform(t *rapid.T, c *claimer) claim.Input {
 	if c.action == claim.ActionRead {
 		return w.read(t)
 	}
@@ -86,7 +86,7 @@
 		w.commit(c.machine.BaseVersion, r)
 		return claim.Input{Event: claim.EventUnknownEffect}
 	case "late":
-		w.late = append(w.late, lateWrite{c.machine.BaseVersion, r})
+		w.delayed = append(w.delayed, delayedWrite{c.machine.BaseVersion, r})
 		return claim.Input{Event: claim.EventUnknownEffect}
 	}
 	if w.commit(c.machine.BaseVersion, r) {
@@ -95,19 +95,19 @@
 	return claim.Input{Event: claim.EventConflict}
 }
 
-func (w *world) read(t *rapid.T) claim.Input {
+func (w *model) read(t *rapid.T) claim.Input {
 	if rapid.IntRange(0, 4).Draw(t, "read fails") == 0 {
 		return claim.Input{Event: claim.EventUnavailable}
 	}
 	r := w.row
-	if len(w.past) > 0 && rapid.IntRange(0, 3).Draw(t, "stale") == 0 {
-		r = rapid.SampledFrom(w.past).Draw(t, "past")
+	if len(w.staleRows) > 0 && rapid.IntRange(0, 3).Draw(t, "stale") == 0 {
+		r = rapid.SampledFrom(w.staleRows).Draw(t, "past")
 	}
 	return claim.Input{Event: claim.EventRow, Row: r, Now: w.now}
 }
 
 // act lets a claimer do its next thing.
-func (w *world) act(t *rapid.T, c *claimer) {
+func (w *model) stepClaimer(t *rapid.T, c *claimer) {
 	switch {
 	case c.crashed:
 	case c.action != claim.ActionNone && rapid.IntRange(0, 9).Draw(t, "deadline") == 0:
@@ -121,7 +121,7 @@
 
 // send either sends the request, or finds that no target takes it and gives the
 // claim back.
-func (w *world) send(t *rapid.T, c *claimer) {
+func (w *model) send(t *rapid.T, c *claimer) {
 	c.sent = true
 	mine := w.row.Nonce == c.machine.Nonce && w.row.State == claim.StateHeld
 	if rapid.Bool().Draw(t, "refused by the target") {
@@ -140,10 +140,10 @@
 // stale reads, crashes and retries at other boxes.
 func TestStepRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{now: start}
+		w := &model{now: start}
 		steps := rapid.IntRange(5, 60).Draw(t, "steps")
 		for range steps {
-			w.event(t)
+			w.randomEvent(t)
 			if w.sends > 1 {
 				t.Fatalf("the request was sent %d times", w.sends)
 			}
@@ -152,7 +152,7 @@
 	})
 }
 
-func (w *world) event(t *rapid.T) {
+func (w *model) randomEvent(t *rapid.T) {
 	switch pick := rapid.IntRange(0, 9).Draw(t, "event"); {
 	case pick == 0 || len(w.claimers) == 0:
 		nonce := string(rune('a' + len(w.claimers)))
@@ -160,20 +160,20 @@
 		w.claimers = append(w.claimers, &claimer{machine: m, action: a})
 	case pick == 1:
 		rapid.SampledFrom(w.claimers).Draw(t, "crash").crashed = true
-	case pick == 2 && len(w.late) > 0:
-		i := rapid.IntRange(0, len(w.late)-1).Draw(t, "late")
-		w.commit(w.late[i].base, w.late[i].row)
-		w.late = append(w.late[:i], w.late[i+1:]...)
+	case pick == 2 && len(w.delayed) > 0:
+		i := rapid.IntRange(0, len(w.delayed)-1).Draw(t, "late")
+		w.commit(w.delayed[i].base, w.delayed[i].row)
+		w.delayed = append(w.delayed[:i], w.delayed[i+1:]...)
 	case pick == 3:
 		w.now = w.now.Add(20 * time.Second)
 	default:
-		w.act(t, rapid.SampledFrom(w.claimers).Draw(t, "claimer"))
+		w.stepClaimer(t, rapid.SampledFrom(w.claimers).Draw(t, "claimer"))
 	}
 }
 
 // checkVerdicts checks that nobody is told "refused" who holds the right to
 // send, and that a stored answer is only promised where there is one.
-func (w *world) checkVerdicts(t *rapid.T) {
+func (w *model) checkVerdicts(t *rapid.T) {
 	senders := 0
 	for _, c := range w.claimers {
 		if c.machine.Verdict == claim.VerdictSend && !c.sent {
@@ -188,7 +188,7 @@
 	}
 }
 
-func TestStepTable(t *testing.T) {
+func TestVerdictOfRow(t *testing.T) {
 	held := claim.Row{State: claim.StateHeld, Nonce: "other", Digest: digest, Deadline: start}.WithVersion(4)
 	with := func(s claim.State, d string) claim.Row {
 		r := held
