--- a/internal/keeper/cleaner.go
+++ b/internal/keeper/cleaner.go
@@ -28,12 +28,12 @@
 	Interval time.Duration
 }
 
-const defaultCleanEvery = 5 * time.Second
+const defaultCleanInterval = 5 * time.Second
 
 // Serve cleans until ctx ends.
 func (c *Cleaner) Serve(ctx context.Context) error {
 	if c.Interval == 0 {
-		c.Interval = defaultCleanEvery
+		c.Interval = defaultCleanInterval
 	}
 	return clock.Repeat(ctx, c.Clock, c.Interval, c.Round)
 }
@@ -79,7 +79,7 @@
 
 func (c *Cleaner) timeout() time.Duration {
 	if c.Interval == 0 {
-		return defaultCleanEvery
+		return defaultCleanInterval
 	}
 	return c.Interval
 }
@@ -99,19 +99,19 @@
 	// Every is the time between rounds; the default is 10 seconds.
 	Interval time.Duration
 
-	after string // after is the key at which the next round goes on.
+	cursor string // after is the key at which the next round goes on.
 }
 
 const (
-	defaultKeep       = 24 * time.Hour
-	defaultSweepEvery = 10 * time.Second
-	sweepBatch        = 1_000
+	defaultRetention     = 24 * time.Hour
+	defaultSweepInterval = 10 * time.Second
+	sweepBatchSize       = 1_000
 )
 
 // Serve sweeps until ctx ends.
 func (s *Sweeper) Serve(ctx context.Context) error {
 	if s.Interval == 0 {
-		s.Interval = defaultSweepEvery
+		s.Interval = defaultSweepInterval
 	}
 	return clock.Repeat(ctx, s.Clock, s.Interval, s.Round)
 }
@@ -122,29 +122,29 @@
 	if s.Watcher.State().owner("sweep") != s.Box {
 		return
 	}
-	rows, err := s.Table.Scan(ctx, claim.Prefix, s.after, sweepBatch)
+	rows, err := s.Table.Scan(ctx, claim.Prefix, s.cursor, sweepBatchSize)
 	if err != nil {
 		s.Meter.StoreFault("sweep", barleystep.FaultOf(err).String())
 		return
 	}
-	s.after = ""
-	if len(rows) == sweepBatch {
-		s.after = rows[len(rows)-1].Key()
+	s.cursor = ""
+	if len(rows) == sweepBatchSize {
+		s.cursor = rows[len(rows)-1].Key()
 	}
-	s.clear(ctx, rows)
+	s.deleteExpired(ctx, rows)
 }
 
 // clear deletes the old rows of a batch in one transaction: answers first, so
 // that none is left without a row that names it.
-func (s *Sweeper) clear(ctx context.Context, rows []barleystep.Row) {
-	keep := s.Retention
-	if keep == 0 {
-		keep = defaultKeep
+func (s *Sweeper) deleteExpired(ctx context.Context, rows []barleystep.Row) {
+	retention := s.Retention
+	if retention == 0 {
+		retention = defaultRetention
 	}
 	var t barleystep.Txn
 	for _, r := range rows {
 		c, err := claim.Decode(r)
-		if err != nil || !claim.Expired(c, s.Clock.Now(), keep) {
+		if err != nil || !claim.Expired(c, s.Clock.Now(), retention) {
 			continue
 		}
 		if c.Object != "" && s.Objects.Delete(ctx, c.Object) != nil {
--- a/internal/keeper/clean_test.go
+++ b/internal/keeper/cleaner_test.go
@@ -20,11 +20,11 @@
 // TestMemoryIsFreeInTheEnd abandons thousands of attempts at an engine with
 // counted memory, while boxes die and start anew all along. What live boxes run
 // is left alone; in the end all memory is free.
-func TestMemoryIsFreeInTheEnd(t *testing.T) {
+func TestCleanersFreeAllMemory(t *testing.T) {
 	const attempts, boxes = 3_000, 4
 	c := quicktest.New(t)
 	ctx := context.Background()
-	b := newBench(t, config.Target{})
+	b := newTestHall(t, config.Target{})
 	b.engine.Step = time.Hour // Attempts hold their memory until they are cancelled.
 	rng := rand.New(rand.NewPCG(1, 1))
 	e, _ := b.pool.Engine("e", false)
@@ -51,8 +51,8 @@
 		s.Close()
 		live[a.ID.String()] = box
 		if n%200 == 0 {
-			b.clean(w, cleaners, incarnations)
-			held := holds(t, e)
+			b.runCleaners(w, cleaners, incarnations)
+			held := heldAttempts(t, e)
 			for id := range live {
 				c.Assert(held[id], quicktest.IsTrue, quicktest.Commentf("work of a live box was cancelled"))
 			}
@@ -62,12 +62,12 @@
 	for i := range incarnations {
 		incarnations[i]++
 	}
-	b.clean(w, cleaners, incarnations)
+	b.runCleaners(w, cleaners, incarnations)
 	c.Check(b.engine.UsedTokens(), quicktest.Equals, 0)
 }
 
 // holds returns the attempts that the engine holds memory for.
-func holds(t *testing.T, e barleystep.Engine) map[string]bool {
+func heldAttempts(t *testing.T, e barleystep.Engine) map[string]bool {
 	work, err := e.List(context.Background())
 	quicktest.Assert(t, err, quicktest.IsNil)
 	held := make(map[string]bool, len(work))
@@ -77,7 +77,7 @@
 	return held
 }
 
-func (b *bench) cleaner(box barleystep.BoxID, w *keeper.Watcher) *keeper.Cleaner {
+func (b *testHall) cleaner(box barleystep.BoxID, w *keeper.Watcher) *keeper.Cleaner {
 	return &keeper.Cleaner{
 		Clock: b.clock, Box: box, Hall: "h", Configuration: b.config, Targets: b.pool, Watcher: w,
 		Meter: metric.Discard(), Log: &log.Logger{Level: log.PanicLevel},
@@ -85,7 +85,7 @@
 }
 
 // clean lets all keepers look at the engine once, with the boxes as they are.
-func (b *bench) clean(w *keeper.Watcher, cleaners []*keeper.Cleaner, incarnations []barleystep.Incarnation) {
+func (b *testHall) runCleaners(w *keeper.Watcher, cleaners []*keeper.Cleaner, incarnations []barleystep.Incarnation) {
 	members := b.members[:2:2]
 	for i, inc := range incarnations {
 		members = append(members, member.Update{Box: barleystep.BoxID(fmt.Sprint("x", i)), Incarnation: 10 + inc, Status: member.StatusLeaving})
--- a/internal/keeper/issuer.go
+++ b/internal/keeper/issuer.go
@@ -31,23 +31,23 @@
 	Interval      time.Duration
 	OrderInterval time.Duration
 
-	lease   Lease
-	ordered time.Time // ordered is when the last order was sent.
+	lease     Lease
+	lastOrder time.Time // ordered is when the last order was sent.
 	// unsure says until when an order whose answer was lost may yet arrive.
-	unsure map[barleystep.TargetID]time.Time
+	uncertainUntil map[barleystep.TargetID]time.Time
 	// announced names the targets for which this box may have an open intent.
-	announced map[barleystep.TargetID]bool
+	openIntents map[barleystep.TargetID]bool
 }
 
 const (
-	defaultIssueEvery = 2 * time.Second
-	defaultOrderPause = 10 * time.Second
+	defaultIssueInterval = 2 * time.Second
+	defaultOrderInterval = 10 * time.Second
 	// leaseLife is how long a lease lasts; it is renewed in every round.
-	leaseLife = 15 * time.Second
+	leaseDuration = 15 * time.Second
 	// leaseGrace is added before another box takes a lease over.
 	leaseGrace = 5 * time.Second
 	// orderLife is how long an order whose answer was lost may take to arrive.
-	orderLife = time.Minute
+	maxOrderDelay = time.Minute
 )
 
 func (g *Issuer) leaseKey() string { return "order/lease/" + string(g.Hall) }
@@ -64,10 +64,10 @@
 // Serve gives orders until ctx ends.
 func (g *Issuer) Serve(ctx context.Context) error {
 	if g.Interval == 0 {
-		g.Interval = defaultIssueEvery
+		g.Interval = defaultIssueInterval
 	}
 	if g.OrderInterval == 0 {
-		g.OrderInterval = defaultOrderPause
+		g.OrderInterval = defaultOrderInterval
 	}
 	return clock.Repeat(ctx, g.Clock, g.Interval, g.Round)
 }
@@ -75,17 +75,17 @@
 // Round looks at each target once. Serve calls it; tests may.
 func (g *Issuer) Round(ctx context.Context) {
 	v, _ := g.Configuration.View()
-	if v == nil || !g.wanted(v) {
+	if v == nil || !g.hasDesiredWeights(v) {
 		return
 	}
-	held := g.hold(ctx)
+	held := g.acquireLease(ctx)
 	intents, err := g.intents(ctx)
 	if err != nil {
 		return
 	}
 	for _, t := range g.targets(v) {
-		if held || g.announced[barleystep.TargetID(t.ID)] {
-			g.look(ctx, t, intents[g.intentKey(barleystep.TargetID(t.ID))])
+		if held || g.openIntents[barleystep.TargetID(t.ID)] {
+			g.checkTarget(ctx, t, intents[g.intentKey(barleystep.TargetID(t.ID))])
 		}
 	}
 }
@@ -110,32 +110,32 @@
 
 // wanted reports whether any target has a desired state; without one the lease
 // is not worth its writes.
-func (g *Issuer) wanted(v *config.View) bool { return len(g.targets(v)) > 0 }
+func (g *Issuer) hasDesiredWeights(v *config.View) bool { return len(g.targets(v)) > 0 }
 
 // hold takes or renews the lease. A write whose answer was lost is looked at
 // again in the next round; until then there is no lease.
-func (g *Issuer) hold(ctx context.Context) bool {
+func (g *Issuer) acquireLease(ctx context.Context) bool {
 	now := g.Clock.Now()
 	rows, err := g.Table.Read(ctx, g.leaseKey())
 	if err != nil {
 		g.Meter.StoreFault("lease_read", barleystep.FaultOf(err).String())
 		return now.Before(g.lease.Until)
 	}
-	found, err := decode[Lease](rows[0])
+	current, err := decode[Lease](rows[0])
 	if err != nil {
 		g.Log.Error().Err(err).Msg(logPrefix + "The lease can't be read.")
 		return false
 	}
-	mine := found.Holder == g.IDs.Box() && found.Incarnation == g.IDs.Incarnation()
-	if !mine && now.Before(found.Until.Add(leaseGrace)) {
+	mine := current.Holder == g.IDs.Box() && current.Incarnation == g.IDs.Incarnation()
+	if !mine && now.Before(current.Until.Add(leaseGrace)) {
 		g.lease = Lease{}
 		return false
 	}
-	return g.take(ctx, rows[0].Version(), found, mine, now)
+	return g.writeLease(ctx, rows[0].Version(), current, mine, now)
 }
 
-func (g *Issuer) take(ctx context.Context, rowVersion int64, found Lease, mine bool, now time.Time) bool {
-	next := Lease{Holder: g.IDs.Box(), Incarnation: g.IDs.Incarnation(), Token: found.Token, Until: now.Add(leaseLife)}
+func (g *Issuer) writeLease(ctx context.Context, rowVersion int64, current Lease, mine bool, now time.Time) bool {
+	next := Lease{Holder: g.IDs.Box(), Incarnation: g.IDs.Incarnation(), Token: current.Token, Until: now.Add(leaseDuration)}
 	if !mine {
 		next.Token++
 		g.Meter.TookOver("orders")
@@ -153,7 +153,7 @@
 }
 
 // look takes one step about one target.
-func (g *Issuer) look(ctx context.Context, t config.Target, row barleystep.Row) {
+func (g *Issuer) checkTarget(ctx context.Context, t config.Target, row barleystep.Row) {
 	id := barleystep.TargetID(t.ID)
 	e, ok := g.Targets.Engine(id, true)
 	if !ok {
@@ -184,7 +184,7 @@
 }
 
 func (g *Issuer) act(ctx context.Context, id barleystep.TargetID, e barleystep.Engine, s TargetState, rowVersion int64) {
-	if g.Clock.Now().Before(g.unsure[id]) {
+	if g.Clock.Now().Before(g.uncertainUntil[id]) {
 		return
 	}
 	switch Decide(s) {
@@ -202,11 +202,11 @@
 	}
 }
 
-func (g *Issuer) announce(id barleystep.TargetID, open bool) {
-	if g.announced == nil {
-		g.announced = make(map[barleystep.TargetID]bool)
+func (g *Issuer) setIntentOpen(id barleystep.TargetID, open bool) {
+	if g.openIntents == nil {
+		g.openIntents = make(map[barleystep.TargetID]bool)
 	}
-	g.announced[id] = open
+	g.openIntents[id] = open
 }
 
 // closeIntent needs no lease: only the holder closes its own intent.
@@ -217,14 +217,14 @@
 		Writes:     []barleystep.Write{barleystep.Put(g.intentKey(id), encode(i))},
 	})
 	if err == nil {
-		g.announce(id, false)
+		g.setIntentOpen(id, false)
 	}
 }
 
 // writeIntent writes the intent if nobody else has, and if the lease is still
 // this box's in the table.
 func (g *Issuer) writeIntent(ctx context.Context, id barleystep.TargetID, rowVersion int64, i Intent) bool {
-	g.announce(id, true)
+	g.setIntentOpen(id, true)
 	rows, err := g.Table.Read(ctx, g.leaseKey())
 	if err != nil {
 		return false
@@ -245,24 +245,24 @@
 // send sends an order, spread over time.
 func (g *Issuer) send(ctx context.Context, id barleystep.TargetID, e barleystep.Engine, o barleystep.Order) {
 	now := g.Clock.Now()
-	if now.Sub(g.ordered) < g.OrderInterval && !g.ordered.IsZero() {
+	if now.Sub(g.lastOrder) < g.OrderInterval && !g.lastOrder.IsZero() {
 		return
 	}
-	g.ordered = now
+	g.lastOrder = now
 	err := e.Order(ctx, o)
 	if barleystep.FaultOf(err) == barleystep.FaultUnknownEffect {
-		g.lost(id, now)
+		g.recordLostAnswer(id, now)
 	}
 	g.Log.Info().Str("target", string(id)).Str("weights", o.Weights).Int64("fence", o.Fence).Err(err).
 		Msg(logPrefix + "Order sent.")
 }
 
-func (g *Issuer) lost(id barleystep.TargetID, now time.Time) {
+func (g *Issuer) recordLostAnswer(id barleystep.TargetID, now time.Time) {
 	g.Meter.AttemptRetried("order_answer_lost")
-	if g.unsure == nil {
-		g.unsure = make(map[barleystep.TargetID]time.Time)
+	if g.uncertainUntil == nil {
+		g.uncertainUntil = make(map[barleystep.TargetID]time.Time)
 	}
-	g.unsure[id] = now.Add(orderLife)
+	g.uncertainUntil[id] = now.Add(maxOrderDelay)
 }
 
 const logPrefix = "keeper: "
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -26,14 +26,14 @@
 
 var start = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-func TestJudge(t *testing.T) {
+func TestOrphanReason(t *testing.T) {
 	dead := member.Update{Box: "b", Incarnation: 5, Status: member.StatusDead}
 	alive := member.Update{Box: "b", Incarnation: 5, Status: member.StatusAlive}
 	seen := map[barleystep.BoxID]time.Time{"b": start}
 	cases := map[string]struct {
 		attempt  barleystep.AttemptID
 		deadline time.Time
-		picture  keeper.HallState
+		state    keeper.HallState
 		want     keeper.Reason
 	}{
 		"of a live box": {barleystep.NewAttemptID("b", 5, 1), time.Time{}, keeper.HallState{Members: []member.Update{alive}}, keeper.ReasonNone},
@@ -67,7 +67,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			w := barleystep.HeldAttempt{Attempt: tc.attempt.String(), Deadline: tc.deadline}
-			quicktest.Check(t, keeper.OrphanReason(w, tc.picture, start), quicktest.Equals, tc.want)
+			quicktest.Check(t, keeper.OrphanReason(w, tc.state, start), quicktest.Equals, tc.want)
 		})
 	}
 }
@@ -76,7 +76,7 @@
 	self := keeper.Lease{Holder: "me", Incarnation: 1, Token: 7, Until: start.Add(time.Second)}
 	mine := keeper.Intent{Holder: "me", Incarnation: 1, Weights: "v2", Open: true}
 	other := keeper.Intent{Holder: "you", Incarnation: 9, Weights: "v1", Open: true}
-	sight := func(change func(*keeper.TargetState)) keeper.TargetState {
+	stateWith := func(change func(*keeper.TargetState)) keeper.TargetState {
 		s := keeper.TargetState{Now: start, OwnLease: self, Wanted: "v2", Loaded: "v1", Drained: true}
 		change(&s)
 		return s
@@ -101,13 +101,13 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			quicktest.Check(t, keeper.Decide(sight(tc.change)), quicktest.Equals, tc.want)
+			quicktest.Check(t, keeper.Decide(stateWith(tc.change)), quicktest.Equals, tc.want)
 		})
 	}
 }
 
 // bench is a hall with one engine and the keepers of two boxes.
-type bench struct {
+type testHall struct {
 	clock   *clock.Manual
 	engine  *standin.Engine
 	table   *table.Faulty
@@ -117,9 +117,9 @@
 	boxes   *standin.BoxList
 }
 
-func newBench(t *testing.T, target config.Target) *bench {
+func newTestHall(t *testing.T, target config.Target) *testHall {
 	c := quicktest.New(t)
-	b := &bench{clock: clock.NewManual(start), table: &table.Faulty{Table: &table.Memory{}}, boxes: &standin.BoxList{}}
+	b := &testHall{clock: clock.NewManual(start), table: &table.Faulty{Table: &table.Memory{}}, boxes: &standin.BoxList{}}
 	b.engine = &standin.Engine{Clock: b.clock, ChecksFence: target.ChecksFence}
 	server := httptest.NewServer(b.engine)
 	t.Cleanup(server.Close)
@@ -142,13 +142,13 @@
 	return b
 }
 
-func (b *bench) watcher() *keeper.Watcher {
+func (b *testHall) watcher() *keeper.Watcher {
 	w := &keeper.Watcher{Clock: b.clock, Hall: "h", Boxes: b.boxes, Members: func(context.Context) ([]member.Update, error) { return b.members, nil }}
 	w.Refresh(context.Background())
 	return w
 }
 
-func (b *bench) issuer(box barleystep.BoxID) *keeper.Issuer {
+func (b *testHall) issuer(box barleystep.BoxID) *keeper.Issuer {
 	return &keeper.Issuer{
 		Clock:         b.clock,
 		Hall:          "h",
@@ -165,10 +165,10 @@
 
 // TestPausedIssuerWakesUpLate lets an issuer announce an order and pause; its
 // successor gives none until it is known to be gone.
-func TestPausedIssuerWakesUpLate(t *testing.T) {
+func TestNoOrderWhilePausedIssuerMaySend(t *testing.T) {
 	ctx := context.Background()
 	c := quicktest.New(t)
-	b := newBench(t, config.Target{Drain: true, Weights: "v2"})
+	b := newTestHall(t, config.Target{Drain: true, Weights: "v2"})
 	first, second := b.issuer("b1"), b.issuer("b2")
 	// The announcement takes effect, its answer is lost, and the issuer pauses.
 	b.table.SetPlan(func(call table.Call) table.Failure {
@@ -194,10 +194,10 @@
 
 // TestIssuerThatLostItsLeaseGivesUpItsIntent checks that an issuer that wakes up
 // without its lease sends nothing, and frees the way for its successor.
-func TestIssuerThatLostItsLeaseGivesUpItsIntent(t *testing.T) {
+func TestIssuerClosesIntentAfterLosingLease(t *testing.T) {
 	ctx := context.Background()
 	c := quicktest.New(t)
-	b := newBench(t, config.Target{Drain: true, Weights: "v2"})
+	b := newTestHall(t, config.Target{Drain: true, Weights: "v2"})
 	first, second := b.issuer("b1"), b.issuer("b2")
 	b.table.SetPlan(func(call table.Call) table.Failure {
 		if call.Write() && call.Keys()[0] == "order/intent/h/e" {
@@ -217,10 +217,10 @@
 }
 
 // TestFencedTargetRefusesTheOldIssuer checks targets that check the token.
-func TestFencedTargetRefusesTheOldIssuer(t *testing.T) {
+func TestFencedTargetRefusesOldToken(t *testing.T) {
 	ctx := context.Background()
 	c := quicktest.New(t)
-	b := newBench(t, config.Target{Drain: true, Weights: "v2", ChecksFence: true})
+	b := newTestHall(t, config.Target{Drain: true, Weights: "v2", ChecksFence: true})
 	b.issuer("b1").Round(ctx)
 	c.Assert(b.engine.Weights(), quicktest.Equals, "v2")
 	e, _ := b.pool.Engine("e", true)
@@ -230,15 +230,15 @@
 }
 
 func TestNoOrderWhileWorkRuns(t *testing.T) {
-	b := newBench(t, config.Target{Weights: "v2"})
+	b := newTestHall(t, config.Target{Weights: "v2"})
 	b.issuer("b1").Round(context.Background())
 	quicktest.Check(t, b.engine.Orders(), quicktest.Equals, 0, quicktest.Commentf("the target is not drained"))
 }
 
-func TestSweeperKeepsWhatIsYoung(t *testing.T) {
+func TestSweeperKeepsUnexpiredClaims(t *testing.T) {
 	ctx := context.Background()
 	c := quicktest.New(t)
-	b := newBench(t, config.Target{})
+	b := newTestHall(t, config.Target{})
 	objects := &object.Memory{}
 	c.Assert(objects.Put(ctx, "o", nil), quicktest.IsNil)
 	for i, age := range []time.Duration{time.Hour, 23 * time.Hour, 25 * time.Hour} {
--- a/internal/keeper/order.go
+++ b/internal/keeper/order.go
@@ -75,7 +75,7 @@
 		return decideWithoutLease(s)
 	case s.ChecksFence:
 		return decideFenced(s)
-	case s.Intent.Open && s.mine():
+	case s.Intent.Open && s.ownsIntent():
 		return decideIntended(s)
 	case s.Intent.Open && !s.HolderEnded:
 		return StepWait
@@ -91,7 +91,7 @@
 // decideWithoutLease gives up what was announced: this box will not send it, and
 // the next issuer waits for that word.
 func decideWithoutLease(s TargetState) Step {
-	if s.Intent.Open && s.mine() {
+	if s.Intent.Open && s.ownsIntent() {
 		return StepCloseIntent
 	}
 	return StepNone
@@ -115,7 +115,7 @@
 	return StepSendIntended
 }
 
-func (s TargetState) mine() bool {
+func (s TargetState) ownsIntent() bool {
 	return s.Intent.Holder == s.OwnLease.Holder && s.Intent.Incarnation == s.OwnLease.Incarnation
 }
 
--- a/internal/keeper/clean.go
+++ b/internal/keeper/orphan.go
@@ -55,13 +55,13 @@
 	}
 	for _, m := range p.Members {
 		if m.Box == id.Box() {
-			return judgeBox(m, id, p)
+			return orphanReasonOfBox(m, id, p)
 		}
 	}
 	return ReasonNone
 }
 
-func judgeBox(m member.Update, id barleystep.AttemptID, p HallState) Reason {
+func orphanReasonOfBox(m member.Update, id barleystep.AttemptID, p HallState) Reason {
 	if m.Incarnation > id.Incarnation() {
 		return ReasonReplaced
 	}
--- a/internal/keeper/watcher.go
+++ b/internal/keeper/watcher.go
@@ -28,16 +28,16 @@
 	// Every is the time between looks; the default is 1 second.
 	Interval time.Duration
 
-	mu      sync.Mutex
-	picture HallState
+	mu    sync.Mutex
+	state HallState
 }
 
-const watchEvery = time.Second
+const defaultWatchInterval = time.Second
 
 // Serve watches until ctx ends.
 func (w *Watcher) Serve(ctx context.Context) error {
 	if w.Interval == 0 {
-		w.Interval = watchEvery
+		w.Interval = defaultWatchInterval
 	}
 	for {
 		w.Refresh(ctx)
@@ -53,7 +53,7 @@
 	members, err := w.Members(ctx)
 	if err == nil {
 		w.mu.Lock()
-		w.note(now, members)
+		w.setMembers(now, members)
 		w.mu.Unlock()
 	}
 	boxes, err := w.Boxes.Boxes(ctx)
@@ -66,30 +66,30 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.picture.Listed = listed
-	w.picture.ListedAt = now
+	w.state.Listed = listed
+	w.state.ListedAt = now
 }
 
-func (w *Watcher) note(now time.Time, members []member.Update) {
+func (w *Watcher) setMembers(now time.Time, members []member.Update) {
 	dead := make(map[barleystep.BoxID]time.Time)
 	for _, m := range members {
 		if m.Status != member.StatusDead {
 			continue
 		}
 		dead[m.Box] = now
-		if since, ok := w.picture.DeadSince[m.Box]; ok {
+		if since, ok := w.state.DeadSince[m.Box]; ok {
 			dead[m.Box] = since
 		}
 	}
-	w.picture.Members = members
-	w.picture.DeadSince = dead
+	w.state.Members = members
+	w.state.DeadSince = dead
 }
 
 // Picture returns the picture as it is known. It must not be changed.
 func (w *Watcher) State() HallState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.picture
+	return w.state
 }
 
 // Gone reports whether an incarnation of a box is known to have ended.
@@ -97,7 +97,7 @@
 	p := w.State()
 	for _, m := range p.Members {
 		if m.Box == id {
-			return judgeBox(m, barleystep.NewAttemptID(id, inc, 0), p) != ReasonNone
+			return orphanReasonOfBox(m, barleystep.NewAttemptID(id, inc, 0), p) != ReasonNone
 		}
 	}
 	return false
