--- a/internal/box/admin.go
+++ b/internal/box/admin.go
@@ -34,7 +34,7 @@
 
 	follower *version.Follower
 	listener *web.Server
-	top      *suture.Supervisor
+	tree     *suture.Supervisor
 }
 
 // adminGrace is how long calls may take after the stop.
@@ -73,9 +73,9 @@
 		Log:     a.Log,
 		Grace:   adminGrace,
 	}
-	a.top = supervisor.New("admin", a.Log, adminGrace)
-	a.top.Add(reader)
-	a.top.Add(a.listener)
+	a.tree = supervisor.New("admin", a.Log, adminGrace)
+	a.tree.Add(reader)
+	a.tree.Add(a.listener)
 }
 
 func (a *Admin) handler(s *admin.Service) http.Handler {
@@ -96,7 +96,7 @@
 func livez(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") }
 
 // Run serves until ctx ends. Build must have been called.
-func (a *Admin) Run(ctx context.Context) error { return a.top.Serve(ctx) }
+func (a *Admin) Run(ctx context.Context) error { return a.tree.Serve(ctx) }
 
 // Follower returns the configuration that the process knows.
 func (a *Admin) Follower() *version.Follower { return a.follower }
--- a/internal/box/entry.go
+++ b/internal/box/entry.go
@@ -43,9 +43,9 @@
 	server   *gate.Server
 	callers  *web.Server
 	// accepting is the listener for callers in the tree.
-	accepting suture.ServiceToken
-	admin     *web.Server
-	top       *suture.Supervisor
+	callersToken suture.ServiceToken
+	admin        *web.Server
+	tree         *suture.Supervisor
 }
 
 const logPrefix = "box: "
@@ -56,10 +56,10 @@
 	// endMargin is how long before the end of the grace, at most, all requests are answered
 	// that are still being served, and endPart the part of a short grace, as a divisor. The
 	// listener looks twice a second whether answers are on their way.
-	endMargin = time.Second
-	endPart   = 4
+	cancelMargin  = time.Second
+	cancelDivisor = 4
 	// pollEvery is how often a stopping box looks whether requests still run.
-	pollEvery = 20 * time.Millisecond
+	pollInterval = 20 * time.Millisecond
 )
 
 // Run serves until ctx ends. Then it announces the stop, gives the balancer its
@@ -67,42 +67,42 @@
 func (e *Entry) Run(ctx context.Context) error {
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	done := e.top.ServeBackground(work)
+	done := e.tree.ServeBackground(work)
 	select {
 	case err := <-done:
 		return err
 	case <-ctx.Done():
 	}
-	e.leave(work)
+	e.shutDown(work)
 	stop()
 	return <-done
 }
 
 // leave is the planned stop.
-func (e *Entry) leave(ctx context.Context) {
+func (e *Entry) shutDown(ctx context.Context) {
 	e.Log.Info().Msg(logPrefix + "Stopping. New callers are sent elsewhere.")
 	e.node.tracker.Leave()
 	e.server.BeginShutdown()
 	clock.Sleep(ctx, e.Clock, e.Settings.Limits.Notice.Or(defaultNotice))
-	e.finish(ctx)
+	e.drain(ctx)
 }
 
 // finish takes no more callers and lets requests finish for the grace, also those that boxes
 // of other halls have forwarded: what serves them goes on meanwhile. What could not be
 // answered within the grace is ended shortly before, so that its caller knows what became of
 // it.
-func (e *Entry) finish(ctx context.Context) {
+func (e *Entry) drain(ctx context.Context) {
 	grace := e.grace()
-	ending, cancel := clock.WithDeadline(ctx, e.Clock, e.Clock.Now().Add(grace-min(endMargin, grace/endPart)))
+	cancelCtx, cancel := clock.WithDeadline(ctx, e.Clock, e.Clock.Now().Add(grace-min(cancelMargin, grace/cancelDivisor)))
 	defer cancel()
-	defer context.AfterFunc(ending, e.server.CancelAll)()
+	defer context.AfterFunc(cancelCtx, e.server.CancelAll)()
 	ctx, cancel = clock.WithDeadline(ctx, e.Clock, e.Clock.Now().Add(grace))
 	defer cancel()
-	_ = e.top.RemoveAndWait(e.accepting, grace) // It has logged what it cut.
+	_ = e.tree.RemoveAndWait(e.callersToken, grace) // It has logged what it cut.
 	for e.Running() > 0 && ctx.Err() == nil {
-		clock.Sleep(ctx, e.Clock, pollEvery)
+		clock.Sleep(ctx, e.Clock, pollInterval)
 	}
-	clock.Sleep(ctx, e.Clock, pollEvery) // Answers leave a moment after their handlers.
+	clock.Sleep(ctx, e.Clock, pollInterval) // Answers leave a moment after their handlers.
 }
 
 // Build makes the parts of the process. It is called once; ctx bounds their
@@ -116,16 +116,16 @@
 	e.meter = e.Exporter.Meter()
 	id := barleystep.BoxID(e.Settings.Box.ID)
 	e.node = node{
-		settings: e.Settings,
-		clock:    e.Clock,
-		table:    e.Table,
-		objects:  e.Objects,
-		boxes:    e.Boxes,
-		meter:    e.meter,
-		log:      e.Log,
-		source:   identity.NewGenerator(id, identity.NewIncarnation(e.Clock)),
-		tls:      encryption,
-		advert:   e.Settings.Listen.Peers,
+		settings:       e.Settings,
+		clock:          e.Clock,
+		table:          e.Table,
+		objects:        e.Objects,
+		boxes:          e.Boxes,
+		meter:          e.meter,
+		log:            e.Log,
+		ids:            identity.NewGenerator(id, identity.NewIncarnation(e.Clock)),
+		tls:            encryption,
+		advertisedAddr: e.Settings.Listen.Peers,
 	}
 	e.endpoint = e.newEndpoint()
 	e.node.build(ctx, e.endpoint)
@@ -148,7 +148,7 @@
 	e.server.Hall = barleystep.HallID(e.Settings.Box.Hall)
 	e.server.Forwarder = e.node.forwarder()
 	handler := e.server.Handler()
-	e.node.serve(handler)
+	e.node.setHandlers(handler)
 	e.callers = e.newListener("callers", e.Settings.Listen.Callers, handler)
 	e.admin = e.newListener("admin", e.Settings.Listen.Admin, e.status())
 	poller := &capacity.Poller{
@@ -158,16 +158,16 @@
 		Engines:       targets,
 		Meter:         e.meter,
 	}
-	e.top = supervisor.New("entry", e.Log, e.grace())
+	e.tree = supervisor.New("entry", e.Log, e.grace())
 	for _, s := range []suture.Service{canceller, claims, limiter, e.endpoint, allocator, poller} {
-		e.top.Add(s)
+		e.tree.Add(s)
 	}
-	e.accepting = e.top.Add(e.callers)
+	e.callersToken = e.tree.Add(e.callers)
 	for _, s := range e.node.services() {
-		e.top.Add(s)
+		e.tree.Add(s)
 	}
 	if e.Settings.Listen.Admin != "" {
-		e.top.Add(e.admin)
+		e.tree.Add(e.admin)
 	}
 }
 
@@ -195,7 +195,7 @@
 func (e *Entry) newAllocator() *capacity.Allocator {
 	return &capacity.Allocator{
 		Clock:         e.Clock,
-		Box:           e.node.source.Box(),
+		Box:           e.node.ids.Box(),
 		Configuration: e.node.follower,
 		Membership:    e.node.tracker,
 		Local:         e.endpoint,
@@ -208,7 +208,7 @@
 func (e *Entry) newLimiter() *limit.Limiter {
 	return &limit.Limiter{
 		Clock:      e.Clock,
-		Box:        e.node.source.Box(),
+		Box:        e.node.ids.Box(),
 		Hall:       barleystep.HallID(e.Settings.Box.Hall),
 		Table:      e.Table,
 		Membership: e.node.tracker,
@@ -221,7 +221,7 @@
 	b.Table = e.node.relay
 	b.Objects = e.Objects
 	b.Clock = e.Clock
-	b.IDs = e.node.source
+	b.IDs = e.node.ids
 	b.Meter = e.meter
 	b.Log = e.Log
 	return b
@@ -231,7 +231,7 @@
 	l := e.Settings.Limits
 	return &gate.Server{
 		Clock:         e.Clock,
-		IDs:           e.node.source,
+		IDs:           e.node.ids,
 		Configuration: e.node.follower,
 		Allocator:     a,
 		Targets:       t,
--- a/internal/box/forward_test.go
+++ b/internal/box/forward_test.go
@@ -27,7 +27,7 @@
 )
 
 // halls is two halls with a box each; only the second has an engine.
-type halls struct {
+type testHalls struct {
 	engine  *standin.Engine
 	table   barleystep.Table
 	objects barleystep.ObjectStore
@@ -37,9 +37,9 @@
 	peers   settings.Peers
 }
 
-func newHalls(t *testing.T, peers settings.Peers) *halls {
+func newTestHalls(t *testing.T, peers settings.Peers) *testHalls {
 	c := quicktest.New(t)
-	h := &halls{peers: peers, engine: &standin.Engine{Clock: clock.System{}}, table: &table.Memory{}, objects: &object.Memory{}}
+	h := &testHalls{peers: peers, engine: &standin.Engine{Clock: clock.System{}}, table: &table.Memory{}, objects: &object.Memory{}}
 	server := httptest.NewServer(h.engine)
 	t.Cleanup(server.Close)
 	d, err := config.File{
@@ -67,7 +67,7 @@
 	return h
 }
 
-func (h *halls) start(t *testing.T, b barleystep.Box) {
+func (h *testHalls) start(t *testing.T, b barleystep.Box) {
 	exporter, err := metric.NewExporter()
 	quicktest.Assert(t, err, quicktest.IsNil)
 	e := &box.Entry{
@@ -111,7 +111,7 @@
 	}
 }
 
-func (h *halls) ask(t *testing.T, url string, header ...string) (*http.Response, string) {
+func (h *testHalls) post(t *testing.T, url string, header ...string) (*http.Response, string) {
 	body := `{"model":"m","stream":true,"max_tokens":2,"messages":[{"role":"user","content":"hello"}]}`
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url+"/v1/chat/completions", strings.NewReader(body))
 	quicktest.Assert(t, err, quicktest.IsNil)
@@ -136,9 +136,9 @@
 
 func testForward(t *testing.T, peers settings.Peers) {
 	c := quicktest.New(t)
-	h := newHalls(t, peers)
+	h := newTestHalls(t, peers)
 	first := "http://" + h.entries[0].CallersAddr()
-	resp, text := h.ask(t, first)
+	resp, text := h.post(t, first)
 	c.Check(resp.StatusCode, quicktest.Equals, http.StatusOK)
 	c.Check(resp.Trailer.Get("Barleystep-Outcome"), quicktest.Equals, "done")
 	c.Check(text, quicktest.Contains, "box-two")
@@ -146,13 +146,13 @@
 
 	// The claim is given back here and taken over there.
 	strict := []string{"Barleystep-Repeatable", "no", "Idempotency-Key", "once"}
-	_, text = h.ask(t, first, strict...)
-	_, again := h.ask(t, first, strict...)
+	_, text = h.post(t, first, strict...)
+	_, again := h.post(t, first, strict...)
 	c.Check(again, quicktest.Equals, text)
 	c.Check(h.engine.Runs(), quicktest.HasLen, 2)
 
 	// What was forwarded once goes no further.
-	resp, _ = h.ask(t, first, "Barleystep-Forwarded", "elsewhere")
+	resp, _ = h.post(t, first, "Barleystep-Forwarded", "elsewhere")
 	c.Check(resp.Header.Get("Barleystep-Outcome"), quicktest.Equals, "not-run")
 	c.Check(resp.Header.Get("Barleystep-Reason"), quicktest.Equals, "no_target")
 
@@ -169,22 +169,22 @@
 
 // TestNotRunComesBack checks that a request that the other hall did not run is
 // truthfully not run.
-func TestNotRunComesBack(t *testing.T) {
+func TestForwardedRequestNotRun(t *testing.T) {
 	c := quicktest.New(t)
-	h := newHalls(t, settings.Peers{Secret: "secret"})
+	h := newTestHalls(t, settings.Peers{Secret: "secret"})
 	h.engine.SetLeaving(true)
-	resp, _ := h.ask(t, "http://"+h.entries[0].CallersAddr(), "Barleystep-Time-Limit", "3s")
+	resp, _ := h.post(t, "http://"+h.entries[0].CallersAddr(), "Barleystep-Time-Limit", "3s")
 	c.Check(resp.Header.Get("Barleystep-Outcome"), quicktest.Equals, "not-run")
 	c.Check(h.engine.Runs(), quicktest.HasLen, 0)
 }
 
 // TestStopEnds checks that a planned stop answers what is not done by the end of the grace,
 // for callers as for boxes of other halls, and that the latter are not cut before.
-func TestStopEnds(t *testing.T) {
+func TestShutdownAnswersUnfinishedRequests(t *testing.T) {
 	for name, asked := range map[string]int{"caller": 1, "other hall": 0} {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			h := newHalls(t, settings.Peers{Secret: "secret"})
+			h := newTestHalls(t, settings.Peers{Secret: "secret"})
 			h.engine.Fault = func(string) standin.Fault { return standin.FaultHang }
 			go func() {
 				for len(h.engine.Runs()) == 0 {
@@ -192,7 +192,7 @@
 				}
 				h.stops[1]()
 			}()
-			resp, text := h.ask(t, "http://"+h.entries[asked].CallersAddr(), "Barleystep-Time-Limit", "30s")
+			resp, text := h.post(t, "http://"+h.entries[asked].CallersAddr(), "Barleystep-Time-Limit", "30s")
 			c.Check(resp.StatusCode, quicktest.Equals, http.StatusBadGateway)
 			c.Check(resp.Header.Get("Barleystep-Reason"), quicktest.Equals, string(barleystep.ReasonStopping), quicktest.Commentf("%s", text))
 		})
--- a/internal/box/keeper.go
+++ b/internal/box/keeper.go
@@ -34,7 +34,7 @@
 // Run looks after the targets until ctx ends.
 func (k *Keeper) Run(ctx context.Context) error {
 	id, hall := barleystep.BoxID(k.Settings.Box.ID), barleystep.HallID(k.Settings.Box.Hall)
-	source := identity.NewGenerator(id, identity.NewIncarnation(k.Clock))
+	ids := identity.NewGenerator(id, identity.NewIncarnation(k.Clock))
 	entry := k.Settings.Listen.Peers
 	encryption, err := peer.LoadTLS(k.Settings.Peers.Certificate, k.Settings.Peers.Key, k.Settings.Peers.Authority)
 	if err != nil {
@@ -55,7 +55,7 @@
 		Members: func(ctx context.Context) ([]member.Update, error) { return client.Members(ctx, entry) },
 	}
 	targets := &engine.Pool{Configuration: follower}
-	top := supervisor.New("keeper", k.Log, 0)
+	tree := supervisor.New("keeper", k.Log, 0)
 	for _, s := range []suture.Service{
 		&version.Subscriber{Clock: k.Clock, Follower: follower, Upstream: func() (version.Upstream, bool) { return client.Upstream(id) }, Meter: k.Meter},
 		watcher,
@@ -63,12 +63,12 @@
 			Clock: k.Clock, Box: id, Hall: hall, Configuration: follower, Targets: targets, Watcher: watcher, Meter: k.Meter, Log: k.Log,
 		},
 		&keeper.Issuer{
-			Clock: k.Clock, Hall: hall, IDs: source, Table: k.Table, Configuration: follower, Targets: targets, Watcher: watcher,
+			Clock: k.Clock, Hall: hall, IDs: ids, Table: k.Table, Configuration: follower, Targets: targets, Watcher: watcher,
 			Meter: k.Meter, Log: k.Log,
 		},
 		&keeper.Sweeper{Clock: k.Clock, Box: id, Table: k.Table, Objects: k.Objects, Watcher: watcher, Meter: k.Meter},
 	} {
-		top.Add(s)
+		tree.Add(s)
 	}
-	return top.Serve(ctx)
+	return tree.Serve(ctx)
 }
--- a/internal/box/node.go
+++ b/internal/box/node.go
@@ -23,22 +23,22 @@
 // node is a box's part in its hall: membership, the configuration in force and
 // the way to the other boxes.
 type node struct {
-	settings settings.Settings
-	clock    barleystep.Clock
-	table    barleystep.Table
-	objects  barleystep.ObjectStore
-	boxes    barleystep.BoxList
-	meter    *metric.Meter
-	log      *log.Logger
-	source   *identity.Generator
-	tls      *tls.Config // tls encrypts what boxes say; nil leaves it in the clear.
-	advert   string      // advert is the address at which the other boxes find the peer listener.
+	settings       settings.Settings
+	clock          barleystep.Clock
+	table          barleystep.Table
+	objects        barleystep.ObjectStore
+	boxes          barleystep.BoxList
+	meter          *metric.Meter
+	log            *log.Logger
+	ids            *identity.Generator
+	tls            *tls.Config // tls encrypts what boxes say; nil leaves it in the clear.
+	advertisedAddr string      // advert is the address at which the other boxes find the peer listener.
 
 	tracker  *member.Tracker
 	follower *version.Follower
 	reader   *version.Reader
 	client   *peer.Client
-	group    *table.Batcher
+	batcher  *table.Batcher
 	relay    *table.Relay
 	server   *peer.Server
 	listener *web.Server
@@ -48,7 +48,7 @@
 // capacity.
 func (n *node) build(ctx context.Context, endpoint *capacity.LocalEndpoint) {
 	n.follower = &version.Follower{Clock: n.clock, Meter: n.meter}
-	auth := peer.Auth{Secret: n.settings.Peers.Secret, Box: n.source.Box(), Clock: n.clock}
+	auth := peer.Auth{Secret: n.settings.Peers.Secret, Box: n.ids.Box(), Clock: n.clock}
 	n.tracker = &member.Tracker{
 		Clock:  n.clock,
 		Hall:   barleystep.HallID(n.settings.Box.Hall),
@@ -57,16 +57,16 @@
 		Log:    n.log,
 		OnGone: endpoint.RemoveBox,
 		Self: member.Update{
-			Box:         n.source.Box(),
-			Addr:        n.advert,
-			Incarnation: n.source.Incarnation(),
+			Box:         n.ids.Box(),
+			Addr:        n.advertisedAddr,
+			Incarnation: n.ids.Incarnation(),
 		},
 	}
 	n.client = &peer.Client{Auth: auth, Clock: n.clock, Addr: n.tracker.Addr, BaseContext: ctx, TLS: n.tls}
 	n.tracker.Sender = n.client
 	n.reader = &version.Reader{
 		Clock:      n.clock,
-		Box:        n.source.Box(),
+		Box:        n.ids.Box(),
 		Store:      &version.Store{Table: n.table, Objects: n.objects, Clock: n.clock, Meter: n.meter},
 		Follower:   n.follower,
 		Membership: n.tracker,
@@ -74,15 +74,15 @@
 		Meter:      n.meter,
 		Log:        n.log,
 	}
-	n.group = table.NewBatcher(n.table, n.clock)
-	n.relay = &table.Relay{Local: n.group, Box: n.source.Box(), Membership: n.tracker, Remote: n.client.Commit}
+	n.batcher = table.NewBatcher(n.table, n.clock)
+	n.relay = &table.Relay{Local: n.batcher, Box: n.ids.Box(), Membership: n.tracker, Remote: n.client.Commit}
 	n.server = &peer.Server{
 		Auth:     auth,
 		Clock:    n.clock,
 		Endpoint: endpoint,
 		Receiver: n.tracker,
 		Follower: n.follower,
-		Table:    n.group,
+		Table:    n.batcher,
 	}
 	n.listener = &web.Server{
 		Name:        "peers",
@@ -99,14 +99,14 @@
 
 // serve makes the peer listener answer, with the handler for callers' requests
 // that boxes of other halls forward.
-func (n *node) serve(callers http.Handler) {
+func (n *node) setHandlers(callers http.Handler) {
 	n.server.Forwarded = callers
 	n.listener.Handler = n.server.Handler()
 }
 
 // services returns what has to run. A box without a peer listener serves alone.
 func (n *node) services() []suture.Service {
-	list := []suture.Service{n.reader, n.tracker, n.group}
+	list := []suture.Service{n.reader, n.tracker, n.batcher}
 	if n.settings.Listen.Peers != "" {
 		list = append(list, n.listener)
 	}
