--- a/internal/keeper/cleaner.go
+++ b/internal/keeper/cleaner.go
@@ -131,12 +131,12 @@
 	if len(rows) == sweepBatchSize {
 		s.cursor = rows[len(rows)-1].Key()
 	}
-	s.deleteExpired(ctx, rows)
+	s.clear(ctx, rows)
 }
 
 // clear deletes the old rows of a batch in one transaction: answers first, so
 // that none is left without a row that names it.
-func (s *Sweeper) deleteExpired(ctx context.Context, rows []barleystep.Row) {
+func (s *Sweeper) clear(ctx context.Context, rows []barleystep.Row) {
 	retention := s.Retention
 	if retention == 0 {
 		retention = defaultRetention
