--- a/internal/table/batcher.go
+++ b/internal/table/batcher.go
@@ -10,21 +10,22 @@
 	"github.com/barleystep/barleystep/internal/clock"
 )
 
-// Group puts many small transactions into few large ones: the table service
-// takes some hundred writes a second, whatever their size. Transactions that
-// share no key are committed together; one whose condition does not hold is
-// taken out and told so, and the others go on. Its exported fields are set
-// before Serve; it is safe for concurrent use.
+// Batcher combines many small transactions into few large ones, because the table
+// service accepts only some hundred writes a second, whatever their size.
+// Transactions that share no key are committed together. One whose condition does
+// not hold is removed from the batch and gets ErrConflict; the others are
+// committed without it. Its exported fields are set before Serve; it is safe for
+// concurrent use.
 type Batcher struct {
 	Table barleystep.Table
 	Clock barleystep.Clock
-	// Every is the least time between two commits; the default is 50 ms. The
-	// first after a pause goes at once.
+	// Interval is the minimum time between two commits; the default is 50 ms. The
+	// first commit after an idle time is not delayed.
 	Interval time.Duration
-	// Most bounds the transactions in one commit; the default is 100.
+	// MaxTxns limits the transactions in one commit; the default is 100.
 	MaxTxns int
-	// Timeout bounds one commit, so that one that hangs does not hold up the next;
-	// the default is 5 seconds.
+	// Timeout limits the time of one commit, so that one that hangs does not block
+	// the next; the default is 5 seconds.
 	Timeout time.Duration
 
 	queue chan *pendingTxn
@@ -40,30 +41,30 @@
 	defaultMaxTxns       = 100
 	queueSize            = 4096
 	defaultCommitTimeout = 5 * time.Second
-	// groupRounds is how often conflicting transactions are taken out of a commit
-	// before the others go one by one.
+	// maxConflictRounds is how often a batch is retried without its conflicting
+	// transactions, before the others are committed one by one.
 	maxConflictRounds = 3
 )
 
 var _ barleystep.Table = (*Batcher)(nil)
 
-// NewGroup returns a group before the table.
+// NewBatcher returns a Batcher that commits to the table.
 func NewBatcher(t barleystep.Table, clk barleystep.Clock) *Batcher {
 	return &Batcher{Table: t, Clock: clk, queue: make(chan *pendingTxn, queueSize)}
 }
 
-// Read reads from the table behind.
+// Read reads from the table.
 func (g *Batcher) Read(ctx context.Context, keys ...string) ([]barleystep.Row, error) {
 	return g.Table.Read(ctx, keys...)
 }
 
-// Scan scans the table behind.
+// Scan scans the table.
 func (g *Batcher) Scan(ctx context.Context, prefix, after string, limit int) ([]barleystep.Row, error) {
 	return g.Table.Scan(ctx, prefix, after, limit)
 }
 
-// Commit commits t together with others. A caller that does not wait for the
-// answer cannot know the effect.
+// Commit commits t together with other transactions. It returns ErrUnavailable if
+// the queue is full, and ErrUnknownEffect if ctx ends before the answer.
 func (g *Batcher) Commit(ctx context.Context, t barleystep.Txn) error {
 	w := &pendingTxn{txn: t, done: make(chan error, 1)}
 	select {
@@ -90,7 +91,7 @@
 	if g.Timeout == 0 {
 		g.Timeout = defaultCommitTimeout
 	}
-	var deferred *pendingTxn // left shares a key with the last commit.
+	var deferred *pendingTxn // deferred shares a key with the last batch.
 	for {
 		batch, next := g.collect(ctx, deferred)
 		if batch == nil {
@@ -104,8 +105,8 @@
 	}
 }
 
-// collect waits for one transaction and takes along those that wait already, up
-// to the first that shares a key.
+// collect waits for one transaction and adds those that are queued, up to the first
+// that shares a key with the batch; that one is returned as deferred.
 func (g *Batcher) collect(ctx context.Context, first *pendingTxn) (batch []*pendingTxn, deferred *pendingTxn) {
 	if first == nil {
 		select {
@@ -131,7 +132,7 @@
 	return batch, nil
 }
 
-// claimKeys adds the keys of t, unless one is there.
+// addKeys adds the keys of t and returns true, unless one of them is present.
 func addKeys(keys map[string]bool, t barleystep.Txn) bool {
 	own := keysOf(t)
 	for k := range own {
@@ -156,7 +157,7 @@
 	return keys
 }
 
-// commit commits the batch and answers each of its transactions.
+// commit commits the batch and replies to each of its transactions.
 func (g *Batcher) commit(ctx context.Context, batch []*pendingTxn) {
 	ctx, cancel := clock.WithDeadline(ctx, g.Clock, g.Clock.Now().Add(g.Timeout))
 	defer cancel()
@@ -194,8 +195,9 @@
 	}
 }
 
-// takeOut answers the transactions whose conditions do not hold and returns the
-// others. A read that fails, or that shows no reason, takes nothing out.
+// rejectOutdated replies ErrConflict to the transactions whose conditions do not
+// hold and returns the others. If the read fails, or shows no outdated condition,
+// it returns the whole batch.
 func (g *Batcher) rejectOutdated(ctx context.Context, batch []*pendingTxn) []*pendingTxn {
 	var keys []string
 	for _, w := range batch {
@@ -222,8 +224,8 @@
 	return kept
 }
 
-// outdated reports whether a row is newer than a condition wants. A row that is
-// older may be a stale read, which proves nothing.
+// outdated reports whether a row is newer than a condition requires. An older row
+// does not count, as the read may be stale.
 func outdated(t barleystep.Txn, versions map[string]int64) bool {
 	for _, c := range t.Conditions {
 		if versions[c.Key()] > c.Version() {
--- a/internal/table/faulty.go
+++ b/internal/table/faulty.go
@@ -7,30 +7,30 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Failure is one way in which a call of a Faulty table goes wrong.
+// Failure is a way in which a call of a Faulty table fails.
 type Failure uint8
 
 // The failures of a Faulty table.
 const (
-	// FailureNone lets the call through.
+	// FailureNone passes the call on.
 	FailureNone Failure = iota
-	// FailureBefore answers ErrUnavailable and has no effect.
+	// FailureUnavailable returns ErrUnavailable; the call has no effect.
 	FailureUnavailable
-	// FailureAfter has the effect and loses the answer.
+	// FailureAnswerLost applies the commit and loses the answer.
 	FailureAnswerLost
-	// FailureLost has no effect yet and loses the answer; the commit takes
-	// effect when ReleaseLate is called.
+	// FailureDelayed loses the answer and has no effect yet; the commit is applied
+	// when ApplyDelayed is called.
 	FailureDelayed
-	// FailureHang waits until the context ends; there is no effect.
+	// FailureHang waits until the context ends; the call has no effect.
 	FailureHang
-	// FailureStale answers a read with the rows as they were at MarkStale.
+	// FailureStale answers a read with the rows as of the last MarkStale.
 	FailureStale
 )
 
-// Faulty wraps a table and fails its calls by plan. It is safe for concurrent
-// use.
+// Faulty wraps a table and injects failures into its calls. It is safe for
+// concurrent use.
 type Faulty struct {
-	// Table is the table behind; it must be set.
+	// Table is the wrapped table; it must be set.
 	Table barleystep.Table
 
 	mu      sync.Mutex
@@ -53,14 +53,15 @@
 
 var _ barleystep.Table = (*Faulty)(nil)
 
-// SetPlan sets what decides what happens to a call; nil fails nothing.
+// SetPlan sets the function that selects the failure of each call; with nil no call
+// fails.
 func (f *Faulty) SetPlan(plan func(call Call) Failure) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.plan = plan
 }
 
-// MarkStale keeps the rows with the keys as they are now, for FailureStale.
+// MarkStale saves the current rows with the keys, for FailureStale.
 func (f *Faulty) MarkStale(ctx context.Context, keys ...string) (err error) {
 	rows, err := f.Table.Read(ctx, keys...)
 	if err != nil {
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// ReleaseLate lets the lost commits take effect now and returns how many did.
+// ApplyDelayed applies the delayed commits and returns how many took effect.
 func (f *Faulty) ApplyDelayed(ctx context.Context) (applied int) {
 	f.mu.Lock()
 	delayed := f.delayed
@@ -89,7 +90,7 @@
 	return applied
 }
 
-// Read reads from the table behind unless the plan says otherwise.
+// Read reads from the wrapped table, or fails as planned.
 func (f *Faulty) Read(ctx context.Context, keys ...string) ([]barleystep.Row, error) {
 	switch f.failure(Call{keys: keys}) {
 	case FailureHang:
@@ -104,7 +105,7 @@
 	}
 }
 
-// Scan scans the table behind unless the plan says otherwise.
+// Scan scans the wrapped table, or fails as planned.
 func (f *Faulty) Scan(ctx context.Context, prefix, after string, limit int) ([]barleystep.Row, error) {
 	switch f.failure(Call{keys: []string{prefix}}) {
 	case FailureHang:
@@ -117,7 +118,7 @@
 	}
 }
 
-// Commit commits to the table behind unless the plan says otherwise.
+// Commit commits to the wrapped table, or fails as planned.
 func (f *Faulty) Commit(ctx context.Context, t barleystep.Txn) error {
 	switch f.failure(Call{write: true, keys: writtenKeys(t)}) {
 	case FailureUnavailable:
--- a/internal/table/memory.go
+++ b/internal/table/memory.go
@@ -1,5 +1,6 @@
 // Package table implements barleystep.Table: Memory for tests and the local
-// hall, and Faulty to make any other table fail.
+// hall, Batcher and Relay to combine commits, and Faulty to inject failures into
+// another table.
 package table
 
 import (
@@ -11,7 +12,8 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Memory keeps all rows in memory. Its zero value is an empty table.
+// Memory keeps all rows in memory. Its zero value is an empty table; it is safe
+// for concurrent use.
 type Memory struct {
 	mu      sync.Mutex
 	rows    map[string]barleystep.Row
@@ -22,7 +24,7 @@
 
 var _ barleystep.Table = (*Memory)(nil)
 
-// Read returns the present rows.
+// Read returns the current rows.
 func (m *Memory) Read(_ context.Context, keys ...string) ([]barleystep.Row, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -34,7 +36,8 @@
 	return rows, nil
 }
 
-// Scan returns the present rows below prefix.
+// Scan returns the current rows whose keys begin with prefix and follow after, in
+// the order of their keys and at most limit.
 func (m *Memory) Scan(_ context.Context, prefix, after string, limit int) ([]barleystep.Row, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -56,7 +59,7 @@
 	return rows, nil
 }
 
-// Commit applies t or returns ErrConflict.
+// Commit applies t, or returns ErrConflict if one of its conditions does not hold.
 func (m *Memory) Commit(_ context.Context, t barleystep.Txn) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/table/relay.go
+++ b/internal/table/relay.go
@@ -7,16 +7,15 @@
 	"github.com/barleystep/barleystep/internal/place"
 )
 
-// Relay hands transactions to the one box of the hall that groups them, so that
-// the table service sees a bounded number of commits from each hall, however
-// many boxes it has. Reads go straight to the table. Its exported fields are set
-// before use.
+// Relay forwards transactions to the one box of the hall that batches them, so
+// that the rate of commits from a hall is bounded, however many boxes it has.
+// Reads are not forwarded. Its exported fields are set before use.
 type Relay struct {
-	// Local groups the transactions on this box.
+	// Local batches the transactions on this box.
 	Local      barleystep.Table
 	Box        barleystep.BoxID
 	Membership barleystep.Membership
-	// Remote hands a transaction to another box.
+	// Remote commits a transaction at another box.
 	Remote func(ctx context.Context, id barleystep.BoxID, t barleystep.Txn) error
 }
 
@@ -32,8 +31,8 @@
 	return r.Local.Scan(ctx, prefix, after, limit)
 }
 
-// Commit commits t at the hall's writer. A writer that certainly did nothing is
-// passed over for this box's own group.
+// Commit commits t at the hall's writer box. If that box is known to have done
+// nothing with it, t is committed locally instead.
 func (r *Relay) Commit(ctx context.Context, t barleystep.Txn) error {
 	id := r.writerBox()
 	if id == r.Box {
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -18,7 +18,7 @@
 	"github.com/barleystep/barleystep/platform/platformtest"
 )
 
-// planner makes the calls of a table fail.
+// faultSetter sets which calls of a table fail.
 type faultSetter func(plan func(write bool) table.Failure)
 
 func faultSetterOf(f *table.Faulty) faultSetter {
@@ -31,7 +31,7 @@
 	}
 }
 
-// storeFaults are the failures as the platform's store shows them.
+// storeFaults maps failures to the faults of the platform's test store.
 var storeFaults = map[table.Failure]platformtest.Fault{
 	table.FailureNone:        platformtest.FaultNone,
 	table.FailureUnavailable: platformtest.FaultBusy,
@@ -40,7 +40,7 @@
 	table.FailureHang:        platformtest.FaultHang,
 }
 
-// tables returns all implementations, each before a table that can fail.
+// tables returns a constructor of each implementation, with failure injection.
 func tables(t *testing.T) map[string]func() (barleystep.Table, faultSetter) {
 	return map[string]func() (barleystep.Table, faultSetter){
 		"memory": func() (barleystep.Table, faultSetter) {
@@ -90,13 +90,13 @@
 	}
 }
 
-// TestContract holds every table to what the interface promises, fault by
-// fault: what the error says of the effect is true.
+// TestContract checks each implementation against the contract of barleystep.Table:
+// under every failure, the returned error is true about the effect.
 func TestContract(t *testing.T) {
 	cases := map[string]struct {
 		failure table.Failure
 		fault   barleystep.Fault
-		there   bool // there is whether the write took effect.
+		there   bool // there is set if the write took effect.
 	}{
 		"no fault":                {table.FailureNone, barleystep.FaultNone, true},
 		"error before the effect": {table.FailureUnavailable, barleystep.FaultUnavailable, false},
@@ -157,7 +157,8 @@
 	}
 }
 
-// TestGroupOutlivesAHang lets one commit hang; the next goes through.
+// TestBatcherContinuesAfterHang checks that a commit that hangs does not block the
+// next one.
 func TestBatcherContinuesAfterHang(t *testing.T) {
 	c := quicktest.New(t)
 	faulty := &table.Faulty{Table: &table.Memory{}}
@@ -171,8 +172,8 @@
 	c.Check(g.Commit(context.Background(), insert("k", "v")), quicktest.IsNil)
 }
 
-// TestGroup puts inserts of many goroutines into few commits; those that
-// conflict are told so, and only those.
+// TestBatcher checks that inserts of many goroutines are combined into few commits,
+// and that exactly those that conflict get ErrConflict.
 func TestBatcher(t *testing.T) {
 	c := quicktest.New(t)
 	ctx := context.Background()
