--- a/internal/claim/finish.go
+++ b/internal/claim/finish.go
@@ -9,20 +9,20 @@
 	"github.com/barleystep/barleystep/internal/clock"
 )
 
-// task is work on a row that goes on after its request has ended.
+// task writes the final row of a claim, if need be after its request has ended.
 type task struct {
 	request Request
 	machine Machine
-	// state and answer are what a sent claim came to; state is empty for a claim
-	// that was never sent.
+	// state and answer are the result of a claim that was sent; state is empty
+	// for a claim that was never sent.
 	state  State
 	answer []byte
 }
 
-// Finish records what became of a claim that was sent. The answer is stored
-// first, so that a row in StateDone always has one. It tries once, for no longer
-// than the request may take, and then in the background until the platform
-// takes it.
+// Finish records the outcome of a claim that was sent. The answer is stored
+// before the row is written, so that a row in StateDone always has one. Finish
+// tries once, for at most StoreTimeout and not beyond the request's deadline; after a
+// failure, Serve retries until the platform's stores accept the writes.
 func (c *Claim) Finish(ctx context.Context, o barleystep.Outcome, answer []byte) {
 	t := task{request: c.request, machine: c.machine, state: stateOf(o), answer: answer}
 	until := c.manager.Clock.Now().Add(c.manager.storeTimeout())
@@ -54,13 +54,13 @@
 	case b.tasks <- t:
 	default:
 		b.Meter.StoreFault("claim_finish", "queue_full")
-		b.Log.Warn().Str("account", t.request.Account).Msg(logPrefix + "Too many claims wait for the store.")
+		b.Log.Warn().Str("account", t.request.Account).Msg(logPrefix + "Queue of unsettled claims is full; a claim's outcome is not recorded.")
 	}
 }
 
 const logPrefix = "claim: "
 
-// Serve settles the claims that their requests left open, until ctx ends.
+// Serve settles unsettled claims in the background until ctx ends.
 func (b *Manager) Serve(ctx context.Context) error {
 	var wait sync.WaitGroup
 	for range workers {
@@ -81,7 +81,7 @@
 	}
 }
 
-// persist tries until the task is settled.
+// settleWithRetry retries with backoff until the task is settled or ctx ends.
 func (b *Manager) settleWithRetry(ctx context.Context, t task) {
 	for backoff := minBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		tryCtx, cancel := clock.WithDeadline(ctx, b.Clock, b.Clock.Now().Add(b.storeTimeout()))
@@ -93,7 +93,7 @@
 	}
 }
 
-// settle makes one try at writing the claim's final row.
+// settle tries once to write the claim's final row.
 func (b *Manager) settle(ctx context.Context, t task) error {
 	if t.state == "" {
 		return b.release(ctx, t)
@@ -109,8 +109,8 @@
 	return b.replaceHeld(ctx, t, final)
 }
 
-// withdraw gives up a claim that was never sent. A write of it may yet take
-// effect, which the exclusion prevents or the replacement undoes.
+// release ends a claim that was never sent. One of its writes may still take
+// effect: the write over BaseVersion prevents that, or replaceHeld undoes it.
 func (b *Manager) release(ctx context.Context, t task) error {
 	key := rowKey(t.request.Account, t.request.Key)
 	notRun := t.request.row(StateNotRun, t.machine.Nonce)
@@ -124,9 +124,8 @@
 	}
 }
 
-// replaceMine writes final over the held row of the claim. A row of another
-// claim is left alone, and a read that still shows the row's past is not
-// believed.
+// replaceHeld writes final over the held row of the claim. It leaves a row of
+// another claim unchanged, and returns errUnsettled for a stale read.
 func (b *Manager) replaceHeld(ctx context.Context, t task, final Row) error {
 	key := rowKey(t.request.Account, t.request.Key)
 	r, err := b.read(ctx, key)
@@ -146,8 +145,8 @@
 	return errUnsettled
 }
 
-// Expired reports whether a claim's row may be cleared: its holder has ended
-// and callers no longer retry.
+// Expired reports whether a claim's row may be deleted: its deadline is more than
+// keep ago, so that its holder has ended and callers no longer retry.
 func Expired(r Row, now time.Time, keep time.Duration) bool {
 	return now.Sub(r.Deadline) > keep
 }
--- a/internal/claim/manager.go
+++ b/internal/claim/manager.go
@@ -13,8 +13,8 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// Book makes and settles claims for one box. Its exported fields are set before
-// use; it is safe for concurrent use.
+// Manager makes and settles claims for one box. Its exported fields are set
+// before use; it is safe for concurrent use.
 type Manager struct {
 	Table   barleystep.Table
 	Objects barleystep.ObjectStore
@@ -22,16 +22,17 @@
 	IDs     *identity.Generator
 	Meter   *metric.Meter
 	Log     *log.Logger
-	// Patience is how long a claim waits for the store; the default is 2 seconds.
+	// StoreTimeout is how long a claim waits for the store; the default is
+	// 2 seconds.
 	StoreTimeout time.Duration
-	// Grace is added to a holder's deadline before it counts as gone; it covers
-	// the difference between boxes' clocks. The default is 5 seconds.
+	// Grace is added to a holder's deadline before the holder is taken to have
+	// ended; it covers clock skew between boxes. The default is 5 seconds.
 	Grace time.Duration
 
 	tasks chan task
 }
 
-// The defaults of a Book.
+// The defaults of a Manager, and its fixed limits.
 const (
 	DefaultStoreTimeout = 2 * time.Second
 	DefaultGrace        = 5 * time.Second
@@ -42,45 +43,45 @@
 	workers       = 16
 )
 
-// NewBook returns a book whose fields are yet to be set.
+// NewManager returns a Manager whose exported fields are still to be set.
 func NewManager() *Manager { return &Manager{tasks: make(chan task, taskQueueSize)} }
 
-// Request is what is claimed.
+// Request identifies the request that is claimed.
 type Request struct {
 	Account string
 	Key     string
-	// Digest is a hash of the request.
+	// Digest is a hash of the request's content.
 	Digest string
-	// Deadline is when the request will have ended.
+	// Deadline is the time by which the request has ended.
 	Deadline time.Time
 }
 
-// row returns the row of a claim of the request.
+// row returns the row that a claim of the request writes.
 func (r Request) row(s State, nonce string) Row {
 	return Row{State: s, Nonce: nonce, Digest: r.Digest, Deadline: r.Deadline}
 }
 
-// Claim is the right to send one request once.
+// Claim is the right to send a request once.
 type Claim struct {
 	manager *Manager
 	request Request
 	machine Machine
 }
 
-// Decision is the result of Book.Claim. Exactly one of its parts is set.
+// Decision is the result of Manager.Claim. Either the claim or the answer is set.
 type Decision struct {
 	claim  *Claim
 	answer []byte
 }
 
-// Claim returns the right to send, or nil.
+// Claim returns the right to send the request, or nil.
 func (d Decision) Claim() *Claim { return d.claim }
 
-// Answer returns the stored answer of an earlier run, or nil.
+// Answer returns the stored answer of an earlier execution, or nil.
 func (d Decision) Answer() []byte { return d.answer }
 
-// Claim decides whether this box may send the request. It returns a
-// *barleystep.Refusal if not.
+// Claim decides whether this box may send the request, or returns the answer that
+// an earlier execution stored. Otherwise the error is a *barleystep.Refusal.
 func (b *Manager) Claim(ctx context.Context, r Request) (d Decision, err error) {
 	m := b.decide(ctx, r)
 	if m.MayBeHeld && m.Verdict != VerdictSend {
@@ -92,7 +93,7 @@
 	return b.earlierResult(ctx, m)
 }
 
-// decide drives one claim to its verdict.
+// decide runs the protocol of one claim until it has a verdict.
 func (b *Manager) decide(ctx context.Context, r Request) Machine {
 	ctx, cancel := clock.WithDeadline(ctx, b.Clock, b.Clock.Now().Add(b.storeTimeout()))
 	defer cancel()
@@ -114,7 +115,7 @@
 	return m
 }
 
-// perform carries out one action and reports what came of it.
+// perform executes one action and returns its outcome as an input of Step.
 func (b *Manager) perform(ctx context.Context, r Request, m Machine, a Action) Input {
 	key := rowKey(r.Account, r.Key)
 	switch a {
@@ -161,7 +162,8 @@
 	}
 }
 
-// earlier answers a request whose key is held or was settled by another claim.
+// earlierResult returns the decision on a request whose claim did not get the
+// right to send: the stored answer of another claim, or a refusal.
 func (b *Manager) earlierResult(ctx context.Context, m Machine) (Decision, error) {
 	switch m.Verdict {
 	case VerdictDone:
@@ -216,5 +218,5 @@
 	return b.Grace
 }
 
-// errUnsettled is returned by a task that has to be tried again.
+// errUnsettled is returned by a task that has to be retried.
 var errUnsettled = eris.New("claim: not settled yet")
--- a/internal/claim/step.go
+++ b/internal/claim/step.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Phase is where a claim stands.
+// Phase is the state of the protocol of a claim.
 type Phase uint8
 
 // The phases of a claim.
@@ -13,38 +13,38 @@
 	PhaseRead
 	// PhaseTakeOver waits for the answer of a write over a row that was not run.
 	PhaseTakeOver
-	// PhaseExclude waits for the answer of a write that keeps an earlier one,
-	// whose answer was lost, from taking effect late.
+	// PhaseExclude waits for the answer of a write that prevents an earlier
+	// write, whose answer was lost, from taking effect late.
 	PhaseExclude
-	// PhaseEnded has a verdict.
+	// PhaseDecided means that the claim has a verdict.
 	PhaseDecided
 )
 
-// Verdict is how a claim was decided.
+// Verdict is the result of a claim.
 type Verdict uint8
 
 // The verdicts of a claim.
 const (
-	// VerdictNone means that the claim is still open.
+	// VerdictNone means that the claim is not decided yet.
 	VerdictNone Verdict = iota
 	// VerdictSend means that this box, and no other, may send the request once.
 	VerdictSend
 	// VerdictDone means that the answer is stored.
 	VerdictDone
-	// VerdictRunning means that another holder may still be at work.
+	// VerdictRunning means that another holder may still execute the request.
 	VerdictRunning
 	// VerdictFailed means that the request ran and failed earlier.
 	VerdictFailed
-	// VerdictUnknown means that nobody can tell whether the request ran.
+	// VerdictUnknown means that it can't be determined whether the request ran.
 	VerdictUnknown
-	// VerdictReused means that the key belongs to another request.
+	// VerdictKeyReused means that the key belongs to another request.
 	VerdictKeyReused
-	// VerdictRefused means that the store gave no answer in time; nothing was
-	// sent and nothing will be.
+	// VerdictStoreUnavailable means that the store was unavailable or gave no
+	// answer in time; nothing was sent and nothing will be.
 	VerdictStoreUnavailable
 )
 
-// Event is what the table answered to the last action.
+// Event is the outcome of the last action.
 type Event uint8
 
 // The events of a claim.
@@ -53,26 +53,27 @@
 	EventWritten Event = iota
 	// EventConflict means that the write's condition did not hold.
 	EventConflict
-	// EventUnavailable means that the call had no effect and never will.
+	// EventUnavailable means that the call has no effect, now or later.
 	EventUnavailable
-	// EventLost means that the write may have or may yet take effect.
+	// EventUnknownEffect means that the write may have taken effect or may still
+	// do so.
 	EventUnknownEffect
-	// EventRow brings the row.
+	// EventRow means that the row was read.
 	EventRow
-	// EventDeadline means that the request's time is up.
+	// EventDeadline means that the time for the claim has expired.
 	EventDeadline
 )
 
-// Input is an event with what it brings.
+// Input is an event with its data.
 type Input struct {
 	Event Event
 	// Row is the row of an EventRow.
 	Row Row
-	// Now is the time at which the event arrived.
+	// Now is the time at which the row of an EventRow was read.
 	Now time.Time
 }
 
-// Action is what has to be done next.
+// Action is the next action of a claim.
 type Action uint8
 
 // The actions of a claim.
@@ -83,10 +84,10 @@
 	ActionInsert
 	// ActionRead reads the row.
 	ActionRead
-	// ActionTakeOver writes the held row over the version in Base.
+	// ActionTakeOver writes the held row over the version in BaseVersion.
 	ActionTakeOver
-	// ActionExclude writes a not-run row over the version in Base, or where
-	// there is none if Base is zero.
+	// ActionExclude writes a not-run row over the version in BaseVersion, or
+	// inserts it if BaseVersion is zero.
 	ActionExclude
 )
 
@@ -97,15 +98,19 @@
 	// Nonce and Digest are those of the claim.
 	Nonce  string
 	Digest string
-	// Base is the version over which the open write goes, zero for none.
+	// BaseVersion is the version of the row that the pending write replaces; zero
+	// means that there must be no row.
 	BaseVersion int64
-	// Open is set while a held row of this claim may yet take effect, or has.
+	// MayBeHeld is set while a held row of this claim has taken effect or may
+	// still do so.
 	MayBeHeld bool
-	// Foreign is set while a row of another claim is known and not yet read.
+	// OtherClaim is set while a row of another claim is known to exist and has not
+	// been read as not run.
 	OtherClaim bool
 	// Row is the row that led to the verdict.
 	Row Row
-	// Grace is added to a holder's deadline before it counts as gone.
+	// Grace is added to a holder's deadline before the holder is taken to have
+	// ended.
 	Grace time.Duration
 }
 
@@ -114,7 +119,7 @@
 	return Machine{Nonce: nonce, Digest: digest, Grace: grace, MayBeHeld: true}, ActionInsert
 }
 
-// Step takes in one event and returns the next state and action. It is pure.
+// Step processes one event and returns the next state and action. It is pure.
 func Step(m Machine, in Input) (Machine, Action) {
 	if in.Event == EventDeadline {
 		return m.timeOut()
@@ -131,9 +136,9 @@
 	}
 }
 
-// giveUp ends a claim that the store left open for too long. Nothing was sent,
-// and nothing will be; but where another claim's row is known to exist, that
-// one may have run.
+// timeOut ends a claim for which the store did not answer in time. The claim
+// never sends its request. If another claim's row is known to exist, though, that
+// claim may have sent it, so the verdict is VerdictUnknown.
 func (m Machine) timeOut() (Machine, Action) {
 	if m.OtherClaim {
 		return m.end(VerdictUnknown)
@@ -173,8 +178,9 @@
 	}
 }
 
-// afterExclude: a conflict means that the row has changed since Base, so that
-// neither write can take effect any more; what the row holds is then final.
+// afterExclude handles the answer of an excluding write. A conflict means that
+// the row has changed since BaseVersion, so that neither write can take effect any
+// more, and the next current read settles whether the held row did.
 func (m Machine) afterExclude(in Input) (Machine, Action) {
 	switch in.Event {
 	case EventWritten:
@@ -199,15 +205,15 @@
 	case r.Nonce == m.Nonce && r.State == StateHeld:
 		return m.ownRow()
 	case m.MayBeHeld && r.Version() <= m.BaseVersion:
-		// The read is older than the write that excluded ours.
+		// The read is stale: it is older than the write that excluded this claim's.
 		return m.exclude()
 	}
 	m.MayBeHeld = false
 	return m.otherRow(r, in.Now)
 }
 
-// mine is the row of this claim: its write took effect although the answer was
-// lost. Only a claim with an open write can find it.
+// ownRow handles a held row of this claim: its write took effect although the
+// answer was lost. If MayBeHeld is not set, the read is stale and is repeated.
 func (m Machine) ownRow() (Machine, Action) {
 	if m.MayBeHeld {
 		return m.end(VerdictSend)
@@ -215,8 +221,8 @@
 	return m.read()
 }
 
-// absent is a stale read, or a row that was cleared: the claim starts again.
-// While an earlier write is open, it is first excluded.
+// absentRow handles a stale read or a deleted row: the claim starts again. If an
+// earlier write may still take effect, it is excluded first.
 func (m Machine) absentRow() (Machine, Action) {
 	m.BaseVersion = 0
 	if m.MayBeHeld {
--- a/internal/claim/step_test.go
+++ b/internal/claim/step_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	// Every run draws the same events.
+	// A fixed seed makes every run draw the same events.
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
 	}
@@ -24,18 +24,18 @@
 	os.Exit(m.Run())
 }
 
-// world is the table and the claimers of one key.
+// model simulates the table and the claimers of one key.
 type model struct {
 	row       claim.Row
 	version   int64
-	staleRows []claim.Row // past holds what stale reads may show.
+	staleRows []claim.Row // staleRows are the earlier rows that stale reads may return.
 	delayed   []delayedWrite
 	claimers  []*claimer
 	sends     int
 	now       time.Time
 }
 
-// lateWrite is a write whose answer was lost and that has not taken effect yet.
+// delayedWrite is a write whose answer was lost and that has not taken effect yet.
 type delayedWrite struct {
 	base int64
 	row  claim.Row
@@ -106,7 +106,7 @@
 	return claim.Input{Event: claim.EventRow, Row: r, Now: w.now}
 }
 
-// act lets a claimer do its next thing.
+// stepClaimer makes a claimer take its next step.
 func (w *model) stepClaimer(t *rapid.T, c *claimer) {
 	switch {
 	case c.crashed:
@@ -119,8 +119,8 @@
 	}
 }
 
-// send either sends the request, or finds that no target takes it and gives the
-// claim back.
+// send either sends the request, or finds that no target accepts it and releases
+// the claim.
 func (w *model) send(t *rapid.T, c *claimer) {
 	c.sent = true
 	mine := w.row.Nonce == c.machine.Nonce && w.row.State == claim.StateHeld
@@ -136,8 +136,9 @@
 	}
 }
 
-// TestStepRunsAtMostOnce drives claims of one key through lost and late writes,
-// stale reads, crashes and retries at other boxes.
+// TestStepRunsAtMostOnce guards against two executions of one request. It runs
+// claims of one key under random lost and delayed writes, stale reads, crashes and
+// retries at other boxes.
 func TestStepRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &model{now: start}
@@ -171,8 +172,8 @@
 	}
 }
 
-// checkVerdicts checks that nobody is told "refused" who holds the right to
-// send, and that a stored answer is only promised where there is one.
+// checkVerdicts checks that at most one claim holds the right to send, and that no
+// claim is told of a stored answer before the request was sent.
 func (w *model) checkVerdicts(t *rapid.T) {
 	senders := 0
 	for _, c := range w.claimers {
@@ -200,9 +201,9 @@
 		now     time.Time
 		verdict claim.Verdict
 	}{
-		"holder at work":             {held, start, claim.VerdictRunning},
+		"holder running":             {held, start, claim.VerdictRunning},
 		"holder within the grace":    {held, start.Add(grace), claim.VerdictRunning},
-		"holder gone":                {held, start.Add(grace + 1), claim.VerdictUnknown},
+		"holder ended":               {held, start.Add(grace + 1), claim.VerdictUnknown},
 		"done":                       {with(claim.StateDone, digest), start, claim.VerdictDone},
 		"failed":                     {with(claim.StateFailed, digest), start, claim.VerdictFailed},
 		"unknown":                    {with(claim.StateUnknown, digest), start, claim.VerdictUnknown},
