--- a/internal/keeper/cleaner.go
+++ b/internal/keeper/cleaner.go
@@ -13,8 +13,8 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// Cleaner frees engines of what nobody waits for. Its exported fields are set
-// before Serve.
+// Cleaner cancels orphaned attempts in the hall's engines. Its exported fields
+// are set before Serve.
 type Cleaner struct {
 	Clock         barleystep.Clock
 	Box           barleystep.BoxID
@@ -24,13 +24,13 @@
 	Watcher       *Watcher
 	Meter         *metric.Meter
 	Log           *log.Logger
-	// Every is the time between rounds; the default is 5 seconds.
+	// Interval is the time between rounds; the default is 5 seconds.
 	Interval time.Duration
 }
 
 const defaultCleanInterval = 5 * time.Second
 
-// Serve cleans until ctx ends.
+// Serve runs rounds until ctx ends.
 func (c *Cleaner) Serve(ctx context.Context) error {
 	if c.Interval == 0 {
 		c.Interval = defaultCleanInterval
@@ -38,8 +38,7 @@
 	return clock.Repeat(ctx, c.Clock, c.Interval, c.Round)
 }
 
-// Round looks once at each engine that is this box's to clean. Serve calls it;
-// tests may.
+// Round checks each engine that this box owns once. It is exported for tests.
 func (c *Cleaner) Round(ctx context.Context) {
 	v, _ := c.Configuration.View()
 	if v == nil {
@@ -73,7 +72,7 @@
 		}
 		c.Meter.AttemptCancelled(string(reason))
 		c.Log.Info().Str("target", string(id)).Str("attempt", w.Attempt).Str("reason", string(reason)).
-			Msg(logPrefix + "Left-over attempt cancelled.")
+			Msg(logPrefix + "Orphaned attempt cancelled.")
 	}
 }
 
@@ -84,8 +83,8 @@
 	return c.Interval
 }
 
-// Sweeper clears old claims from the table. Its exported fields are set before
-// Serve.
+// Sweeper deletes expired claims from the table. Its exported fields are set
+// before Serve.
 type Sweeper struct {
 	Clock   barleystep.Clock
 	Box     barleystep.BoxID
@@ -93,13 +92,14 @@
 	Objects barleystep.ObjectStore
 	Watcher *Watcher
 	Meter   *metric.Meter
-	// Keep is how long a claim is kept after its request's deadline; the default
-	// is 24 hours. No write may take effect later than that.
+	// Retention is how long a claim is kept after its request's deadline; the
+	// default is 24 hours. It must exceed the longest delay with which a write
+	// can take effect.
 	Retention time.Duration
-	// Every is the time between rounds; the default is 10 seconds.
+	// Interval is the time between rounds; the default is 10 seconds.
 	Interval time.Duration
 
-	cursor string // after is the key at which the next round goes on.
+	cursor string // cursor is the key after which the next round continues.
 }
 
 const (
@@ -108,7 +108,7 @@
 	sweepBatchSize       = 1_000
 )
 
-// Serve sweeps until ctx ends.
+// Serve runs rounds until ctx ends.
 func (s *Sweeper) Serve(ctx context.Context) error {
 	if s.Interval == 0 {
 		s.Interval = defaultSweepInterval
@@ -116,8 +116,8 @@
 	return clock.Repeat(ctx, s.Clock, s.Interval, s.Round)
 }
 
-// Round looks at one batch of rows if this box is the sweeper. Serve calls it;
-// tests may.
+// Round scans one batch of rows if this box owns the sweep. It is exported for
+// tests.
 func (s *Sweeper) Round(ctx context.Context) {
 	if s.Watcher.State().owner("sweep") != s.Box {
 		return
@@ -134,8 +134,8 @@
 	s.clear(ctx, rows)
 }
 
-// clear deletes the old rows of a batch in one transaction: answers first, so
-// that none is left without a row that names it.
+// clear deletes the expired rows of a batch in one transaction. Stored answers
+// are deleted first, so that none remains without a row that names it.
 func (s *Sweeper) clear(ctx context.Context, rows []barleystep.Row) {
 	retention := s.Retention
 	if retention == 0 {
--- a/internal/keeper/cleaner_test.go
+++ b/internal/keeper/cleaner_test.go
@@ -17,9 +17,9 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// TestMemoryIsFreeInTheEnd abandons thousands of attempts at an engine with
-// counted memory, while boxes die and start anew all along. What live boxes run
-// is left alone; in the end all memory is free.
+// TestCleanersFreeAllMemory abandons 3,000 attempts at an engine that counts
+// its memory, while boxes restart. Attempts of live incarnations must survive
+// the cleaners; once all boxes have restarted, no memory may be in use.
 func TestCleanersFreeAllMemory(t *testing.T) {
 	const attempts, boxes = 3_000, 4
 	c := quicktest.New(t)
@@ -29,7 +29,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	e, _ := b.pool.Engine("e", false)
 	incarnations := make([]barleystep.Incarnation, boxes)
-	live := make(map[string]int) // live maps the attempts of live boxes to their box.
+	live := make(map[string]int) // live maps the attempts of live incarnations to their box.
 	w := b.watcher()
 	cleaners := []*keeper.Cleaner{b.cleaner("b1", w), b.cleaner("b2", w)}
 	for n := range uint64(attempts) {
@@ -66,7 +66,7 @@
 	c.Check(b.engine.UsedTokens(), quicktest.Equals, 0)
 }
 
-// holds returns the attempts that the engine holds memory for.
+// heldAttempts returns the attempts for which the engine holds memory.
 func heldAttempts(t *testing.T, e barleystep.Engine) map[string]bool {
 	work, err := e.List(context.Background())
 	quicktest.Assert(t, err, quicktest.IsNil)
@@ -84,7 +84,7 @@
 	}
 }
 
-// clean lets all keepers look at the engine once, with the boxes as they are.
+// runCleaners refreshes the membership and runs one round of each cleaner.
 func (b *testHall) runCleaners(w *keeper.Watcher, cleaners []*keeper.Cleaner, incarnations []barleystep.Incarnation) {
 	members := b.members[:2:2]
 	for i, inc := range incarnations {
--- a/internal/keeper/issuer.go
+++ b/internal/keeper/issuer.go
@@ -13,8 +13,8 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// Issuer gives the hall's orders while its box holds the lease. Its exported
-// fields are set before Serve.
+// Issuer orders the hall's targets to load weights while its box holds the
+// lease. Its exported fields are set before Serve.
 type Issuer struct {
 	Clock         barleystep.Clock
 	Hall          barleystep.HallID
@@ -25,43 +25,45 @@
 	Watcher       *Watcher
 	Meter         *metric.Meter
 	Log           *log.Logger
-	// Every is the time between rounds, and Pause the least time between two
-	// orders, as the weight store's rate is limited; the defaults are 2 and 10
-	// seconds.
+	// Interval is the time between rounds; the default is 2 seconds.
+	// OrderInterval is the minimum time between two orders, because the weight
+	// store is rate-limited; the default is 10 seconds.
 	Interval      time.Duration
 	OrderInterval time.Duration
 
 	lease     Lease
-	lastOrder time.Time // ordered is when the last order was sent.
-	// unsure says until when an order whose answer was lost may yet arrive.
+	lastOrder time.Time // lastOrder is when the last order was sent.
+	// uncertainUntil is the time until which an order whose answer was lost may
+	// still arrive at a target.
 	uncertainUntil map[barleystep.TargetID]time.Time
-	// announced names the targets for which this box may have an open intent.
+	// openIntents is the set of targets for which this box may have an open intent.
 	openIntents map[barleystep.TargetID]bool
 }
 
 const (
 	defaultIssueInterval = 2 * time.Second
 	defaultOrderInterval = 10 * time.Second
-	// leaseLife is how long a lease lasts; it is renewed in every round.
+	// leaseDuration is how long a lease is valid; it is renewed in every round.
 	leaseDuration = 15 * time.Second
-	// leaseGrace is added before another box takes a lease over.
+	// leaseGrace is how long after its expiry another box may take a lease over.
 	leaseGrace = 5 * time.Second
-	// orderLife is how long an order whose answer was lost may take to arrive.
+	// maxOrderDelay is how long an order whose answer was lost may take to arrive.
 	maxOrderDelay = time.Minute
 )
 
 func (g *Issuer) leaseKey() string { return "order/lease/" + string(g.Hall) }
 
-// intentPrefix begins the keys of the hall's intents, so that one scan reads
-// them all.
+// intentPrefix returns the common prefix of the keys of the hall's intents, so
+// that one scan reads them all.
 func (g *Issuer) intentPrefix() string { return "order/intent/" + string(g.Hall) + "/" }
 
 func (g *Issuer) intentKey(id barleystep.TargetID) string { return g.intentPrefix() + string(id) }
 
-// maxIntents bounds the targets of a hall that have ever had an intent.
+// maxIntents limits how many intents a scan returns: one for each target of the
+// hall that ever had one.
 const maxIntents = 10_000
 
-// Serve gives orders until ctx ends.
+// Serve runs rounds until ctx ends.
 func (g *Issuer) Serve(ctx context.Context) error {
 	if g.Interval == 0 {
 		g.Interval = defaultIssueInterval
@@ -72,7 +74,7 @@
 	return clock.Repeat(ctx, g.Clock, g.Interval, g.Round)
 }
 
-// Round looks at each target once. Serve calls it; tests may.
+// Round checks each target once. It is exported for tests.
 func (g *Issuer) Round(ctx context.Context) {
 	v, _ := g.Configuration.View()
 	if v == nil || !g.hasDesiredWeights(v) {
@@ -90,7 +92,7 @@
 	}
 }
 
-// intents reads the hall's intent rows by their keys.
+// intents returns the hall's intent rows by key.
 func (g *Issuer) intents(ctx context.Context) (map[string]barleystep.Row, error) {
 	rows, err := g.Table.Scan(ctx, g.intentPrefix(), "", maxIntents)
 	if err != nil {
@@ -108,12 +110,13 @@
 	return v.Targets(func(t config.Target) bool { return t.Hall == string(g.Hall) && t.Weights != "" })
 }
 
-// wanted reports whether any target has a desired state; without one the lease
-// is not worth its writes.
+// hasDesiredWeights reports whether any target has configured weights. Without
+// one, no lease is taken, which saves its writes.
 func (g *Issuer) hasDesiredWeights(v *config.View) bool { return len(g.targets(v)) > 0 }
 
-// hold takes or renews the lease. A write whose answer was lost is looked at
-// again in the next round; until then there is no lease.
+// acquireLease takes or renews the lease and reports whether this box holds it.
+// A write whose answer was lost is resolved by the next round's read; until
+// then only the time of an earlier lease counts.
 func (g *Issuer) acquireLease(ctx context.Context) bool {
 	now := g.Clock.Now()
 	rows, err := g.Table.Read(ctx, g.leaseKey())
@@ -123,7 +126,7 @@
 	}
 	current, err := decode[Lease](rows[0])
 	if err != nil {
-		g.Log.Error().Err(err).Msg(logPrefix + "The lease can't be read.")
+		g.Log.Error().Err(err).Msg(logPrefix + "Lease row can't be decoded.")
 		return false
 	}
 	mine := current.Holder == g.IDs.Box() && current.Incarnation == g.IDs.Incarnation()
@@ -152,7 +155,7 @@
 	return true
 }
 
-// look takes one step about one target.
+// checkTarget reads the state of one target and takes the next step.
 func (g *Issuer) checkTarget(ctx context.Context, t config.Target, row barleystep.Row) {
 	id := barleystep.TargetID(t.ID)
 	e, ok := g.Targets.Engine(id, true)
@@ -165,7 +168,7 @@
 	}
 	intent, err := decode[Intent](row)
 	if err != nil {
-		g.Log.Error().Err(err).Msg(logPrefix + "An intent can't be read.")
+		g.Log.Error().Err(err).Msg(logPrefix + "Intent row can't be decoded.")
 		return
 	}
 	self := g.lease
@@ -209,7 +212,8 @@
 	g.openIntents[id] = open
 }
 
-// closeIntent needs no lease: only the holder closes its own intent.
+// closeIntent closes this box's own intent. It needs no lease, as no other box
+// closes it.
 func (g *Issuer) closeIntent(ctx context.Context, id barleystep.TargetID, rowVersion int64, i Intent) {
 	i.Open = false
 	err := g.Table.Commit(ctx, barleystep.Txn{
@@ -221,8 +225,8 @@
 	}
 }
 
-// writeIntent writes the intent if nobody else has, and if the lease is still
-// this box's in the table.
+// writeIntent writes the intent on condition that the intent row is unchanged
+// and that the table still shows this box's lease. It reports success.
 func (g *Issuer) writeIntent(ctx context.Context, id barleystep.TargetID, rowVersion int64, i Intent) bool {
 	g.setIntentOpen(id, true)
 	rows, err := g.Table.Read(ctx, g.leaseKey())
@@ -242,7 +246,7 @@
 	return err == nil
 }
 
-// send sends an order, spread over time.
+// send sends an order unless the last one was sent within OrderInterval.
 func (g *Issuer) send(ctx context.Context, id barleystep.TargetID, e barleystep.Engine, o barleystep.Order) {
 	now := g.Clock.Now()
 	if now.Sub(g.lastOrder) < g.OrderInterval && !g.lastOrder.IsZero() {
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -36,27 +36,27 @@
 		state    keeper.HallState
 		want     keeper.Reason
 	}{
-		"of a live box": {barleystep.NewAttemptID("b", 5, 1), time.Time{}, keeper.HallState{Members: []member.Update{alive}}, keeper.ReasonNone},
-		"of an earlier start": {
+		"live box": {barleystep.NewAttemptID("b", 5, 1), time.Time{}, keeper.HallState{Members: []member.Update{alive}}, keeper.ReasonNone},
+		"earlier incarnation": {
 			barleystep.NewAttemptID("b", 4, 1), time.Time{}, keeper.HallState{Members: []member.Update{alive}}, keeper.ReasonReplaced,
 		},
-		"of a later start than is known": {
+		"later incarnation than known": {
 			barleystep.NewAttemptID("b", 6, 1), time.Time{}, keeper.HallState{Members: []member.Update{dead}, DeadSince: seen, ListedAt: start.Add(1)}, keeper.ReasonNone,
 		},
-		"of a silent box that is listed": {
+		"dead box, listed": {
 			barleystep.NewAttemptID("b", 5, 1), time.Time{},
 			keeper.HallState{Members: []member.Update{dead}, DeadSince: seen, ListedAt: start.Add(1), Listed: map[barleystep.BoxID]bool{"b": true}},
 			keeper.ReasonNone,
 		},
-		"of a silent box, list not read since": {
+		"dead box, list older than its death": {
 			barleystep.NewAttemptID("b", 5, 1), time.Time{},
 			keeper.HallState{Members: []member.Update{dead}, DeadSince: seen, ListedAt: start.Add(-1)}, keeper.ReasonNone,
 		},
-		"of a silent box that is not listed": {
+		"dead box, not listed": {
 			barleystep.NewAttemptID("b", 5, 1), time.Time{},
 			keeper.HallState{Members: []member.Update{dead}, DeadSince: seen, ListedAt: start.Add(1)}, keeper.ReasonGone,
 		},
-		"of a box of elsewhere": {barleystep.NewAttemptID("c", 5, 1), time.Time{}, keeper.HallState{}, keeper.ReasonNone},
+		"box of another hall": {barleystep.NewAttemptID("c", 5, 1), time.Time{}, keeper.HallState{}, keeper.ReasonNone},
 		"long after its deadline": {
 			barleystep.NewAttemptID("b", 5, 1), start.Add(-time.Minute), keeper.HallState{Members: []member.Update{alive}}, keeper.ReasonDeadline,
 		},
@@ -85,19 +85,19 @@
 		change func(*keeper.TargetState)
 		want   keeper.Step
 	}{
-		"announces first":                      {func(*keeper.TargetState) {}, keeper.StepWriteIntent},
-		"sends what it announced":              {func(s *keeper.TargetState) { s.Intent = mine }, keeper.StepSendIntended},
-		"closes when it is done":               {func(s *keeper.TargetState) { s.Intent, s.Loaded = mine, "v2" }, keeper.StepCloseIntent},
-		"waits for a paused issuer":            {func(s *keeper.TargetState) { s.Intent = other }, keeper.StepWait},
-		"waits although all is well":           {func(s *keeper.TargetState) { s.Intent, s.Loaded = other, "v2" }, keeper.StepWait},
-		"goes on when that one is gone":        {func(s *keeper.TargetState) { s.Intent, s.HolderEnded = other, true }, keeper.StepWriteIntent},
-		"waits for running work":               {func(s *keeper.TargetState) { s.Drained = false }, keeper.StepWait},
-		"nothing to do":                        {func(s *keeper.TargetState) { s.Loaded = "v2" }, keeper.StepNone},
-		"lease has lapsed":                     {func(s *keeper.TargetState) { s.Now = self.Until }, keeper.StepNone},
-		"lease has lapsed, own intent open":    {func(s *keeper.TargetState) { s.Now, s.Intent = self.Until, mine }, keeper.StepCloseIntent},
-		"lease has lapsed, other intent open":  {func(s *keeper.TargetState) { s.Now, s.Intent = self.Until, other }, keeper.StepNone},
-		"target checks the token":              {func(s *keeper.TargetState) { s.ChecksFence = true }, keeper.StepSend},
-		"target checks the token, others open": {func(s *keeper.TargetState) { s.ChecksFence, s.Intent = true, other }, keeper.StepSend},
+		"writes the intent first":                    {func(*keeper.TargetState) {}, keeper.StepWriteIntent},
+		"sends the intended order":                   {func(s *keeper.TargetState) { s.Intent = mine }, keeper.StepSendIntended},
+		"closes after loading":                       {func(s *keeper.TargetState) { s.Intent, s.Loaded = mine, "v2" }, keeper.StepCloseIntent},
+		"waits for a paused issuer":                  {func(s *keeper.TargetState) { s.Intent = other }, keeper.StepWait},
+		"waits although loaded":                      {func(s *keeper.TargetState) { s.Intent, s.Loaded = other, "v2" }, keeper.StepWait},
+		"continues after the holder ended":           {func(s *keeper.TargetState) { s.Intent, s.HolderEnded = other, true }, keeper.StepWriteIntent},
+		"waits for running work":                     {func(s *keeper.TargetState) { s.Drained = false }, keeper.StepWait},
+		"nothing to do":                              {func(s *keeper.TargetState) { s.Loaded = "v2" }, keeper.StepNone},
+		"lease expired":                              {func(s *keeper.TargetState) { s.Now = self.Until }, keeper.StepNone},
+		"lease expired, own intent open":             {func(s *keeper.TargetState) { s.Now, s.Intent = self.Until, mine }, keeper.StepCloseIntent},
+		"lease expired, other intent open":           {func(s *keeper.TargetState) { s.Now, s.Intent = self.Until, other }, keeper.StepNone},
+		"target checks the token":                    {func(s *keeper.TargetState) { s.ChecksFence = true }, keeper.StepSend},
+		"target checks the token, other intent open": {func(s *keeper.TargetState) { s.ChecksFence, s.Intent = true, other }, keeper.StepSend},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -106,7 +106,7 @@
 	}
 }
 
-// bench is a hall with one engine and the keepers of two boxes.
+// testHall is a hall with one engine and the keepers of two boxes.
 type testHall struct {
 	clock   *clock.Manual
 	engine  *standin.Engine
@@ -163,14 +163,15 @@
 	}
 }
 
-// TestPausedIssuerWakesUpLate lets an issuer announce an order and pause; its
-// successor gives none until it is known to be gone.
+// TestNoOrderWhilePausedIssuerMaySend guards against two issuers that order the
+// same target: the first pauses after it wrote its intent, and its successor
+// sends nothing until the first is known to have ended.
 func TestNoOrderWhilePausedIssuerMaySend(t *testing.T) {
 	ctx := context.Background()
 	c := quicktest.New(t)
 	b := newTestHall(t, config.Target{Drain: true, Weights: "v2"})
 	first, second := b.issuer("b1"), b.issuer("b2")
-	// The announcement takes effect, its answer is lost, and the issuer pauses.
+	// The write of the intent takes effect, its answer is lost, and the issuer pauses.
 	b.table.SetPlan(func(call table.Call) table.Failure {
 		if call.Write() && len(call.Keys()) > 0 && call.Keys()[0] == "order/intent/h/e" {
 			return table.FailureAnswerLost
@@ -192,8 +193,8 @@
 	c.Check(b.engine.Orders(), quicktest.Equals, 1)
 }
 
-// TestIssuerThatLostItsLeaseGivesUpItsIntent checks that an issuer that wakes up
-// without its lease sends nothing, and frees the way for its successor.
+// TestIssuerClosesIntentAfterLosingLease checks that an issuer that resumes
+// without its lease sends nothing and closes its intent for its successor.
 func TestIssuerClosesIntentAfterLosingLease(t *testing.T) {
 	ctx := context.Background()
 	c := quicktest.New(t)
@@ -216,7 +217,8 @@
 	c.Check(b.engine.Orders(), quicktest.Equals, 1)
 }
 
-// TestFencedTargetRefusesTheOldIssuer checks targets that check the token.
+// TestFencedTargetRefusesOldToken checks that a target that checks fencing
+// tokens gets its order without an intent and refuses an older token.
 func TestFencedTargetRefusesOldToken(t *testing.T) {
 	ctx := context.Background()
 	c := quicktest.New(t)
--- a/internal/keeper/order.go
+++ b/internal/keeper/order.go
@@ -9,8 +9,8 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Lease is the row that says which box gives orders in a hall. Its token grows
-// with every holder, and goes with every order.
+// Lease is the row that names the box that issues orders in a hall. Its fencing
+// token increases with each new holder and is sent with every order.
 type Lease struct {
 	Holder      barleystep.BoxID       `json:"holder"`
 	Incarnation barleystep.Incarnation `json:"incarnation"`
@@ -18,9 +18,9 @@
 	Until       time.Time              `json:"until"`
 }
 
-// Intent is the row that announces an order to a target that does not check
-// fencing tokens. While it is open, its holder may send the order at any time,
-// however late it wakes up.
+// Intent is the row that is written before an order to a target that does not
+// check fencing tokens. While it is open, its holder may send the order at any
+// time, even after a long pause of its process.
 type Intent struct {
 	Holder      barleystep.BoxID       `json:"holder"`
 	Incarnation barleystep.Incarnation `json:"incarnation"`
@@ -29,42 +29,45 @@
 	Open        bool                   `json:"open"`
 }
 
-// Step is what an issuer does next about one target.
+// Step is the next action of an issuer for one target.
 type Step uint8
 
 // The steps of an issuer.
 const (
-	// StepNothing leaves the target as it is.
+	// StepNone does nothing.
 	StepNone Step = iota
-	// StepWait waits: the target still works, or another's order may yet come.
+	// StepWait waits: the target still has work, or another issuer may yet send
+	// its order.
 	StepWait
-	// StepSend sends the order: the target checks its token.
+	// StepSend sends the order without an intent, as the target checks the token.
 	StepSend
-	// StepIntend writes the intent.
+	// StepWriteIntent writes the intent.
 	StepWriteIntent
-	// StepSendIntended sends the order that the own open intent announces.
+	// StepSendIntended sends the order of this issuer's own open intent.
 	StepSendIntended
-	// StepClose closes the own intent: the target has what was ordered, or the
-	// lease is lost and nothing more will be sent.
+	// StepCloseIntent closes this issuer's own intent: the target has loaded
+	// the ordered weights, or the lease is lost and no order will be sent.
 	StepCloseIntent
 )
 
-// Sight is what an issuer sees of one target.
+// TargetState is the input of Decide for one target.
 type TargetState struct {
 	Now time.Time
-	// Self is the issuer with the lease that it holds.
+	// OwnLease is the lease as this issuer last held it, with its box and
+	// incarnation as the holder.
 	OwnLease Lease
-	// Wanted and Loaded are the versions of the model.
+	// Wanted and Loaded are the configured and the loaded version of the weights.
 	Wanted string
 	Loaded string
-	// Idle is set when the target is drained and holds no work.
+	// Drained is set when the target is drained and has no work.
 	Drained bool
-	// Checks is set for a target that refuses old fencing tokens.
+	// ChecksFence is set for a target that refuses old fencing tokens.
 	ChecksFence bool
-	// Intent is the target's intent row, a zero value if there is none.
+	// Intent is the target's intent row; zero if there is none.
 	Intent Intent
-	// HolderGone is set when the intent's holder is known to have ended: another
-	// incarnation of its box has started, or the platform no longer lists it.
+	// HolderEnded is set when the intent's holder is known to have ended: a later
+	// incarnation of its box has started, or the box is dead and the platform no
+	// longer lists it.
 	HolderEnded bool
 }
 
@@ -88,8 +91,8 @@
 	}
 }
 
-// decideWithoutLease gives up what was announced: this box will not send it, and
-// the next issuer waits for that word.
+// decideWithoutLease closes this issuer's open intent: the order will not be
+// sent, and the next issuer waits until the intent is closed.
 func decideWithoutLease(s TargetState) Step {
 	if s.Intent.Open && s.ownsIntent() {
 		return StepCloseIntent
@@ -132,7 +135,7 @@
 func encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // Leases and intents have plain types.
+		panic(err) // Unreachable: leases and intents have only plain types.
 	}
 	return data
 }
--- a/internal/keeper/orphan.go
+++ b/internal/keeper/orphan.go
@@ -1,7 +1,8 @@
-// Package keeper looks after the targets of a hall: it frees what dead boxes
-// have left in engines, clears old rows from the table, and gives orders to
-// load models. Each duty at a target is one box's at a time; the others could
-// take it over at any moment, and two at once do no harm.
+// Package keeper maintains the targets of a hall: it cancels attempts that
+// ended boxes left in engines, deletes expired claims from the table, and
+// orders targets to load model weights. Each of these jobs is owned by one box
+// at a time. Any other box can take a job over at any time, and two boxes that
+// do the same job at once do no harm.
 package keeper
 
 import (
@@ -11,40 +12,42 @@
 	"github.com/barleystep/barleystep/internal/member"
 )
 
-// Reason is why an attempt is cancelled.
+// Reason is the reason for which an attempt is cancelled.
 type Reason string
 
-// The reasons for which attempts are cancelled. ReasonNone leaves them alone.
+// The reasons for which attempts are cancelled. An attempt with ReasonNone is
+// not cancelled.
 const (
 	ReasonNone Reason = ""
-	// ReasonReplaced means that the box has started anew since.
+	// ReasonReplaced means that a later incarnation of the box has started.
 	ReasonReplaced Reason = "box_replaced"
-	// ReasonGone means that the box counts as dead and that the platform no
-	// longer lists it.
+	// ReasonGone means that membership reports the box as dead and that the
+	// platform no longer lists it.
 	ReasonGone Reason = "box_gone"
-	// ReasonDeadline means that the attempt's deadline is long past.
+	// ReasonDeadline means that the attempt's deadline passed more than
+	// deadlineGrace ago.
 	ReasonDeadline Reason = "deadline_passed"
 )
 
-// deadlineGrace is how long after its deadline an attempt is left alone. It
-// covers the difference between clocks.
+// deadlineGrace is how long after its deadline an attempt is not yet
+// cancelled. It covers clock skew between boxes.
 const deadlineGrace = 30 * time.Second
 
-// Picture is what a keeper knows of the boxes of its hall.
+// HallState is what a keeper knows about the boxes of its hall.
 type HallState struct {
-	// Members are the boxes as the own box sees them.
+	// Members is the membership as the own box's entry process reports it.
 	Members []member.Update
-	// Listed are the boxes that the platform lists, and ListedAt is when it was
-	// asked; zero if it could not be.
+	// Listed is the set of boxes that the platform lists, and ListedAt the time
+	// at which it was asked; zero if it has not answered yet.
 	Listed   map[barleystep.BoxID]bool
 	ListedAt time.Time
-	// DeadSince says since when a box counts as dead.
+	// DeadSince maps each dead box to the time at which it was first seen dead.
 	DeadSince map[barleystep.BoxID]time.Time
 }
 
-// Judge decides whether an attempt is left over. Work of a box that may be
-// alive is never touched before its deadline: that heartbeats are missing is
-// not enough, as the keeper may be the one who is cut off.
+// OrphanReason returns why the attempt is orphaned, or ReasonNone. An attempt
+// of a box that may be alive is never cancelled before its deadline: missing
+// heartbeats do not suffice, because the keeper itself may be partitioned.
 func OrphanReason(w barleystep.HeldAttempt, p HallState, now time.Time) Reason {
 	if !w.Deadline.IsZero() && now.Sub(w.Deadline) > deadlineGrace {
 		return ReasonDeadline
--- a/internal/keeper/watcher.go
+++ b/internal/keeper/watcher.go
@@ -11,21 +11,22 @@
 	"github.com/barleystep/barleystep/internal/place"
 )
 
-// Targets finds the adapters of targets.
+// Targets looks up the adapters of targets.
 type Targets interface {
-	// Engine returns the adapter of a configured target.
+	// Engine returns the adapter of a configured target; ok is false if there
+	// is none.
 	Engine(id barleystep.TargetID, fresh bool) (e barleystep.Engine, ok bool)
 }
 
-// Watcher keeps the picture of the hall's boxes. Its exported fields are set
-// before Serve; it is safe for concurrent use.
+// Watcher keeps the HallState up to date. Its exported fields are set before
+// Serve; it is safe for concurrent use.
 type Watcher struct {
 	Clock barleystep.Clock
 	Hall  barleystep.HallID
 	Boxes barleystep.BoxList
-	// Members asks the own box how it sees its hall.
+	// Members asks the own box's entry process for its membership.
 	Members func(ctx context.Context) ([]member.Update, error)
-	// Every is the time between looks; the default is 1 second.
+	// Interval is the time between refreshes; the default is 1 second.
 	Interval time.Duration
 
 	mu    sync.Mutex
@@ -34,7 +35,7 @@
 
 const defaultWatchInterval = time.Second
 
-// Serve watches until ctx ends.
+// Serve refreshes the state until ctx ends.
 func (w *Watcher) Serve(ctx context.Context) error {
 	if w.Interval == 0 {
 		w.Interval = defaultWatchInterval
@@ -47,7 +48,8 @@
 	}
 }
 
-// Look takes the picture anew. Serve calls it; tests may.
+// Refresh reads the membership and the platform's list of boxes. What can't be
+// read keeps its last value. It is exported for tests.
 func (w *Watcher) Refresh(ctx context.Context) {
 	now := w.Clock.Now()
 	members, err := w.Members(ctx)
@@ -85,14 +87,14 @@
 	w.state.DeadSince = dead
 }
 
-// Picture returns the picture as it is known. It must not be changed.
+// State returns the last known state. Callers must not modify it.
 func (w *Watcher) State() HallState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.state
 }
 
-// Gone reports whether an incarnation of a box is known to have ended.
+// HasEnded reports whether an incarnation of a box is known to have ended.
 func (w *Watcher) HasEnded(id barleystep.BoxID, inc barleystep.Incarnation) bool {
 	p := w.State()
 	for _, m := range p.Members {
@@ -103,7 +105,7 @@
 	return false
 }
 
-// owner returns the box whose duty the key is.
+// owner returns the live box that owns the job with the key.
 func (p HallState) owner(key string) barleystep.BoxID {
 	var alive []barleystep.BoxID
 	for _, m := range p.Members {
