--- a/internal/box/admin.go
+++ b/internal/box/admin.go
@@ -21,8 +21,8 @@
 )
 
 // Admin is the process that serves the administration API. It reads and writes
-// the platform's stores itself, so that it works without any entry process. Its
-// exported fields are set before Run.
+// the platform's stores directly, so that it needs no entry process. Its exported
+// fields are set before Build.
 type Admin struct {
 	Settings settings.Settings
 	Clock    barleystep.Clock
@@ -37,10 +37,10 @@
 	tree     *suture.Supervisor
 }
 
-// adminGrace is how long calls may take after the stop.
+// adminGrace is how long running calls may take after the shutdown begins.
 const adminGrace = 15 * time.Second
 
-// Build makes the parts of the process. It is called once.
+// Build creates the components of the process. It is called once.
 func (a *Admin) Build() {
 	meter := a.Exporter.Meter()
 	a.follower = &version.Follower{Clock: a.Clock, Meter: meter}
@@ -98,5 +98,5 @@
 // Run serves until ctx ends. Build must have been called.
 func (a *Admin) Run(ctx context.Context) error { return a.tree.Serve(ctx) }
 
-// Follower returns the configuration that the process knows.
+// Follower returns the follower with the process's current configuration.
 func (a *Admin) Follower() *version.Follower { return a.follower }
--- a/internal/box/certificate_test.go
+++ b/internal/box/certificate_test.go
@@ -20,7 +20,8 @@
 	"github.com/barleystep/barleystep/internal/settings"
 )
 
-// certificates makes an authority and a box's certificate for loopback.
+// certificates creates a certificate for the loopback address that is its own
+// authority.
 func certificates(t *testing.T) settings.Peers {
 	c := quicktest.New(t)
 	now := clock.System{}.Now()
--- a/internal/box/entry.go
+++ b/internal/box/entry.go
@@ -1,5 +1,5 @@
-// Package box composes the parts of a box: it is the one place where they are
-// wired together, for the programs as for tests and the local hall.
+// Package box assembles the processes of a box from their components, for the
+// programs as well as for tests and the local hall.
 package box
 
 import (
@@ -26,8 +26,8 @@
 	"github.com/barleystep/barleystep/internal/web"
 )
 
-// Entry is the process that holds callers' connections. Its exported fields are
-// set before Run.
+// Entry is the process that accepts callers' connections and serves their
+// requests. Its exported fields are set before Build.
 type Entry struct {
 	Settings settings.Settings
 	Clock    barleystep.Clock
@@ -42,7 +42,7 @@
 	endpoint *capacity.LocalEndpoint
 	server   *gate.Server
 	callers  *web.Server
-	// accepting is the listener for callers in the tree.
+	// callersToken identifies the listener for callers in the supervisor tree.
 	callersToken suture.ServiceToken
 	admin        *web.Server
 	tree         *suture.Supervisor
@@ -53,17 +53,19 @@
 const (
 	defaultGrace  = time.Hour
 	defaultNotice = 5 * time.Second
-	// endMargin is how long before the end of the grace, at most, all requests are answered
-	// that are still being served, and endPart the part of a short grace, as a divisor. The
-	// listener looks twice a second whether answers are on their way.
+	// cancelMargin is how long before the end of the grace period unfinished requests
+	// are cancelled and answered. If the grace divided by cancelDivisor is shorter, that
+	// time is used. The listener checks twice a second whether answers are still
+	// being sent.
 	cancelMargin  = time.Second
 	cancelDivisor = 4
-	// pollEvery is how often a stopping box looks whether requests still run.
+	// pollInterval is how often a box that shuts down checks for running requests.
 	pollInterval = 20 * time.Millisecond
 )
 
-// Run serves until ctx ends. Then it announces the stop, gives the balancer its
-// time and lets running requests finish. Build must have been called.
+// Run serves until ctx ends. Then it announces the shutdown, waits for the notice
+// period so that the load balancer sends callers elsewhere, and lets running
+// requests finish. Build must have been called.
 func (e *Entry) Run(ctx context.Context) error {
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -78,19 +80,19 @@
 	return <-done
 }
 
-// leave is the planned stop.
+// shutDown announces the shutdown, waits for the notice period and drains the box.
 func (e *Entry) shutDown(ctx context.Context) {
-	e.Log.Info().Msg(logPrefix + "Stopping. New callers are sent elsewhere.")
+	e.Log.Info().Msg(logPrefix + "Shutting down. New callers are sent to other boxes.")
 	e.node.tracker.Leave()
 	e.server.BeginShutdown()
 	clock.Sleep(ctx, e.Clock, e.Settings.Limits.Notice.Or(defaultNotice))
 	e.drain(ctx)
 }
 
-// finish takes no more callers and lets requests finish for the grace, also those that boxes
-// of other halls have forwarded: what serves them goes on meanwhile. What could not be
-// answered within the grace is ended shortly before, so that its caller knows what became of
-// it.
+// drain stops accepting callers and lets requests finish within the grace period, also those
+// that boxes of other halls have forwarded; all other services keep running meanwhile.
+// Requests that are still unfinished shortly before the end of the grace are cancelled, so
+// that their callers get an answer with the outcome.
 func (e *Entry) drain(ctx context.Context) {
 	grace := e.grace()
 	cancelCtx, cancel := clock.WithDeadline(ctx, e.Clock, e.Clock.Now().Add(grace-min(cancelMargin, grace/cancelDivisor)))
@@ -98,15 +100,15 @@
 	defer context.AfterFunc(cancelCtx, e.server.CancelAll)()
 	ctx, cancel = clock.WithDeadline(ctx, e.Clock, e.Clock.Now().Add(grace))
 	defer cancel()
-	_ = e.tree.RemoveAndWait(e.callersToken, grace) // It has logged what it cut.
+	_ = e.tree.RemoveAndWait(e.callersToken, grace) // The listener has logged the connections that it cut.
 	for e.Running() > 0 && ctx.Err() == nil {
 		clock.Sleep(ctx, e.Clock, pollInterval)
 	}
-	clock.Sleep(ctx, e.Clock, pollInterval) // Answers leave a moment after their handlers.
+	clock.Sleep(ctx, e.Clock, pollInterval) // Answers are sent shortly after their handlers return.
 }
 
-// Build makes the parts of the process. It is called once; ctx bounds their
-// life. It fails if the certificates can't be read.
+// Build creates the components of the process, which use ctx as their base context.
+// It is called once, and fails if the certificates can't be read.
 func (e *Entry) Build(ctx context.Context) error {
 	peers := e.Settings.Peers
 	encryption, err := peer.LoadTLS(peers.Certificate, peers.Key, peers.Authority)
@@ -135,7 +137,7 @@
 }
 
 // wire connects the stages of the request path and adds all services to the
-// tree.
+// supervisor tree.
 func (e *Entry) wire() {
 	targets := &engine.Pool{Configuration: e.node.follower}
 	allocator := e.newAllocator()
@@ -248,15 +250,15 @@
 	return &web.Server{Name: name, Addr: addr, Handler: h, Clock: e.Clock, Log: e.Log, Grace: e.grace()}
 }
 
-// Ready returns a channel that is closed when callers can connect.
+// Ready returns a channel that is closed once callers can connect.
 func (e *Entry) Ready() <-chan struct{} { return e.callers.Ready() }
 
 // CallersAddr returns the address of the listener for callers, once Ready is
 // closed.
 func (e *Entry) CallersAddr() string { return e.callers.ListenAddr() }
 
-// Follower returns the configuration in force.
+// Follower returns the follower with the current configuration.
 func (e *Entry) Follower() *version.Follower { return e.node.follower }
 
-// Running returns how many requests are being served.
+// Running returns the number of requests that are being served.
 func (e *Entry) Running() int64 { return e.server.Running() }
--- a/internal/box/forward_test.go
+++ b/internal/box/forward_test.go
@@ -26,7 +26,7 @@
 	"github.com/barleystep/barleystep/internal/version"
 )
 
-// halls is two halls with a box each; only the second has an engine.
+// testHalls is two halls with one box each; only the second has an engine.
 type testHalls struct {
 	engine  *standin.Engine
 	table   barleystep.Table
@@ -95,11 +95,11 @@
 	h.stops = append(h.stops, cancel)
 }
 
-// grace is that of the boxes' planned stops.
+// grace is the grace period of the boxes' shutdown.
 const grace = 2 * time.Second
 
-// awaitListener waits until the address takes connections: a box is ready for
-// callers before it is for other boxes.
+// awaitListener waits until the address accepts connections: Ready covers only the
+// listener for callers, and the one for peers may start later.
 func awaitListener(addr string) {
 	for {
 		c, err := net.Dial("tcp", addr)
@@ -127,7 +127,8 @@
 	return resp, string(text)
 }
 
-// TestForward sends requests to a hall without targets: they go one hop.
+// TestForward checks that requests to a hall without targets are forwarded to another
+// hall, and only once.
 func TestForward(t *testing.T) {
 	for name, peers := range map[string]settings.Peers{"secret": {Secret: "secret"}, "certificates": certificates(t)} {
 		t.Run(name, func(t *testing.T) { testForward(t, peers) })
@@ -144,19 +145,19 @@
 	c.Check(text, quicktest.Contains, "box-two")
 	c.Check(strings.Count(text, "[DONE]"), quicktest.Equals, 1)
 
-	// The claim is given back here and taken over there.
+	// The first hall releases the claim, and the second takes it over.
 	strict := []string{"Barleystep-Repeatable", "no", "Idempotency-Key", "once"}
 	_, text = h.post(t, first, strict...)
 	_, again := h.post(t, first, strict...)
 	c.Check(again, quicktest.Equals, text)
 	c.Check(h.engine.Runs(), quicktest.HasLen, 2)
 
-	// What was forwarded once goes no further.
+	// A request that was forwarded once is not forwarded again.
 	resp, _ = h.post(t, first, "Barleystep-Forwarded", "elsewhere")
 	c.Check(resp.Header.Get("Barleystep-Outcome"), quicktest.Equals, "not-run")
 	c.Check(resp.Header.Get("Barleystep-Reason"), quicktest.Equals, "no_target")
 
-	// A stranger does not get in by the peer listener.
+	// The peer listener rejects unauthenticated requests.
 	boxes, err := h.boxes.Boxes(t.Context())
 	c.Assert(err, quicktest.IsNil)
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+boxes[1].Addr()+"/v1/chat/completions", strings.NewReader("{}"))
@@ -167,8 +168,8 @@
 	c.Check(resp.StatusCode >= http.StatusBadRequest, quicktest.IsTrue, quicktest.Commentf("status %d", resp.StatusCode))
 }
 
-// TestNotRunComesBack checks that a request that the other hall did not run is
-// truthfully not run.
+// TestForwardedRequestNotRun checks that a forwarded request that the other hall did
+// not run has the outcome not-run for its caller.
 func TestForwardedRequestNotRun(t *testing.T) {
 	c := quicktest.New(t)
 	h := newTestHalls(t, settings.Peers{Secret: "secret"})
@@ -178,8 +179,9 @@
 	c.Check(h.engine.Runs(), quicktest.HasLen, 0)
 }
 
-// TestStopEnds checks that a planned stop answers what is not done by the end of the grace,
-// for callers as for boxes of other halls, and that the latter are not cut before.
+// TestShutdownAnswersUnfinishedRequests checks that requests that are unfinished near the end
+// of the grace period get an answer, those of callers as well as those that boxes of other
+// halls forwarded, and that the latter are not cut off before.
 func TestShutdownAnswersUnfinishedRequests(t *testing.T) {
 	for name, asked := range map[string]int{"caller": 1, "other hall": 0} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/box/keeper.go
+++ b/internal/box/keeper.go
@@ -18,9 +18,9 @@
 	"github.com/barleystep/barleystep/internal/version"
 )
 
-// Keeper is the process that looks after the targets. It learns the
-// configuration and the hall's boxes from the entry process of its own box. Its
-// exported fields are set before Run.
+// Keeper is the process that maintains the hall's targets and deletes expired
+// claims. It gets the configuration and the hall's membership from the entry
+// process of its own box. Its exported fields are set before Run.
 type Keeper struct {
 	Settings settings.Settings
 	Clock    barleystep.Clock
@@ -31,7 +31,7 @@
 	Log      *log.Logger
 }
 
-// Run looks after the targets until ctx ends.
+// Run runs the keeper's services until ctx ends.
 func (k *Keeper) Run(ctx context.Context) error {
 	id, hall := barleystep.BoxID(k.Settings.Box.ID), barleystep.HallID(k.Settings.Box.Hall)
 	ids := identity.NewGenerator(id, identity.NewIncarnation(k.Clock))
--- a/internal/box/node.go
+++ b/internal/box/node.go
@@ -20,8 +20,8 @@
 	"github.com/barleystep/barleystep/internal/web"
 )
 
-// node is a box's part in its hall: membership, the configuration in force and
-// the way to the other boxes.
+// node holds what connects a box with its hall: membership, the current
+// configuration, and the client and server for other boxes.
 type node struct {
 	settings       settings.Settings
 	clock          barleystep.Clock
@@ -31,8 +31,8 @@
 	meter          *metric.Meter
 	log            *log.Logger
 	ids            *identity.Generator
-	tls            *tls.Config // tls encrypts what boxes say; nil leaves it in the clear.
-	advertisedAddr string      // advert is the address at which the other boxes find the peer listener.
+	tls            *tls.Config // tls encrypts connections between boxes; nil leaves them unencrypted.
+	advertisedAddr string      // advertisedAddr is the peer listener's address for other boxes.
 
 	tracker  *member.Tracker
 	follower *version.Follower
@@ -44,8 +44,8 @@
 	listener *web.Server
 }
 
-// build makes the parts. The endpoint answers the other boxes' questions about
-// capacity.
+// build creates the components. The endpoint serves capacity requests of other
+// boxes.
 func (n *node) build(ctx context.Context, endpoint *capacity.LocalEndpoint) {
 	n.follower = &version.Follower{Clock: n.clock, Meter: n.meter}
 	auth := peer.Auth{Secret: n.settings.Peers.Secret, Box: n.ids.Box(), Clock: n.clock}
@@ -94,17 +94,18 @@
 	}
 }
 
-// forwarder returns the way to other halls.
+// forwarder returns the forwarder of requests to other halls.
 func (n *node) forwarder() *peer.Forwarder { return &peer.Forwarder{Client: n.client, Boxes: n.boxes} }
 
-// serve makes the peer listener answer, with the handler for callers' requests
-// that boxes of other halls forward.
+// setHandlers sets the handler of the peer listener. Callers' requests that boxes of
+// other halls forward are passed to callers.
 func (n *node) setHandlers(callers http.Handler) {
 	n.server.Forwarded = callers
 	n.listener.Handler = n.server.Handler()
 }
 
-// services returns what has to run. A box without a peer listener serves alone.
+// services returns the services to run. Without an address for peers, there is no
+// peer listener, and other boxes can't reach this one.
 func (n *node) services() []suture.Service {
 	list := []suture.Service{n.reader, n.tracker, n.batcher}
 	if n.settings.Listen.Peers != "" {
--- a/internal/box/status.go
+++ b/internal/box/status.go
@@ -14,7 +14,7 @@
 	return mux
 }
 
-// readyz says whether the balancer should send callers here.
+// readyz answers 200 if the load balancer should send callers to this box.
 func (e *Entry) readyz(w http.ResponseWriter, _ *http.Request) {
 	v, confirmed := e.node.follower.View()
 	switch {
