--- a/internal/box/entry.go
+++ b/internal/box/entry.go
@@ -229,7 +229,7 @@
 	return b
 }
 
-func (e *Entry) newServer(a barleystep.Allocator, t gate.Targets, c *gate.Canceller, b *claim.Manager) *gate.Server {
+func (e *Entry) newServer(a barleystep.Allocator, t gate.Targets, c *gate.Canceller, claims *claim.Manager) *gate.Server {
 	l := e.Settings.Limits
 	return &gate.Server{
 		Clock:         e.Clock,
@@ -238,7 +238,7 @@
 		Allocator:     a,
 		Targets:       t,
 		Canceller:     c,
-		Claims:        b,
+		Claims:        claims,
 		Meter:         e.meter,
 		Log:           e.Log,
 		Limits:        gate.Limits{Body: l.MaxBody, MinTime: time.Duration(l.MinTime), MaxTime: time.Duration(l.MaxTime)},
--- a/internal/claim/finish.go
+++ b/internal/claim/finish.go
@@ -54,7 +54,7 @@
 	case b.tasks <- t:
 	default:
 		b.Meter.StoreFault("claim_finish", "queue_full")
-		b.Log.Warn().Str("account", t.request.Account).Msg(logPrefix + "Queue of unsettled claims is full; a claim's outcome is not recorded.")
+		b.Log.Warn().Str("account", t.request.Account).Msg(logPrefix + "Queue of unsettled claims is full; a claim stays unsettled.")
 	}
 }
 
@@ -146,7 +146,7 @@
 }
 
 // Expired reports whether a claim's row may be deleted: its deadline is more than
-// keep ago, so that its holder has ended and callers no longer retry.
-func Expired(r Row, now time.Time, keep time.Duration) bool {
-	return now.Sub(r.Deadline) > keep
+// retention ago, so that its holder has ended and callers no longer retry.
+func Expired(r Row, now time.Time, retention time.Duration) bool {
+	return now.Sub(r.Deadline) > retention
 }
--- a/internal/claim/row.go
+++ b/internal/claim/row.go
@@ -91,4 +91,4 @@
 	return "answer/" + lengthPrefixed(account) + nonce
 }
 
-func lengthPrefixed(s string) string { return strconv.Itoa(len(s)) + "/" + s + "/" }
+func lengthPrefixed(name string) string { return strconv.Itoa(len(name)) + "/" + name + "/" }
--- a/internal/claim/step_test.go
+++ b/internal/claim/step_test.go
@@ -123,15 +123,15 @@
 // the claim.
 func (w *model) send(t *rapid.T, c *claimer) {
 	c.sent = true
-	mine := w.row.Nonce == c.machine.Nonce && w.row.State == claim.StateHeld
+	held := w.row.Nonce == c.machine.Nonce && w.row.State == claim.StateHeld
 	if rapid.Bool().Draw(t, "refused by the target") {
-		if mine {
+		if held {
 			w.commit(w.row.Version(), claim.Row{State: claim.StateNotRun, Nonce: c.machine.Nonce, Digest: digest})
 		}
 		return
 	}
 	w.sends++
-	if mine && rapid.Bool().Draw(t, "finished") {
+	if held && rapid.Bool().Draw(t, "finished") {
 		w.commit(w.row.Version(), claim.Row{State: claim.StateDone, Nonce: c.machine.Nonce, Digest: digest})
 	}
 }
--- a/internal/keeper/issuer.go
+++ b/internal/keeper/issuer.go
@@ -129,17 +129,17 @@
 		g.Log.Error().Err(err).Msg(logPrefix + "Lease row can't be decoded.")
 		return false
 	}
-	mine := current.Holder == g.IDs.Box() && current.Incarnation == g.IDs.Incarnation()
-	if !mine && now.Before(current.Until.Add(leaseGrace)) {
+	isHolder := current.Holder == g.IDs.Box() && current.Incarnation == g.IDs.Incarnation()
+	if !isHolder && now.Before(current.Until.Add(leaseGrace)) {
 		g.lease = Lease{}
 		return false
 	}
-	return g.writeLease(ctx, rows[0].Version(), current, mine, now)
+	return g.writeLease(ctx, rows[0].Version(), current, isHolder, now)
 }
 
-func (g *Issuer) writeLease(ctx context.Context, rowVersion int64, current Lease, mine bool, now time.Time) bool {
+func (g *Issuer) writeLease(ctx context.Context, rowVersion int64, current Lease, isHolder bool, now time.Time) bool {
 	next := Lease{Holder: g.IDs.Box(), Incarnation: g.IDs.Incarnation(), Token: current.Token, Until: now.Add(leaseDuration)}
-	if !mine {
+	if !isHolder {
 		next.Token++
 		g.Meter.TookOver("orders")
 	}
--- a/internal/keeper/watcher.go
+++ b/internal/keeper/watcher.go
@@ -73,18 +73,18 @@
 }
 
 func (w *Watcher) setMembers(now time.Time, members []member.Update) {
-	dead := make(map[barleystep.BoxID]time.Time)
+	deadSince := make(map[barleystep.BoxID]time.Time)
 	for _, m := range members {
 		if m.Status != member.StatusDead {
 			continue
 		}
-		dead[m.Box] = now
+		deadSince[m.Box] = now
 		if since, ok := w.state.DeadSince[m.Box]; ok {
-			dead[m.Box] = since
+			deadSince[m.Box] = since
 		}
 	}
 	w.state.Members = members
-	w.state.DeadSince = dead
+	w.state.DeadSince = deadSince
 }
 
 // State returns the last known state. Callers must not modify it.
