--- a/internal/box/admin.go
+++ b/internal/box/admin.go
@@ -21,8 +21,8 @@
 )
 
 // Admin is the process that serves the administration API. It reads and writes
-// the platform's stores itself, so that it works without any entry process. Its
-// exported fields are set before Run.
+// the platform's stores directly, so that it needs no entry process. Its exported
+// fields are set before Build.
 type Admin struct {
 	Settings settings.Settings
 	Clock    barleystep.Clock
@@ -34,13 +34,13 @@
 
 	follower *version.Follower
 	listener *web.Server
-	top      *suture.Supervisor
+	tree     *suture.Supervisor
 }
 
-// adminGrace is how long calls may take after the stop.
+// adminGrace is how long running calls may take after the shutdown begins.
 const adminGrace = 15 * time.Second
 
-// Build makes the parts of the process. It is called once.
+// Build creates the components of the process. It is called once.
 func (a *Admin) Build() {
 	meter := a.Exporter.Meter()
 	a.follower = &version.Follower{Clock: a.Clock, Meter: meter}
@@ -73,9 +73,9 @@
 		Log:     a.Log,
 		Grace:   adminGrace,
 	}
-	a.top = supervisor.New("admin", a.Log, adminGrace)
-	a.top.Add(reader)
-	a.top.Add(a.listener)
+	a.tree = supervisor.New("admin", a.Log, adminGrace)
+	a.tree.Add(reader)
+	a.tree.Add(a.listener)
 }
 
 func (a *Admin) handler(s *admin.Service) http.Handler {
@@ -96,7 +96,7 @@
 func livez(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") }
 
 // Run serves until ctx ends. Build must have been called.
-func (a *Admin) Run(ctx context.Context) error { return a.top.Serve(ctx) }
+func (a *Admin) Run(ctx context.Context) error { return a.tree.Serve(ctx) }
 
-// Follower returns the configuration that the process knows.
+// Follower returns the follower with the process's current configuration.
 func (a *Admin) Follower() *version.Follower { return a.follower }
--- a/internal/claim/finish.go
+++ b/internal/claim/finish.go
@@ -9,30 +9,30 @@
 	"github.com/barleystep/barleystep/internal/clock"
 )
 
-// task is work on a row that goes on after its request has ended.
+// task writes the final row of a claim, if need be after its request has ended.
 type task struct {
 	request Request
 	machine Machine
-	// state and answer are what a sent claim came to; state is empty for a claim
-	// that was never sent.
+	// state and answer are the result of a claim that was sent; state is empty
+	// for a claim that was never sent.
 	state  State
 	answer []byte
 }
 
-// Finish records what became of a claim that was sent. The answer is stored
-// first, so that a row in StateDone always has one. It tries once, for no longer
-// than the request may take, and then in the background until the platform
-// takes it.
+// Finish records the outcome of a claim that was sent. The answer is stored
+// before the row is written, so that a row in StateDone always has one. Finish
+// tries once, for at most StoreTimeout and not beyond the request's deadline; after a
+// failure, Serve retries until the platform's stores accept the writes.
 func (c *Claim) Finish(ctx context.Context, o barleystep.Outcome, answer []byte) {
 	t := task{request: c.request, machine: c.machine, state: stateOf(o), answer: answer}
-	until := c.book.Clock.Now().Add(c.book.patience())
+	until := c.manager.Clock.Now().Add(c.manager.storeTimeout())
 	if c.request.Deadline.Before(until) {
 		until = c.request.Deadline
 	}
-	ctx, cancel := clock.WithDeadline(ctx, c.book.Clock, until)
+	ctx, cancel := clock.WithDeadline(ctx, c.manager.Clock, until)
 	defer cancel()
-	if c.book.settle(ctx, t) != nil {
-		c.book.later(t)
+	if c.manager.settle(ctx, t) != nil {
+		c.manager.enqueue(t)
 	}
 }
 
@@ -49,54 +49,54 @@
 	}
 }
 
-func (b *Manager) later(t task) {
+func (b *Manager) enqueue(t task) {
 	select {
-	case b.open <- t:
+	case b.tasks <- t:
 	default:
 		b.Meter.StoreFault("claim_finish", "queue_full")
-		b.Log.Warn().Str("account", t.request.Account).Msg(logPrefix + "Too many claims wait for the store.")
+		b.Log.Warn().Str("account", t.request.Account).Msg(logPrefix + "Queue of unsettled claims is full; a claim stays unsettled.")
 	}
 }
 
 const logPrefix = "claim: "
 
-// Serve settles the claims that their requests left open, until ctx ends.
+// Serve settles unsettled claims in the background until ctx ends.
 func (b *Manager) Serve(ctx context.Context) error {
 	var wait sync.WaitGroup
 	for range workers {
-		wait.Go(func() { b.work(ctx) })
+		wait.Go(func() { b.runWorker(ctx) })
 	}
 	wait.Wait()
 	return ctx.Err()
 }
 
-func (b *Manager) work(ctx context.Context) {
+func (b *Manager) runWorker(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case t := <-b.open:
-			b.persist(ctx, t)
+		case t := <-b.tasks:
+			b.settleWithRetry(ctx, t)
 		}
 	}
 }
 
-// persist tries until the task is settled.
-func (b *Manager) persist(ctx context.Context, t task) {
-	for pause := firstPause; ; pause = min(2*pause, lastPause) {
-		try, cancel := clock.WithDeadline(ctx, b.Clock, b.Clock.Now().Add(b.patience()))
-		err := b.settle(try, t)
+// settleWithRetry retries with backoff until the task is settled or ctx ends.
+func (b *Manager) settleWithRetry(ctx context.Context, t task) {
+	for backoff := minBackoff; ; backoff = min(2*backoff, maxBackoff) {
+		tryCtx, cancel := clock.WithDeadline(ctx, b.Clock, b.Clock.Now().Add(b.storeTimeout()))
+		err := b.settle(tryCtx, t)
 		cancel()
-		if err == nil || !clock.Sleep(ctx, b.Clock, pause) {
+		if err == nil || !clock.Sleep(ctx, b.Clock, backoff) {
 			return
 		}
 	}
 }
 
-// settle makes one try at writing the claim's final row.
+// settle tries once to write the claim's final row.
 func (b *Manager) settle(ctx context.Context, t task) error {
 	if t.state == "" {
-		return b.withdraw(ctx, t)
+		return b.release(ctx, t)
 	}
 	final := t.request.row(t.state, t.machine.Nonce)
 	if t.state == StateDone {
@@ -106,28 +106,27 @@
 			return err
 		}
 	}
-	return b.replaceMine(ctx, t, final)
+	return b.replaceHeld(ctx, t, final)
 }
 
-// withdraw gives up a claim that was never sent. A write of it may yet take
-// effect, which the exclusion prevents or the replacement undoes.
-func (b *Manager) withdraw(ctx context.Context, t task) error {
+// release ends a claim that was never sent. One of its writes may still take
+// effect: the write over BaseVersion prevents that, or replaceHeld undoes it.
+func (b *Manager) release(ctx context.Context, t task) error {
 	key := rowKey(t.request.Account, t.request.Key)
-	free := t.request.row(StateNotRun, t.machine.Nonce)
-	switch b.write(ctx, key, t.machine.BaseVersion, free).Event {
+	notRun := t.request.row(StateNotRun, t.machine.Nonce)
+	switch b.write(ctx, key, t.machine.BaseVersion, notRun).Event {
 	case EventWritten:
 		return nil
 	case EventConflict:
-		return b.replaceMine(ctx, t, free)
+		return b.replaceHeld(ctx, t, notRun)
 	default:
 		return errUnsettled
 	}
 }
 
-// replaceMine writes final over the held row of the claim. A row of another
-// claim is left alone, and a read that still shows the row's past is not
-// believed.
-func (b *Manager) replaceMine(ctx context.Context, t task, final Row) error {
+// replaceHeld writes final over the held row of the claim. It leaves a row of
+// another claim unchanged, and returns errUnsettled for a stale read.
+func (b *Manager) replaceHeld(ctx context.Context, t task, final Row) error {
 	key := rowKey(t.request.Account, t.request.Key)
 	r, err := b.read(ctx, key)
 	if err != nil {
@@ -146,8 +145,8 @@
 	return errUnsettled
 }
 
-// Expired reports whether a claim's row may be cleared: its holder has ended
-// and callers no longer retry.
-func Expired(r Row, now time.Time, keep time.Duration) bool {
-	return now.Sub(r.Deadline) > keep
+// Expired reports whether a claim's row may be deleted: its deadline is more than
+// retention ago, so that its holder has ended and callers no longer retry.
+func Expired(r Row, now time.Time, retention time.Duration) bool {
+	return now.Sub(r.Deadline) > retention
 }
--- a/internal/claim/book.go
+++ b/internal/claim/manager.go
@@ -13,8 +13,8 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// Book makes and settles claims for one box. Its exported fields are set before
-// use; it is safe for concurrent use.
+// Manager makes and settles claims for one box. Its exported fields are set
+// before use; it is safe for concurrent use.
 type Manager struct {
 	Table   barleystep.Table
 	Objects barleystep.ObjectStore
@@ -22,83 +22,84 @@
 	IDs     *identity.Generator
 	Meter   *metric.Meter
 	Log     *log.Logger
-	// Patience is how long a claim waits for the store; the default is 2 seconds.
+	// StoreTimeout is how long a claim waits for the store; the default is
+	// 2 seconds.
 	StoreTimeout time.Duration
-	// Grace is added to a holder's deadline before it counts as gone; it covers
-	// the difference between boxes' clocks. The default is 5 seconds.
+	// Grace is added to a holder's deadline before the holder is taken to have
+	// ended; it covers clock skew between boxes. The default is 5 seconds.
 	Grace time.Duration
 
-	open chan task
+	tasks chan task
 }
 
-// The defaults of a Book.
+// The defaults of a Manager, and its fixed limits.
 const (
 	DefaultStoreTimeout = 2 * time.Second
 	DefaultGrace        = 5 * time.Second
 
-	firstPause = 10 * time.Millisecond
-	lastPause  = time.Second
-	taskQueue  = 4096
-	workers    = 16
+	minBackoff    = 10 * time.Millisecond
+	maxBackoff    = time.Second
+	taskQueueSize = 4096
+	workers       = 16
 )
 
-// NewBook returns a book whose fields are yet to be set.
-func NewManager() *Manager { return &Manager{open: make(chan task, taskQueue)} }
+// NewManager returns a Manager whose exported fields are still to be set.
+func NewManager() *Manager { return &Manager{tasks: make(chan task, taskQueueSize)} }
 
-// Request is what is claimed.
+// Request identifies the request that is claimed.
 type Request struct {
 	Account string
 	Key     string
-	// Digest is a hash of the request.
+	// Digest is a hash of the request's content.
 	Digest string
-	// Deadline is when the request will have ended.
+	// Deadline is the time by which the request has ended.
 	Deadline time.Time
 }
 
-// row returns the row of a claim of the request.
+// row returns the row that a claim of the request writes.
 func (r Request) row(s State, nonce string) Row {
 	return Row{State: s, Nonce: nonce, Digest: r.Digest, Deadline: r.Deadline}
 }
 
-// Claim is the right to send one request once.
+// Claim is the right to send a request once.
 type Claim struct {
-	book    *Manager
+	manager *Manager
 	request Request
 	machine Machine
 }
 
-// Decision is the result of Book.Claim. Exactly one of its parts is set.
+// Decision is the result of Manager.Claim. Either the claim or the answer is set.
 type Decision struct {
 	claim  *Claim
 	answer []byte
 }
 
-// Claim returns the right to send, or nil.
+// Claim returns the right to send the request, or nil.
 func (d Decision) Claim() *Claim { return d.claim }
 
-// Answer returns the stored answer of an earlier run, or nil.
+// Answer returns the stored answer of an earlier execution, or nil.
 func (d Decision) Answer() []byte { return d.answer }
 
-// Claim decides whether this box may send the request. It returns a
-// *barleystep.Refusal if not.
+// Claim decides whether this box may send the request, or returns the answer that
+// an earlier execution stored. Otherwise the error is a *barleystep.Refusal.
 func (b *Manager) Claim(ctx context.Context, r Request) (d Decision, err error) {
 	m := b.decide(ctx, r)
 	if m.MayBeHeld && m.Verdict != VerdictSend {
-		b.later(task{request: r, machine: m})
+		b.enqueue(task{request: r, machine: m})
 	}
 	if m.Verdict == VerdictSend {
-		return Decision{claim: &Claim{book: b, request: r, machine: m}}, nil
+		return Decision{claim: &Claim{manager: b, request: r, machine: m}}, nil
 	}
-	return b.earlier(ctx, m)
+	return b.earlierResult(ctx, m)
 }
 
-// decide drives one claim to its verdict.
+// decide runs the protocol of one claim until it has a verdict.
 func (b *Manager) decide(ctx context.Context, r Request) Machine {
-	ctx, cancel := clock.WithDeadline(ctx, b.Clock, b.Clock.Now().Add(b.patience()))
+	ctx, cancel := clock.WithDeadline(ctx, b.Clock, b.Clock.Now().Add(b.storeTimeout()))
 	defer cancel()
 	nonce := b.IDs.NextAttempt().String()
 	m, action := Start(nonce, r.Digest, b.grace())
-	pause := firstPause
+	backoff := minBackoff
 	for action != ActionNone {
 		if ctx.Err() != nil {
 			m, action = Step(m, Input{Event: EventDeadline})
@@ -106,15 +107,15 @@
 		}
 		in := b.perform(ctx, r, m, action)
 		if in.Event == EventUnknownEffect || in.Event == EventUnavailable {
-			clock.Sleep(ctx, b.Clock, pause)
-			pause = min(2*pause, lastPause)
+			clock.Sleep(ctx, b.Clock, backoff)
+			backoff = min(2*backoff, maxBackoff)
 		}
 		m, action = Step(m, in)
 	}
 	return m
 }
 
-// perform carries out one action and reports what came of it.
+// perform executes one action and returns its outcome as an input of Step.
 func (b *Manager) perform(ctx context.Context, r Request, m Machine, a Action) Input {
 	key := rowKey(r.Account, r.Key)
 	switch a {
@@ -161,11 +162,12 @@
 	}
 }
 
-// earlier answers a request whose key is held or was settled by another claim.
-func (b *Manager) earlier(ctx context.Context, m Machine) (Decision, error) {
+// earlierResult returns the decision on a request whose claim did not get the
+// right to send: the stored answer of another claim, or a refusal.
+func (b *Manager) earlierResult(ctx context.Context, m Machine) (Decision, error) {
 	switch m.Verdict {
 	case VerdictDone:
-		return b.stored(ctx, m.Row)
+		return b.storedAnswer(ctx, m.Row)
 	case VerdictRunning:
 		wait := max(time.Second, m.Row.Deadline.Sub(b.Clock.Now()))
 		return Decision{}, barleystep.NewRefusal(barleystep.ReasonStillRunning, barleystep.OutcomePending,
@@ -178,31 +180,31 @@
 			"The key belongs to another request.")
 	case VerdictStoreUnavailable:
 		return Decision{}, barleystep.NewRefusal(barleystep.ReasonStoreUnavailable, barleystep.OutcomeNotRun,
-			"The claim could not be written; nothing was run.").WithRetryAfter(b.patience())
+			"The claim could not be written; nothing was run.").WithRetryAfter(b.storeTimeout())
 	default:
-		return Decision{}, b.unknown(m)
+		return Decision{}, b.unknownOutcome(m)
 	}
 }
 
-func (b *Manager) unknown(m Machine) error {
+func (b *Manager) unknownOutcome(m Machine) error {
 	if m.OtherClaim {
 		return barleystep.NewRefusal(barleystep.ReasonStoreUnavailable, barleystep.OutcomeUnknown,
-			"The state of this key could not be read.").WithRetryAfter(b.patience())
+			"The state of this key could not be read.").WithRetryAfter(b.storeTimeout())
 	}
 	return barleystep.NewRefusal(barleystep.ReasonEarlierOutcomeUnknown, barleystep.OutcomeUnknown,
 		"A request with this key may have run; nobody can tell.")
 }
 
-func (b *Manager) stored(ctx context.Context, r Row) (Decision, error) {
+func (b *Manager) storedAnswer(ctx context.Context, r Row) (Decision, error) {
 	data, err := b.Objects.Get(ctx, r.Object)
 	if err != nil {
 		return Decision{}, barleystep.NewRefusal(barleystep.ReasonStoreUnavailable, barleystep.OutcomeDone,
-			"The request was run; its answer can't be read now.").WithRetryAfter(b.patience())
+			"The request was run; its answer can't be read now.").WithRetryAfter(b.storeTimeout())
 	}
 	return Decision{answer: data}, nil
 }
 
-func (b *Manager) patience() time.Duration {
+func (b *Manager) storeTimeout() time.Duration {
 	if b.StoreTimeout == 0 {
 		return DefaultStoreTimeout
 	}
@@ -216,5 +218,5 @@
 	return b.Grace
 }
 
-// errUnsettled is returned by a task that has to be tried again.
+// errUnsettled is returned by a task that has to be retried.
 var errUnsettled = eris.New("claim: not settled yet")
--- a/internal/keeper/cleaner.go
+++ b/internal/keeper/cleaner.go
@@ -13,8 +13,8 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// Cleaner frees engines of what nobody waits for. Its exported fields are set
-// before Serve.
+// Cleaner cancels orphaned attempts in the hall's engines. Its exported fields
+// are set before Serve.
 type Cleaner struct {
 	Clock         barleystep.Clock
 	Box           barleystep.BoxID
@@ -24,22 +24,21 @@
 	Watcher       *Watcher
 	Meter         *metric.Meter
 	Log           *log.Logger
-	// Every is the time between rounds; the default is 5 seconds.
+	// Interval is the time between rounds; the default is 5 seconds.
 	Interval time.Duration
 }
 
-const defaultCleanEvery = 5 * time.Second
+const defaultCleanInterval = 5 * time.Second
 
-// Serve cleans until ctx ends.
+// Serve runs rounds until ctx ends.
 func (c *Cleaner) Serve(ctx context.Context) error {
 	if c.Interval == 0 {
-		c.Interval = defaultCleanEvery
+		c.Interval = defaultCleanInterval
 	}
 	return clock.Repeat(ctx, c.Clock, c.Interval, c.Round)
 }
 
-// Round looks once at each engine that is this box's to clean. Serve calls it;
-// tests may.
+// Round checks each engine that this box owns once. It is exported for tests.
 func (c *Cleaner) Round(ctx context.Context) {
 	v, _ := c.Configuration.View()
 	if v == nil {
@@ -73,19 +72,19 @@
 		}
 		c.Meter.AttemptCancelled(string(reason))
 		c.Log.Info().Str("target", string(id)).Str("attempt", w.Attempt).Str("reason", string(reason)).
-			Msg(logPrefix + "Left-over attempt cancelled.")
+			Msg(logPrefix + "Orphaned attempt cancelled.")
 	}
 }
 
 func (c *Cleaner) timeout() time.Duration {
 	if c.Interval == 0 {
-		return defaultCleanEvery
+		return defaultCleanInterval
 	}
 	return c.Interval
 }
 
-// Sweeper clears old claims from the table. Its exported fields are set before
-// Serve.
+// Sweeper deletes expired claims from the table. Its exported fields are set
+// before Serve.
 type Sweeper struct {
 	Clock   barleystep.Clock
 	Box     barleystep.BoxID
@@ -93,58 +92,59 @@
 	Objects barleystep.ObjectStore
 	Watcher *Watcher
 	Meter   *metric.Meter
-	// Keep is how long a claim is kept after its request's deadline; the default
-	// is 24 hours. No write may take effect later than that.
+	// Retention is how long a claim is kept after its request's deadline; the
+	// default is 24 hours. It must exceed the longest delay with which a write
+	// can take effect.
 	Retention time.Duration
-	// Every is the time between rounds; the default is 10 seconds.
+	// Interval is the time between rounds; the default is 10 seconds.
 	Interval time.Duration
 
-	after string // after is the key at which the next round goes on.
+	cursor string // cursor is the key after which the next round continues.
 }
 
 const (
-	defaultKeep       = 24 * time.Hour
-	defaultSweepEvery = 10 * time.Second
-	sweepBatch        = 1_000
+	defaultRetention     = 24 * time.Hour
+	defaultSweepInterval = 10 * time.Second
+	sweepBatchSize       = 1_000
 )
 
-// Serve sweeps until ctx ends.
+// Serve runs rounds until ctx ends.
 func (s *Sweeper) Serve(ctx context.Context) error {
 	if s.Interval == 0 {
-		s.Interval = defaultSweepEvery
+		s.Interval = defaultSweepInterval
 	}
 	return clock.Repeat(ctx, s.Clock, s.Interval, s.Round)
 }
 
-// Round looks at one batch of rows if this box is the sweeper. Serve calls it;
-// tests may.
+// Round scans one batch of rows if this box owns the sweep. It is exported for
+// tests.
 func (s *Sweeper) Round(ctx context.Context) {
 	if s.Watcher.State().owner("sweep") != s.Box {
 		return
 	}
-	rows, err := s.Table.Scan(ctx, claim.Prefix, s.after, sweepBatch)
+	rows, err := s.Table.Scan(ctx, claim.Prefix, s.cursor, sweepBatchSize)
 	if err != nil {
 		s.Meter.StoreFault("sweep", barleystep.FaultOf(err).String())
 		return
 	}
-	s.after = ""
-	if len(rows) == sweepBatch {
-		s.after = rows[len(rows)-1].Key()
+	s.cursor = ""
+	if len(rows) == sweepBatchSize {
+		s.cursor = rows[len(rows)-1].Key()
 	}
 	s.clear(ctx, rows)
 }
 
-// clear deletes the old rows of a batch in one transaction: answers first, so
-// that none is left without a row that names it.
+// clear deletes the expired rows of a batch in one transaction. Stored answers
+// are deleted first, so that none remains without a row that names it.
 func (s *Sweeper) clear(ctx context.Context, rows []barleystep.Row) {
-	keep := s.Retention
-	if keep == 0 {
-		keep = defaultKeep
+	retention := s.Retention
+	if retention == 0 {
+		retention = defaultRetention
 	}
 	var t barleystep.Txn
 	for _, r := range rows {
 		c, err := claim.Decode(r)
-		if err != nil || !claim.Expired(c, s.Clock.Now(), keep) {
+		if err != nil || !claim.Expired(c, s.Clock.Now(), retention) {
 			continue
 		}
 		if c.Object != "" && s.Objects.Delete(ctx, c.Object) != nil {
--- a/internal/keeper/issuer.go
+++ b/internal/keeper/issuer.go
@@ -13,8 +13,8 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// Issuer gives the hall's orders while its box holds the lease. Its exported
-// fields are set before Serve.
+// Issuer orders the hall's targets to load weights while its box holds the
+// lease. Its exported fields are set before Serve.
 type Issuer struct {
 	Clock         barleystep.Clock
 	Hall          barleystep.HallID
@@ -25,72 +25,74 @@
 	Watcher       *Watcher
 	Meter         *metric.Meter
 	Log           *log.Logger
-	// Every is the time between rounds, and Pause the least time between two
-	// orders, as the weight store's rate is limited; the defaults are 2 and 10
-	// seconds.
+	// Interval is the time between rounds; the default is 2 seconds.
+	// OrderInterval is the minimum time between two orders, because the weight
+	// store is rate-limited; the default is 10 seconds.
 	Interval      time.Duration
 	OrderInterval time.Duration
 
-	lease   Lease
-	ordered time.Time // ordered is when the last order was sent.
-	// unsure says until when an order whose answer was lost may yet arrive.
-	unsure map[barleystep.TargetID]time.Time
-	// announced names the targets for which this box may have an open intent.
-	announced map[barleystep.TargetID]bool
+	lease     Lease
+	lastOrder time.Time // lastOrder is when the last order was sent.
+	// uncertainUntil is the time until which an order whose answer was lost may
+	// still arrive at a target.
+	uncertainUntil map[barleystep.TargetID]time.Time
+	// openIntents is the set of targets for which this box may have an open intent.
+	openIntents map[barleystep.TargetID]bool
 }
 
 const (
-	defaultIssueEvery = 2 * time.Second
-	defaultOrderPause = 10 * time.Second
-	// leaseLife is how long a lease lasts; it is renewed in every round.
-	leaseLife = 15 * time.Second
-	// leaseGrace is added before another box takes a lease over.
+	defaultIssueInterval = 2 * time.Second
+	defaultOrderInterval = 10 * time.Second
+	// leaseDuration is how long a lease is valid; it is renewed in every round.
+	leaseDuration = 15 * time.Second
+	// leaseGrace is how long after its expiry another box may take a lease over.
 	leaseGrace = 5 * time.Second
-	// orderLife is how long an order whose answer was lost may take to arrive.
-	orderLife = time.Minute
+	// maxOrderDelay is how long an order whose answer was lost may take to arrive.
+	maxOrderDelay = time.Minute
 )
 
 func (g *Issuer) leaseKey() string { return "order/lease/" + string(g.Hall) }
 
-// intentPrefix begins the keys of the hall's intents, so that one scan reads
-// them all.
+// intentPrefix returns the common prefix of the keys of the hall's intents, so
+// that one scan reads them all.
 func (g *Issuer) intentPrefix() string { return "order/intent/" + string(g.Hall) + "/" }
 
 func (g *Issuer) intentKey(id barleystep.TargetID) string { return g.intentPrefix() + string(id) }
 
-// maxIntents bounds the targets of a hall that have ever had an intent.
+// maxIntents limits how many intents a scan returns: one for each target of the
+// hall that ever had one.
 const maxIntents = 10_000
 
-// Serve gives orders until ctx ends.
+// Serve runs rounds until ctx ends.
 func (g *Issuer) Serve(ctx context.Context) error {
 	if g.Interval == 0 {
-		g.Interval = defaultIssueEvery
+		g.Interval = defaultIssueInterval
 	}
 	if g.OrderInterval == 0 {
-		g.OrderInterval = defaultOrderPause
+		g.OrderInterval = defaultOrderInterval
 	}
 	return clock.Repeat(ctx, g.Clock, g.Interval, g.Round)
 }
 
-// Round looks at each target once. Serve calls it; tests may.
+// Round checks each target once. It is exported for tests.
 func (g *Issuer) Round(ctx context.Context) {
 	v, _ := g.Configuration.View()
-	if v == nil || !g.wanted(v) {
+	if v == nil || !g.hasDesiredWeights(v) {
 		return
 	}
-	held := g.hold(ctx)
+	held := g.acquireLease(ctx)
 	intents, err := g.intents(ctx)
 	if err != nil {
 		return
 	}
 	for _, t := range g.targets(v) {
-		if held || g.announced[barleystep.TargetID(t.ID)] {
-			g.look(ctx, t, intents[g.intentKey(barleystep.TargetID(t.ID))])
+		if held || g.openIntents[barleystep.TargetID(t.ID)] {
+			g.checkTarget(ctx, t, intents[g.intentKey(barleystep.TargetID(t.ID))])
 		}
 	}
 }
 
-// intents reads the hall's intent rows by their keys.
+// intents returns the hall's intent rows by key.
 func (g *Issuer) intents(ctx context.Context) (map[string]barleystep.Row, error) {
 	rows, err := g.Table.Scan(ctx, g.intentPrefix(), "", maxIntents)
 	if err != nil {
@@ -108,35 +110,36 @@
 	return v.Targets(func(t config.Target) bool { return t.Hall == string(g.Hall) && t.Weights != "" })
 }
 
-// wanted reports whether any target has a desired state; without one the lease
-// is not worth its writes.
-func (g *Issuer) wanted(v *config.View) bool { return len(g.targets(v)) > 0 }
+// hasDesiredWeights reports whether any target has configured weights. Without
+// one, no lease is taken, which saves its writes.
+func (g *Issuer) hasDesiredWeights(v *config.View) bool { return len(g.targets(v)) > 0 }
 
-// hold takes or renews the lease. A write whose answer was lost is looked at
-// again in the next round; until then there is no lease.
-func (g *Issuer) hold(ctx context.Context) bool {
+// acquireLease takes or renews the lease and reports whether this box holds it.
+// A write whose answer was lost is resolved by the next round's read; until
+// then only the time of an earlier lease counts.
+func (g *Issuer) acquireLease(ctx context.Context) bool {
 	now := g.Clock.Now()
 	rows, err := g.Table.Read(ctx, g.leaseKey())
 	if err != nil {
 		g.Meter.StoreFault("lease_read", barleystep.FaultOf(err).String())
 		return now.Before(g.lease.Until)
 	}
-	found, err := decode[Lease](rows[0])
+	current, err := decode[Lease](rows[0])
 	if err != nil {
-		g.Log.Error().Err(err).Msg(logPrefix + "The lease can't be read.")
+		g.Log.Error().Err(err).Msg(logPrefix + "Lease row can't be decoded.")
 		return false
 	}
-	mine := found.Holder == g.IDs.Box() && found.Incarnation == g.IDs.Incarnation()
-	if !mine && now.Before(found.Until.Add(leaseGrace)) {
+	isHolder := current.Holder == g.IDs.Box() && current.Incarnation == g.IDs.Incarnation()
+	if !isHolder && now.Before(current.Until.Add(leaseGrace)) {
 		g.lease = Lease{}
 		return false
 	}
-	return g.take(ctx, rows[0].Version(), found, mine, now)
+	return g.writeLease(ctx, rows[0].Version(), current, isHolder, now)
 }
 
-func (g *Issuer) take(ctx context.Context, rowVersion int64, found Lease, mine bool, now time.Time) bool {
-	next := Lease{Holder: g.IDs.Box(), Incarnation: g.IDs.Incarnation(), Token: found.Token, Until: now.Add(leaseLife)}
-	if !mine {
+func (g *Issuer) writeLease(ctx context.Context, rowVersion int64, current Lease, isHolder bool, now time.Time) bool {
+	next := Lease{Holder: g.IDs.Box(), Incarnation: g.IDs.Incarnation(), Token: current.Token, Until: now.Add(leaseDuration)}
+	if !isHolder {
 		next.Token++
 		g.Meter.TookOver("orders")
 	}
@@ -152,8 +155,8 @@
 	return true
 }
 
-// look takes one step about one target.
-func (g *Issuer) look(ctx context.Context, t config.Target, row barleystep.Row) {
+// checkTarget reads the state of one target and takes the next step.
+func (g *Issuer) checkTarget(ctx context.Context, t config.Target, row barleystep.Row) {
 	id := barleystep.TargetID(t.ID)
 	e, ok := g.Targets.Engine(id, true)
 	if !ok {
@@ -165,7 +168,7 @@
 	}
 	intent, err := decode[Intent](row)
 	if err != nil {
-		g.Log.Error().Err(err).Msg(logPrefix + "An intent can't be read.")
+		g.Log.Error().Err(err).Msg(logPrefix + "Intent row can't be decoded.")
 		return
 	}
 	self := g.lease
@@ -184,7 +187,7 @@
 }
 
 func (g *Issuer) act(ctx context.Context, id barleystep.TargetID, e barleystep.Engine, s TargetState, rowVersion int64) {
-	if g.Clock.Now().Before(g.unsure[id]) {
+	if g.Clock.Now().Before(g.uncertainUntil[id]) {
 		return
 	}
 	switch Decide(s) {
@@ -202,14 +205,15 @@
 	}
 }
 
-func (g *Issuer) announce(id barleystep.TargetID, open bool) {
-	if g.announced == nil {
-		g.announced = make(map[barleystep.TargetID]bool)
+func (g *Issuer) setIntentOpen(id barleystep.TargetID, open bool) {
+	if g.openIntents == nil {
+		g.openIntents = make(map[barleystep.TargetID]bool)
 	}
-	g.announced[id] = open
+	g.openIntents[id] = open
 }
 
-// closeIntent needs no lease: only the holder closes its own intent.
+// closeIntent closes this box's own intent. It needs no lease, as no other box
+// closes it.
 func (g *Issuer) closeIntent(ctx context.Context, id barleystep.TargetID, rowVersion int64, i Intent) {
 	i.Open = false
 	err := g.Table.Commit(ctx, barleystep.Txn{
@@ -217,14 +221,14 @@
 		Writes:     []barleystep.Write{barleystep.Put(g.intentKey(id), encode(i))},
 	})
 	if err == nil {
-		g.announce(id, false)
+		g.setIntentOpen(id, false)
 	}
 }
 
-// writeIntent writes the intent if nobody else has, and if the lease is still
-// this box's in the table.
+// writeIntent writes the intent on condition that the intent row is unchanged
+// and that the table still shows this box's lease. It reports success.
 func (g *Issuer) writeIntent(ctx context.Context, id barleystep.TargetID, rowVersion int64, i Intent) bool {
-	g.announce(id, true)
+	g.setIntentOpen(id, true)
 	rows, err := g.Table.Read(ctx, g.leaseKey())
 	if err != nil {
 		return false
@@ -242,27 +246,27 @@
 	return err == nil
 }
 
-// send sends an order, spread over time.
+// send sends an order unless the last one was sent within OrderInterval.
 func (g *Issuer) send(ctx context.Context, id barleystep.TargetID, e barleystep.Engine, o barleystep.Order) {
 	now := g.Clock.Now()
-	if now.Sub(g.ordered) < g.OrderInterval && !g.ordered.IsZero() {
+	if now.Sub(g.lastOrder) < g.OrderInterval && !g.lastOrder.IsZero() {
 		return
 	}
-	g.ordered = now
+	g.lastOrder = now
 	err := e.Order(ctx, o)
 	if barleystep.FaultOf(err) == barleystep.FaultUnknownEffect {
-		g.lost(id, now)
+		g.recordLostAnswer(id, now)
 	}
 	g.Log.Info().Str("target", string(id)).Str("weights", o.Weights).Int64("fence", o.Fence).Err(err).
 		Msg(logPrefix + "Order sent.")
 }
 
-func (g *Issuer) lost(id barleystep.TargetID, now time.Time) {
+func (g *Issuer) recordLostAnswer(id barleystep.TargetID, now time.Time) {
 	g.Meter.AttemptRetried("order_answer_lost")
-	if g.unsure == nil {
-		g.unsure = make(map[barleystep.TargetID]time.Time)
+	if g.uncertainUntil == nil {
+		g.uncertainUntil = make(map[barleystep.TargetID]time.Time)
 	}
-	g.unsure[id] = now.Add(orderLife)
+	g.uncertainUntil[id] = now.Add(maxOrderDelay)
 }
 
 const logPrefix = "keeper: "
--- a/internal/keeper/watcher.go
+++ b/internal/keeper/watcher.go
@@ -11,33 +11,34 @@
 	"github.com/barleystep/barleystep/internal/place"
 )
 
-// Targets finds the adapters of targets.
+// Targets looks up the adapters of targets.
 type Targets interface {
-	// Engine returns the adapter of a configured target.
+	// Engine returns the adapter of a configured target; ok is false if there
+	// is none.
 	Engine(id barleystep.TargetID, fresh bool) (e barleystep.Engine, ok bool)
 }
 
-// Watcher keeps the picture of the hall's boxes. Its exported fields are set
-// before Serve; it is safe for concurrent use.
+// Watcher keeps the HallState up to date. Its exported fields are set before
+// Serve; it is safe for concurrent use.
 type Watcher struct {
 	Clock barleystep.Clock
 	Hall  barleystep.HallID
 	Boxes barleystep.BoxList
-	// Members asks the own box how it sees its hall.
+	// Members asks the own box's entry process for its membership.
 	Members func(ctx context.Context) ([]member.Update, error)
-	// Every is the time between looks; the default is 1 second.
+	// Interval is the time between refreshes; the default is 1 second.
 	Interval time.Duration
 
-	mu      sync.Mutex
-	picture HallState
+	mu    sync.Mutex
+	state HallState
 }
 
-const watchEvery = time.Second
+const defaultWatchInterval = time.Second
 
-// Serve watches until ctx ends.
+// Serve refreshes the state until ctx ends.
 func (w *Watcher) Serve(ctx context.Context) error {
 	if w.Interval == 0 {
-		w.Interval = watchEvery
+		w.Interval = defaultWatchInterval
 	}
 	for {
 		w.Refresh(ctx)
@@ -47,13 +48,14 @@
 	}
 }
 
-// Look takes the picture anew. Serve calls it; tests may.
+// Refresh reads the membership and the platform's list of boxes. What can't be
+// read keeps its last value. It is exported for tests.
 func (w *Watcher) Refresh(ctx context.Context) {
 	now := w.Clock.Now()
 	members, err := w.Members(ctx)
 	if err == nil {
 		w.mu.Lock()
-		w.note(now, members)
+		w.setMembers(now, members)
 		w.mu.Unlock()
 	}
 	boxes, err := w.Boxes.Boxes(ctx)
@@ -66,44 +68,44 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.picture.Listed = listed
-	w.picture.ListedAt = now
+	w.state.Listed = listed
+	w.state.ListedAt = now
 }
 
-func (w *Watcher) note(now time.Time, members []member.Update) {
-	dead := make(map[barleystep.BoxID]time.Time)
+func (w *Watcher) setMembers(now time.Time, members []member.Update) {
+	deadSince := make(map[barleystep.BoxID]time.Time)
 	for _, m := range members {
 		if m.Status != member.StatusDead {
 			continue
 		}
-		dead[m.Box] = now
-		if since, ok := w.picture.DeadSince[m.Box]; ok {
-			dead[m.Box] = since
+		deadSince[m.Box] = now
+		if since, ok := w.state.DeadSince[m.Box]; ok {
+			deadSince[m.Box] = since
 		}
 	}
-	w.picture.Members = members
-	w.picture.DeadSince = dead
+	w.state.Members = members
+	w.state.DeadSince = deadSince
 }
 
-// Picture returns the picture as it is known. It must not be changed.
+// State returns the last known state. Callers must not modify it.
 func (w *Watcher) State() HallState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.picture
+	return w.state
 }
 
-// Gone reports whether an incarnation of a box is known to have ended.
+// HasEnded reports whether an incarnation of a box is known to have ended.
 func (w *Watcher) HasEnded(id barleystep.BoxID, inc barleystep.Incarnation) bool {
 	p := w.State()
 	for _, m := range p.Members {
 		if m.Box == id {
-			return judgeBox(m, barleystep.NewAttemptID(id, inc, 0), p) != ReasonNone
+			return orphanReasonOfBox(m, barleystep.NewAttemptID(id, inc, 0), p) != ReasonNone
 		}
 	}
 	return false
 }
 
-// owner returns the box whose duty the key is.
+// owner returns the live box that owns the job with the key.
 func (p HallState) owner(key string) barleystep.BoxID {
 	var alive []barleystep.BoxID
 	for _, m := range p.Members {
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -18,10 +18,10 @@
 	"github.com/barleystep/barleystep/platform/platformtest"
 )
 
-// planner makes the calls of a table fail.
-type planner func(plan func(write bool) table.Failure)
+// faultSetter sets which calls of a table fail.
+type faultSetter func(plan func(write bool) table.Failure)
 
-func planOf(f *table.Faulty) planner {
+func faultSetterOf(f *table.Faulty) faultSetter {
 	return func(plan func(write bool) table.Failure) {
 		if plan == nil {
 			f.SetPlan(nil)
@@ -31,7 +31,7 @@
 	}
 }
 
-// storeFaults are the failures as the platform's store shows them.
+// storeFaults maps failures to the faults of the platform's test store.
 var storeFaults = map[table.Failure]platformtest.Fault{
 	table.FailureNone:        platformtest.FaultNone,
 	table.FailureUnavailable: platformtest.FaultBusy,
@@ -40,14 +40,14 @@
 	table.FailureHang:        platformtest.FaultHang,
 }
 
-// tables returns all implementations, each before a table that can fail.
-func tables(t *testing.T) map[string]func() (barleystep.Table, planner) {
-	return map[string]func() (barleystep.Table, planner){
-		"memory": func() (barleystep.Table, planner) {
+// tables returns a constructor of each implementation, with failure injection.
+func tables(t *testing.T) map[string]func() (barleystep.Table, faultSetter) {
+	return map[string]func() (barleystep.Table, faultSetter){
+		"memory": func() (barleystep.Table, faultSetter) {
 			f := &table.Faulty{Table: &table.Memory{}}
-			return f, planOf(f)
+			return f, faultSetterOf(f)
 		},
-		"platform": func() (barleystep.Table, planner) {
+		"platform": func() (barleystep.Table, faultSetter) {
 			p := &platformtest.Store{Clock: clock.System{}}
 			s := httptest.NewServer(p)
 			t.Cleanup(s.Close)
@@ -63,12 +63,12 @@
 				p.SetFaultFunc(func(kind string) platformtest.Fault { return storeFaults[plan(kind == "rows-tx")] })
 			}
 		},
-		"group": func() (barleystep.Table, planner) {
+		"group": func() (barleystep.Table, faultSetter) {
 			f := &table.Faulty{Table: &table.Memory{}}
 			g := table.NewBatcher(f, clock.System{})
 			g.Interval = time.Millisecond
 			serve(t, g)
-			return g, planOf(f)
+			return g, faultSetterOf(f)
 		},
 	}
 }
@@ -90,13 +90,13 @@
 	}
 }
 
-// TestContract holds every table to what the interface promises, fault by
-// fault: what the error says of the effect is true.
+// TestContract checks each implementation against the contract of barleystep.Table:
+// under every failure, the returned error is true about the effect.
 func TestContract(t *testing.T) {
 	cases := map[string]struct {
 		failure table.Failure
 		fault   barleystep.Fault
-		there   bool // there is whether the write took effect.
+		there   bool // there is set if the write took effect.
 	}{
 		"no fault":                {table.FailureNone, barleystep.FaultNone, true},
 		"error before the effect": {table.FailureUnavailable, barleystep.FaultUnavailable, false},
@@ -157,8 +157,9 @@
 	}
 }
 
-// TestGroupOutlivesAHang lets one commit hang; the next goes through.
-func TestGroupOutlivesAHang(t *testing.T) {
+// TestBatcherContinuesAfterHang checks that a commit that hangs does not block the
+// next one.
+func TestBatcherContinuesAfterHang(t *testing.T) {
 	c := quicktest.New(t)
 	faulty := &table.Faulty{Table: &table.Memory{}}
 	faulty.SetPlan(func(table.Call) table.Failure { return table.FailureHang })
@@ -171,9 +172,9 @@
 	c.Check(g.Commit(context.Background(), insert("k", "v")), quicktest.IsNil)
 }
 
-// TestGroup puts inserts of many goroutines into few commits; those that
-// conflict are told so, and only those.
-func TestGroup(t *testing.T) {
+// TestBatcher checks that inserts of many goroutines are combined into few commits,
+// and that exactly those that conflict get ErrConflict.
+func TestBatcher(t *testing.T) {
 	c := quicktest.New(t)
 	ctx := context.Background()
 	m := &table.Memory{}
