--- a/internal/peer/auth.go
+++ b/internal/peer/auth.go
@@ -31,7 +31,7 @@
 const (
 	headerPeer = "Barleystep-Peer"
 	// skew is how far apart two boxes' clocks may be.
-	skew = time.Minute
+	maxClockSkew = time.Minute
 )
 
 var _ connect.Interceptor = Auth{}
@@ -48,7 +48,7 @@
 	return hex.EncodeToString(mac.Sum(nil))
 }
 
-var errPeer = eris.New("peer: the caller did not prove that it is a box")
+var errUnauthenticated = eris.New("peer: the caller did not prove that it is a box")
 
 func (a Auth) check(h http.Header, procedure string) error {
 	if a.Secret == "" {
@@ -56,21 +56,21 @@
 	}
 	parts := strings.Split(h.Get(headerPeer), " ")
 	if len(parts) != 3 {
-		return connect.NewError(connect.CodeUnauthenticated, errPeer)
+		return connect.NewError(connect.CodeUnauthenticated, errUnauthenticated)
 	}
 	want := a.signature(parts[0], parts[1], procedure)
-	if !hmac.Equal([]byte(want), []byte(parts[2])) || !a.recent(parts[1]) {
-		return connect.NewError(connect.CodeUnauthenticated, errPeer)
+	if !hmac.Equal([]byte(want), []byte(parts[2])) || !a.isRecent(parts[1]) {
+		return connect.NewError(connect.CodeUnauthenticated, errUnauthenticated)
 	}
 	return nil
 }
 
-func (a Auth) recent(at string) bool {
+func (a Auth) isRecent(at string) bool {
 	sec, err := strconv.ParseInt(at, 10, 64)
 	if err != nil {
 		return false
 	}
-	return clock.TimeOfDay(a.Clock).Sub(time.Unix(sec, 0)).Abs() <= skew
+	return clock.TimeOfDay(a.Clock).Sub(time.Unix(sec, 0)).Abs() <= maxClockSkew
 }
 
 // WrapUnary signs or checks a call.
--- a/internal/peer/bench_internal_test.go
+++ b/internal/peer/bench_internal_test.go
@@ -16,7 +16,7 @@
 )
 
 // framing is what HTTP/2 and connect add to a message of a stream.
-const framing = 9 + 5
+const framingBytes = 9 + 5
 
 var now = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
@@ -40,7 +40,7 @@
 				at = at.Add(500 * time.Millisecond)
 				for _, box := range list {
 					for _, m := range states[box.ID()].Tick(at) {
-						bytes += proto.Size(toBeat(m.Heartbeat)) + framing
+						bytes += proto.Size(toHeartbeat(m.Heartbeat)) + framingBytes
 						states[m.To].Receive(at, m.Heartbeat)
 					}
 				}
@@ -74,10 +74,10 @@
 				c.Credits = append(c.Credits, capacity.Credit{Target: id, PrefillTokens: 4_096, KVTokens: 90_000, OtherPrefillTokens: 4_000, Running: 20, PrefillRate: 8_000, Slowdown: 1})
 			}
 			up, down := 0, 0
-			var out, back names
+			var out, back sentNames
 			for b.Loop() {
-				up = proto.Size(&peerv1.TalkRequest{Pool: out.number("document-reader-large"), Kind: &peerv1.TalkRequest_Report{Report: toReport(&out, r, now)}}) + framing
-				down = proto.Size(toCredits(&back, c, now)) + framing
+				up = proto.Size(&peerv1.TalkRequest{Pool: out.number("document-reader-large"), Kind: &peerv1.TalkRequest_Report{Report: toReport(&out, r, now)}}) + framingBytes
+				down = proto.Size(toCredits(&back, c, now)) + framingBytes
 			}
 			b.ReportMetric(float64(up), "report-B")
 			b.ReportMetric(float64(down), "credits-B")
@@ -95,8 +95,8 @@
 	}
 	change, confirm := 0, 0
 	for b.Loop() {
-		change = proto.Size(toUpdate([]version.Increment{inc}, false, inc.Version, time.Second)) + framing
-		confirm = proto.Size(toUpdate(nil, false, inc.Version, time.Second)) + framing
+		change = proto.Size(toUpdate([]version.Increment{inc}, false, inc.Version, time.Second)) + framingBytes
+		confirm = proto.Size(toUpdate(nil, false, inc.Version, time.Second)) + framingBytes
 	}
 	b.ReportMetric(float64(change), "B/change")
 	b.ReportMetric(float64(confirm), "B/confirmation")
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -30,12 +30,12 @@
 	// Base bounds the life of heartbeat streams; it ends with the process.
 	BaseContext context.Context
 
-	once    sync.Once
-	http    *http.Client
-	scheme  string
-	mu      sync.Mutex
-	streams map[string]*beatStream
-	talks   map[string]*talk
+	once             sync.Once
+	http             *http.Client
+	scheme           string
+	mu               sync.Mutex
+	heartbeatStreams map[string]*heartbeatStream
+	controlStreams   map[string]*controlStream
 }
 
 var _ member.Sender = (*Client)(nil)
@@ -60,12 +60,12 @@
 			TLSClientConfig: c.TLS.Clone(), // The transport changes its own copy.
 			HTTP2:           &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTimeout},
 		}}
-		c.streams = make(map[string]*beatStream)
-		c.talks = make(map[string]*talk)
+		c.heartbeatStreams = make(map[string]*heartbeatStream)
+		c.controlStreams = make(map[string]*controlStream)
 	})
 }
 
-func (c *Client) at(addr string) peerv1connect.PeerClient {
+func (c *Client) rpcClient(addr string) peerv1connect.PeerClient {
 	c.init()
 	return peerv1connect.NewPeerClient(c.http, c.scheme+addr, connect.WithInterceptors(c.Auth))
 }
@@ -85,12 +85,12 @@
 	if !ok {
 		return nil, false
 	}
-	return upstream{c.at(addr)}, true
+	return upstream{c.rpcClient(addr)}, true
 }
 
 // Members asks the box at the address what it knows of its hall.
 func (c *Client) Members(ctx context.Context, addr string) ([]member.Update, error) {
-	resp, err := c.at(addr).Members(ctx, connect.NewRequest(&peerv1.MembersRequest{}))
+	resp, err := c.rpcClient(addr).Members(ctx, connect.NewRequest(&peerv1.MembersRequest{}))
 	if err != nil {
 		return nil, eris.Wrap(err, "peer: members")
 	}
@@ -105,7 +105,7 @@
 
 // Ask waits for a grant.
 func (d *remoteEndpoint) Ask(ctx context.Context, pool string, a capacity.GrantRequest) (g capacity.Grant, err error) {
-	resp, err := d.client.at(d.addr).Ask(ctx, connect.NewRequest(toAsk(pool, a, d.client.Clock.Now())))
+	resp, err := d.client.rpcClient(d.addr).Ask(ctx, connect.NewRequest(toAsk(pool, a, d.client.Clock.Now())))
 	if err != nil {
 		return capacity.Grant{}, eris.Wrap(err, "peer: ask")
 	}
--- a/internal/peer/commit.go
+++ b/internal/peer/commit.go
@@ -25,11 +25,11 @@
 	for _, w := range t.Writes {
 		req.Writes = append(req.Writes, &peerv1.Write{Key: w.Key(), Value: w.Value(), Remove: w.Removes()})
 	}
-	reached := false
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { reached = true }}
-	resp, err := c.at(addr).Commit(httptrace.WithClientTrace(ctx, trace), connect.NewRequest(req))
+	connected := false
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
+	resp, err := c.rpcClient(addr).Commit(httptrace.WithClientTrace(ctx, trace), connect.NewRequest(req))
 	switch {
-	case err != nil && !reached:
+	case err != nil && !connected:
 		return eris.Wrap(barleystep.ErrUnavailable, err.Error())
 	case err != nil:
 		return eris.Wrap(barleystep.ErrUnknownEffect, err.Error())
--- a/internal/peer/talk.go
+++ b/internal/peer/control.go
@@ -14,129 +14,129 @@
 
 // talk is the stream of reports and notices to one dispenser. Streams cost far
 // fewer bytes than calls, which is what the limit on control traffic asks for.
-type talk struct {
+type controlStream struct {
 	stream *connect.BidiStreamForClient[peerv1.TalkRequest, peerv1.TalkResponse]
 	cancel context.CancelFunc
 
-	sending sync.Mutex // sending keeps messages in the order of waiting.
-	names   names
+	sendMu  sync.Mutex // sending keeps messages in the order of waiting.
+	names   sentNames
 	mu      sync.Mutex // mu guards what follows; it is never held while sending.
-	waiting []chan<- answer
+	pending []chan<- reportReply
 	err     error
 }
 
 // answer is what a report brought.
-type answer struct {
+type reportReply struct {
 	resp  *peerv1.TalkResponse
-	names known
+	names receivedNames
 	err   error
 }
 
-var errTalkEnded = eris.New("peer: the stream to the dispenser has ended")
+var errControlStreamEnded = eris.New("peer: the stream to the dispenser has ended")
 
 // talkTo returns the stream to the address and opens it if there is none.
-func (c *Client) talkTo(addr string) *talk {
+func (c *Client) controlStreamTo(addr string) *controlStream {
 	c.init()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t, ok := c.talks[addr]; ok {
+	if t, ok := c.controlStreams[addr]; ok {
 		return t
 	}
 	ctx, cancel := context.WithCancel(c.BaseContext)
-	t := &talk{stream: c.at(addr).Talk(ctx), cancel: cancel}
-	c.talks[addr] = t
+	t := &controlStream{stream: c.rpcClient(addr).Talk(ctx), cancel: cancel}
+	c.controlStreams[addr] = t
 	go func() {
 		t.receive()
-		c.endTalk(addr, t)
+		c.removeControlStream(addr, t)
 	}()
 	return t
 }
 
-func (c *Client) endTalk(addr string, t *talk) {
+func (c *Client) removeControlStream(addr string, t *controlStream) {
 	t.cancel()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.talks[addr] == t {
-		delete(c.talks, addr)
+	if c.controlStreams[addr] == t {
+		delete(c.controlStreams, addr)
 	}
 }
 
 // send sends one message. The build function is given the names of the stream.
 // A message that wants an answer gets it on the channel.
-func (t *talk) send(pool string, build func(n *names, m *peerv1.TalkRequest), want chan<- answer) error {
-	t.sending.Lock()
-	defer t.sending.Unlock()
-	if err := t.await(want); err != nil {
+func (t *controlStream) send(pool string, build func(n *sentNames, m *peerv1.TalkRequest), reply chan<- reportReply) error {
+	t.sendMu.Lock()
+	defer t.sendMu.Unlock()
+	if err := t.enqueue(reply); err != nil {
 		return err
 	}
 	m := &peerv1.TalkRequest{Pool: t.names.number(pool)}
 	build(&t.names, m)
-	m.Names = t.names.take()
+	m.Names = t.names.takeUnsent()
 	if err := t.stream.Send(m); err != nil {
-		return t.end(err)
+		return t.fail(err)
 	}
 	return nil
 }
 
 // await lines up for an answer, if one is wanted.
-func (t *talk) await(want chan<- answer) error {
+func (t *controlStream) enqueue(reply chan<- reportReply) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.err == nil && want != nil {
-		t.waiting = append(t.waiting, want)
+	if t.err == nil && reply != nil {
+		t.pending = append(t.pending, reply)
 	}
 	return t.err
 }
 
 // receive hands answers to those that wait, in order, until the stream ends.
-func (t *talk) receive() {
-	var in known
+func (t *controlStream) receive() {
+	var in receivedNames
 	for {
 		resp, err := t.stream.Receive()
 		if err != nil {
-			_ = t.end(err)
+			_ = t.fail(err)
 			return
 		}
 		in = append(in, resp.GetNames()...)
-		t.deliver(answer{resp: resp, names: in})
+		t.deliver(reportReply{resp: resp, names: in})
 	}
 }
 
-func (t *talk) deliver(a answer) {
+func (t *controlStream) deliver(a reportReply) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.waiting) > 0 {
-		t.waiting[0] <- a
-		t.waiting = t.waiting[1:]
+	if len(t.pending) > 0 {
+		t.pending[0] <- a
+		t.pending = t.pending[1:]
 	}
 }
 
 // end fails all that wait, and returns the error with which the stream ended.
-func (t *talk) end(err error) error {
+func (t *controlStream) fail(err error) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.err != nil {
 		return t.err
 	}
-	t.err = eris.Wrap(errTalkEnded, err.Error())
-	for _, w := range t.waiting {
-		w <- answer{err: t.err}
+	t.err = eris.Wrap(errControlStreamEnded, err.Error())
+	for _, w := range t.pending {
+		w <- reportReply{err: t.err}
 	}
-	t.waiting = nil
+	t.pending = nil
 	t.cancel()
 	return t.err
 }
 
 // First notes a first token.
 func (d *remoteEndpoint) First(_ context.Context, pool string, id barleystep.AttemptID) error {
-	return d.client.talkTo(d.addr).send(pool, func(_ *names, m *peerv1.TalkRequest) {
+	return d.client.controlStreamTo(d.addr).send(pool, func(_ *sentNames, m *peerv1.TalkRequest) {
 		m.Kind = &peerv1.TalkRequest_First{First: &peerv1.First{Attempt: toAttempt(id)}}
 	}, nil)
 }
 
 // Release gives a grant back.
 func (d *remoteEndpoint) Release(_ context.Context, pool string, id barleystep.AttemptID, u barleystep.Usage) error {
-	return d.client.talkTo(d.addr).send(pool, func(_ *names, m *peerv1.TalkRequest) {
+	return d.client.controlStreamTo(d.addr).send(pool, func(_ *sentNames, m *peerv1.TalkRequest) {
 		m.Kind = &peerv1.TalkRequest_Release{Release: toRelease(id, u)}
 	}, nil)
 }
@@ -144,8 +144,8 @@
 // Report sends a report and waits for the credits.
 func (d *remoteEndpoint) Report(ctx context.Context, pool string, r capacity.Report) (capacity.Credits, error) {
 	now := d.client.Clock.Now()
-	got := make(chan answer, 1)
-	err := d.client.talkTo(d.addr).send(pool, func(n *names, m *peerv1.TalkRequest) {
+	got := make(chan reportReply, 1)
+	err := d.client.controlStreamTo(d.addr).send(pool, func(n *sentNames, m *peerv1.TalkRequest) {
 		m.Kind = &peerv1.TalkRequest_Report{Report: toReport(n, r, now)}
 	}, got)
 	if err != nil {
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -89,13 +89,13 @@
 }
 
 // names numbers the names that one direction of a stream has sent.
-type names struct {
+type sentNames struct {
 	numbers map[string]uint32
-	fresh   []string // fresh is what the next message has to bring.
+	unsent  []string // fresh is what the next message has to bring.
 }
 
 // number returns the number of the name.
-func (n *names) number(name string) uint32 {
+func (n *sentNames) number(name string) uint32 {
 	if i, ok := n.numbers[name]; ok {
 		return i
 	}
@@ -104,29 +104,29 @@
 	}
 	i := uint32(len(n.numbers))
 	n.numbers[name] = i
-	n.fresh = append(n.fresh, name)
+	n.unsent = append(n.unsent, name)
 	return i
 }
 
 // take returns the names that were not sent yet.
-func (n *names) take() []string {
-	fresh := n.fresh
-	n.fresh = nil
-	return fresh
+func (n *sentNames) takeUnsent() []string {
+	unsent := n.unsent
+	n.unsent = nil
+	return unsent
 }
 
 // known is the names that one direction of a stream has brought.
-type known []string
+type receivedNames []string
 
 // name returns the name with the number, "" if there is none.
-func (k known) name(i uint32) string {
+func (k receivedNames) name(i uint32) string {
 	if int(i) >= len(k) {
 		return ""
 	}
 	return k[i]
 }
 
-func toReport(n *names, r capacity.Report, now time.Time) *peerv1.Report {
+func toReport(n *sentNames, r capacity.Report, now time.Time) *peerv1.Report {
 	return &peerv1.Report{
 		Box:    n.number(string(r.Box)),
 		Wanted: uint32(r.RequestedTokens),
@@ -156,7 +156,7 @@
 	}
 }
 
-func fromReport(k known, r *peerv1.Report, now time.Time) capacity.Report {
+func fromReport(k receivedNames, r *peerv1.Report, now time.Time) capacity.Report {
 	target := func(i uint32) barleystep.TargetID { return barleystep.TargetID(k.name(i)) }
 	return capacity.Report{
 		Box:             barleystep.BoxID(k.name(r.GetBox())),
@@ -187,7 +187,7 @@
 	}
 }
 
-func toCredits(n *names, c capacity.Credits, now time.Time) *peerv1.TalkResponse {
+func toCredits(n *sentNames, c capacity.Credits, now time.Time) *peerv1.TalkResponse {
 	resp := &peerv1.TalkResponse{
 		LifeMs: c.Until.Sub(now).Milliseconds(),
 		Credits: convert(c.Credits, func(c capacity.Credit) *peerv1.Credit {
@@ -203,11 +203,11 @@
 			}
 		}),
 	}
-	resp.Names = n.take()
+	resp.Names = n.takeUnsent()
 	return resp
 }
 
-func fromCredits(k known, r *peerv1.TalkResponse, now time.Time) capacity.Credits {
+func fromCredits(k receivedNames, r *peerv1.TalkResponse, now time.Time) capacity.Credits {
 	return capacity.Credits{
 		Until: now.Add(millis(r.GetLifeMs())),
 		Credits: convert(r.GetCredits(), func(c *peerv1.Credit) capacity.Credit {
@@ -239,7 +239,7 @@
 	return barleystep.Usage{Outcome: outcome, TimeToFirstEvent: millis(r.GetFirstMs()), AtCapacity: r.GetFull()}
 }
 
-func toBeat(b member.Heartbeat) *peerv1.Beat {
+func toHeartbeat(b member.Heartbeat) *peerv1.Beat {
 	return &peerv1.Beat{
 		Box:         string(b.From.Box),
 		Hall:        string(b.Hall),
@@ -251,7 +251,7 @@
 	}
 }
 
-func fromBeat(b *peerv1.Beat) member.Heartbeat {
+func fromHeartbeat(b *peerv1.Beat) member.Heartbeat {
 	status := member.StatusAlive
 	if b.GetLeaving() {
 		status = member.StatusLeaving
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -23,7 +23,7 @@
 }
 
 // maxForwards is how many boxes are tried, as long as none was reached.
-const maxForwards = 2
+const maxForwardAttempts = 2
 
 // Forward sends the request to a box of one of the halls.
 func (f *Forwarder) Forward(ctx context.Context, halls []string, r *http.Request, body []byte) (*http.Response, error) {
@@ -38,7 +38,7 @@
 	sort.Slice(candidates, func(i, j int) bool {
 		return place.Rank(string(key), string(candidates[i].ID())) > place.Rank(string(key), string(candidates[j].ID()))
 	})
-	for _, b := range candidates[:min(len(candidates), maxForwards)] {
+	for _, b := range candidates[:min(len(candidates), maxForwardAttempts)] {
 		resp, err := f.send(ctx, b.Addr(), r, body)
 		if err == nil || !eris.Is(err, barleystep.ErrNotStarted) {
 			return resp, err
@@ -50,8 +50,8 @@
 func (f *Forwarder) send(ctx context.Context, addr string, r *http.Request, body []byte) (*http.Response, error) {
 	c := f.Client
 	c.init()
-	reached := false
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { reached = true }}
+	connected := false
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
 	// The body cannot be rewound, so that it is not sent twice.
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), r.Method, c.scheme+addr+r.URL.RequestURI(), io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
@@ -63,7 +63,7 @@
 	req.Header.Set(headerPeer, c.Auth.sign(r.URL.Path))
 	resp, err := c.http.Do(req)
 	switch {
-	case err != nil && !reached:
+	case err != nil && !connected:
 		return nil, eris.Wrap(barleystep.ErrNotStarted, err.Error())
 	case err != nil:
 		return nil, eris.Wrap(barleystep.ErrUnknownEffect, err.Error())
@@ -76,7 +76,7 @@
 func (a Auth) RequireBox(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if a.check(r.Header, r.URL.Path) != nil {
-			http.Error(w, errPeer.Error(), http.StatusUnauthorized)
+			http.Error(w, errUnauthenticated.Error(), http.StatusUnauthorized)
 			return
 		}
 		next.ServeHTTP(w, r)
--- a/internal/peer/beat.go
+++ b/internal/peer/heartbeat.go
@@ -8,14 +8,14 @@
 )
 
 // beatStream sends heartbeats to one address over one long-lived stream.
-type beatStream struct {
+type heartbeatStream struct {
 	queue  chan member.Heartbeat
 	cancel context.CancelFunc
 }
 
 // beatQueue is how many heartbeats wait for a stream. More would only be old
 // news.
-const beatQueue = 2
+const heartbeatQueueSize = 2
 
 // Beat sends a heartbeat. It does not wait: a heartbeat that can't be sent at
 // once is dropped, which is what its absence has to tell.
@@ -23,37 +23,37 @@
 	if addr == "" {
 		return
 	}
-	s := c.beats(addr)
+	s := c.heartbeatStreamTo(addr)
 	select {
 	case s.queue <- b:
 	default:
 	}
 }
 
-func (c *Client) beats(addr string) *beatStream {
+func (c *Client) heartbeatStreamTo(addr string) *heartbeatStream {
 	c.init()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if s, ok := c.streams[addr]; ok {
+	if s, ok := c.heartbeatStreams[addr]; ok {
 		return s
 	}
 	ctx, cancel := context.WithCancel(c.BaseContext)
-	s := &beatStream{queue: make(chan member.Heartbeat, beatQueue), cancel: cancel}
-	c.streams[addr] = s
-	go c.run(ctx, addr, s)
+	s := &heartbeatStream{queue: make(chan member.Heartbeat, heartbeatQueueSize), cancel: cancel}
+	c.heartbeatStreams[addr] = s
+	go c.sendHeartbeats(ctx, addr, s)
 	return s
 }
 
 // run sends until the stream breaks; the next heartbeat opens another.
-func (c *Client) run(ctx context.Context, addr string, s *beatStream) {
-	defer c.forget(addr, s)
-	stream := c.at(addr).Beats(ctx)
+func (c *Client) sendHeartbeats(ctx context.Context, addr string, s *heartbeatStream) {
+	defer c.removeHeartbeatStream(addr, s)
+	stream := c.rpcClient(addr).Beats(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case b := <-s.queue:
-			if stream.Send(toBeat(b)) != nil {
+			if stream.Send(toHeartbeat(b)) != nil {
 				_, _ = stream.CloseAndReceive()
 				return
 			}
@@ -61,12 +61,12 @@
 	}
 }
 
-func (c *Client) forget(addr string, s *beatStream) {
+func (c *Client) removeHeartbeatStream(addr string, s *heartbeatStream) {
 	s.cancel()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.streams[addr] == s {
-		delete(c.streams, addr)
+	if c.heartbeatStreams[addr] == s {
+		delete(c.heartbeatStreams, addr)
 	}
 }
 
@@ -76,10 +76,10 @@
 	c.init()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for addr, s := range c.streams {
+	for addr, s := range c.heartbeatStreams {
 		if !addrs[addr] {
 			s.cancel()
-			delete(c.streams, addr)
+			delete(c.heartbeatStreams, addr)
 		}
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -55,25 +55,27 @@
 }
 
 // ears takes in heartbeats.
-type ears struct{ heard chan member.Heartbeat }
+type heartbeatReceiver struct{ received chan member.Heartbeat }
 
 // Receive passes the heartbeat on.
-func (e ears) Receive(b member.Heartbeat) { e.heard <- b }
+func (e heartbeatReceiver) Receive(b member.Heartbeat) { e.received <- b }
 
 // Members returns one box.
-func (e ears) Members() []member.Update { return []member.Update{{Box: "b1", Incarnation: 1}} }
+func (e heartbeatReceiver) Members() []member.Update {
+	return []member.Update{{Box: "b1", Incarnation: 1}}
+}
 
 // end is a box's peer server with a client that reaches it.
-type end struct {
+type testBox struct {
 	endpoint *capacity.LocalEndpoint
 	follower *version.Follower
 	client   *peer.Client
-	ears     ears
+	receiver heartbeatReceiver
 	table    *table.Faulty
-	wire     *countingListener
+	listener *countingListener
 }
 
-func newEnd(t testing.TB, serverSecret, clientSecret string) *end {
+func newTestBox(t testing.TB, serverSecret, clientSecret string) *testBox {
 	c := quicktest.New(t)
 	d, err := config.File{
 		Classes: []config.Class{{Name: "normal"}},
@@ -84,18 +86,18 @@
 	follower := &version.Follower{Clock: clock.System{}, Meter: metric.Discard()}
 	c.Assert(follower.Load(version.Increment{Version: 1, Changes: d.Entries(), Digest: d.Digest()}), quicktest.IsNil)
 	endpoint := &capacity.LocalEndpoint{Clock: clock.System{}, Hall: "h", Configuration: follower, Meter: metric.Discard()}
-	e := &end{endpoint: endpoint, follower: follower, ears: ears{make(chan member.Heartbeat, 100)}, table: &table.Faulty{Table: &table.Memory{}}}
+	e := &testBox{endpoint: endpoint, follower: follower, receiver: heartbeatReceiver{make(chan member.Heartbeat, 100)}, table: &table.Faulty{Table: &table.Memory{}}}
 	server := &peer.Server{
 		Auth:  peer.Auth{Secret: serverSecret, Box: "b1", Clock: clock.System{}},
-		Clock: clock.System{}, Endpoint: endpoint, Receiver: e.ears, Follower: follower, Table: e.table,
+		Clock: clock.System{}, Endpoint: endpoint, Receiver: e.receiver, Follower: follower, Table: e.table,
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, quicktest.IsNil)
-	e.wire = &countingListener{Listener: l}
+	e.listener = &countingListener{Listener: l}
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
 	h := &http.Server{Handler: server.Handler(), Protocols: protocols}
-	go func() { _ = h.Serve(e.wire) }()
+	go func() { _ = h.Serve(e.listener) }()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() {
 		cancel()
@@ -111,7 +113,7 @@
 	return e
 }
 
-func ask(n uint64) capacity.GrantRequest {
+func newAsk(n uint64) capacity.GrantRequest {
 	now := clock.System{}.Now()
 	return capacity.GrantRequest{Box: "b2", Weight: 1, Limit: 1, Demand: barleystep.Demand{
 		Attempt: barleystep.NewAttemptID("b2", 7, n), Account: "conversia", Class: "normal", Model: pool,
@@ -121,19 +123,19 @@
 
 // TestEndpoint holds both implementations of Endpoint to the same contract.
 func TestEndpoint(t *testing.T) {
-	e := newEnd(t, "secret", "secret")
+	e := newTestBox(t, "secret", "secret")
 	remote, _ := e.client.Endpoint("b1")
 	for name, endpoint := range map[string]capacity.Endpoint{"local": e.endpoint, "remote": remote} {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			first := ask(1)
+			first := newAsk(1)
 			g, err := endpoint.Ask(t.Context(), pool, first)
 			c.Assert(err, quicktest.IsNil)
 			c.Check(g.Targets, quicktest.DeepEquals, []barleystep.TargetID{"e1"})
 			// A second long prompt waits until the first has been read.
 			got := make(chan error, 1)
 			go func() {
-				_, err := endpoint.Ask(t.Context(), pool, ask(2))
+				_, err := endpoint.Ask(t.Context(), pool, newAsk(2))
 				got <- err
 			}()
 			c.Assert(endpoint.First(t.Context(), pool, first.Demand.Attempt), quicktest.IsNil)
@@ -141,16 +143,16 @@
 			// A caller that goes away leaves its question behind nowhere.
 			ctx, cancel := context.WithCancel(t.Context())
 			cancel()
-			_, err = endpoint.Ask(ctx, pool, ask(3))
+			_, err = endpoint.Ask(ctx, pool, newAsk(3))
 			c.Check(err, quicktest.IsNotNil)
 			for n := uint64(1); n <= 3; n++ {
-				c.Assert(endpoint.Release(t.Context(), pool, ask(n).Demand.Attempt, barleystep.Usage{Outcome: barleystep.OutcomeDone, TimeToFirstEvent: 1}), quicktest.IsNil)
+				c.Assert(endpoint.Release(t.Context(), pool, newAsk(n).Demand.Attempt, barleystep.Usage{Outcome: barleystep.OutcomeDone, TimeToFirstEvent: 1}), quicktest.IsNil)
 			}
 			credits, err := endpoint.Report(t.Context(), pool, capacity.Report{Box: "b2", RequestedTokens: 1_000})
 			c.Assert(err, quicktest.IsNil)
 			c.Assert(credits.Credits, quicktest.HasLen, 1)
 			c.Check(credits.Credits[0].Target, quicktest.Equals, barleystep.TargetID("e1"))
-			late := ask(4)
+			late := newAsk(4)
 			late.Demand.Deadline = late.Demand.AdmittedAt
 			_, err = endpoint.Ask(t.Context(), pool, late)
 			c.Check(barleystep.AsRefusal(err).Reason(), quicktest.Equals, barleystep.ReasonDeadlineCannotBeMet)
@@ -158,7 +160,7 @@
 	}
 }
 
-func TestStrangerIsRefused(t *testing.T) {
+func TestAuthRejectsOtherSecrets(t *testing.T) {
 	cases := map[string]struct {
 		server, client string
 		ok             bool
@@ -170,8 +172,8 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			e := newEnd(t, tc.server, tc.client)
-			_, err := e.client.Members(t.Context(), e.wire.Addr().String())
+			e := newTestBox(t, tc.server, tc.client)
+			_, err := e.client.Members(t.Context(), e.listener.Addr().String())
 			quicktest.Check(t, err == nil, quicktest.Equals, tc.ok)
 			endpoint, _ := e.client.Endpoint("b1")
 			_, err = endpoint.Report(t.Context(), pool, capacity.Report{Box: "b2"})
@@ -180,13 +182,13 @@
 	}
 }
 
-func TestBeatsAndVersions(t *testing.T) {
+func TestHeartbeatsAndFollow(t *testing.T) {
 	c := quicktest.New(t)
-	e := newEnd(t, "s", "s")
-	addr := e.wire.Addr().String()
+	e := newTestBox(t, "s", "s")
+	addr := e.listener.Addr().String()
 	for n := range uint64(2) {
 		e.client.SendHeartbeat("b1", addr, member.Heartbeat{From: member.Update{Box: "b2", Incarnation: 7, Sequence: n}, Hall: "h"})
-		c.Check((<-e.ears.heard).From.Sequence, quicktest.Equals, n)
+		c.Check((<-e.receiver.received).From.Sequence, quicktest.Equals, n)
 	}
 	u, _ := e.client.Upstream("b1")
 	other := &version.Follower{Clock: clock.System{}, Meter: metric.Discard()}
@@ -202,7 +204,7 @@
 
 // TestCommitTellsTheEffect checks that what a box learns of a transaction that it
 // handed over is true.
-func TestCommitTellsTheEffect(t *testing.T) {
+func TestCommitReportsEffect(t *testing.T) {
 	cases := map[string]struct {
 		failure table.Failure
 		want    barleystep.Fault
@@ -218,18 +220,18 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			e := newEnd(t, "s", "s")
+			e := newTestBox(t, "s", "s")
 			e.table.SetPlan(func(table.Call) table.Failure { return tc.failure })
 			quicktest.Check(t, barleystep.FaultOf(e.client.Commit(t.Context(), "b1", txn)), quicktest.Equals, tc.want)
 		})
 	}
 	t.Run("conflict", func(t *testing.T) {
-		e := newEnd(t, "s", "s")
+		e := newTestBox(t, "s", "s")
 		quicktest.Assert(t, e.client.Commit(t.Context(), "b1", txn), quicktest.IsNil)
 		quicktest.Check(t, e.client.Commit(t.Context(), "b1", txn), quicktest.ErrorIs, barleystep.ErrConflict)
 	})
 	t.Run("no box there", func(t *testing.T) {
-		e := newEnd(t, "s", "s")
+		e := newTestBox(t, "s", "s")
 		e.client.Addr = func(barleystep.BoxID) (string, bool) { return "127.0.0.1:1", true }
 		quicktest.Check(t, e.client.Commit(t.Context(), "b1", txn), quicktest.ErrorIs, barleystep.ErrUnavailable)
 	})
@@ -238,11 +240,11 @@
 // BenchmarkCapacityWire counts the bytes of a grant with its notices, and of a
 // report, on a real connection, both ways.
 func BenchmarkCapacityWire(b *testing.B) {
-	e := newEnd(b, "secret", "secret")
+	e := newTestBox(b, "secret", "secret")
 	endpoint, _ := e.client.Endpoint("b1")
 	ctx := context.Background()
 	grant := func(n uint64) {
-		a := ask(n)
+		a := newAsk(n)
 		_, err := endpoint.Ask(ctx, pool, a)
 		quicktest.Assert(b, err, quicktest.IsNil)
 		_ = endpoint.First(ctx, pool, a.Demand.Attempt)
@@ -255,13 +257,13 @@
 	for name, f := range map[string]func(uint64){"grant": grant, "report": report} {
 		b.Run(name, func(b *testing.B) {
 			f(0)
-			before := e.wire.bytes.Load()
+			before := e.listener.bytes.Load()
 			n := uint64(0)
 			for b.Loop() {
 				n++
 				f(n)
 			}
-			b.ReportMetric(float64(e.wire.bytes.Load()-before)/float64(n), "B/"+name)
+			b.ReportMetric(float64(e.listener.bytes.Load()-before)/float64(n), "B/"+name)
 		})
 	}
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -40,7 +40,7 @@
 
 // confirmEvery is the time between messages of a stream of versions that only
 // say how fresh the newest one is.
-const confirmEvery = time.Second
+const confirmInterval = time.Second
 
 // Handler returns the handler for peers.
 func (s *Server) Handler() http.Handler {
@@ -57,7 +57,7 @@
 // Beats takes in heartbeats until the stream ends.
 func (h handler) Beats(_ context.Context, stream *connect.ClientStream[peerv1.Beat]) (*connect.Response[peerv1.BeatsResponse], error) {
 	for stream.Receive() {
-		h.Receiver.Receive(fromBeat(stream.Msg()))
+		h.Receiver.Receive(fromHeartbeat(stream.Msg()))
 	}
 	return connect.NewResponse(&peerv1.BeatsResponse{}), stream.Err()
 }
@@ -84,15 +84,15 @@
 // Talk takes in reports and notices until the stream ends, and answers reports
 // with credits.
 func (h handler) Talk(ctx context.Context, stream *connect.BidiStream[peerv1.TalkRequest, peerv1.TalkResponse]) error {
-	var in known
-	var out names
+	var in receivedNames
+	var out sentNames
 	for {
 		m, err := stream.Receive()
 		if err != nil {
-			return ended(err)
+			return ignoreEOF(err)
 		}
 		in = append(in, m.GetNames()...)
-		resp, err := h.talk(ctx, in, &out, m)
+		resp, err := h.handleControl(ctx, in, &out, m)
 		if err != nil {
 			return err
 		}
@@ -106,14 +106,14 @@
 }
 
 // ended turns the regular end of a stream into no error.
-func ended(err error) error {
+func ignoreEOF(err error) error {
 	if eris.Is(err, io.EOF) {
 		return nil
 	}
 	return err
 }
 
-func (h handler) talk(ctx context.Context, in known, out *names, m *peerv1.TalkRequest) (*peerv1.TalkResponse, error) {
+func (h handler) handleControl(ctx context.Context, in receivedNames, out *sentNames, m *peerv1.TalkRequest) (*peerv1.TalkResponse, error) {
 	pool := in.name(m.GetPool())
 	switch kind := m.GetKind().(type) {
 	case *peerv1.TalkRequest_First:
@@ -139,18 +139,18 @@
 		changed := h.Follower.Changed()
 		list, snapshot := h.Follower.Since(sent)
 		newest := h.Follower.Version()
-		if err := stream.Send(toUpdate(list, snapshot, newest, h.age())); err != nil {
+		if err := stream.Send(toUpdate(list, snapshot, newest, h.confirmationAge())); err != nil {
 			return err
 		}
 		sent = max(sent, newest)
-		if !h.wait(ctx, changed) {
+		if !h.waitForChange(ctx, changed) {
 			return eris.Wrap(ctx.Err(), "peer: follow")
 		}
 	}
 }
 
 // age returns how long ago the version was confirmed, negative for never.
-func (h handler) age() time.Duration {
+func (h handler) confirmationAge() time.Duration {
 	at := h.Follower.ConfirmedAt()
 	if at.IsZero() {
 		return -time.Second
@@ -158,8 +158,8 @@
 	return h.Clock.Now().Sub(at)
 }
 
-func (h handler) wait(ctx context.Context, changed <-chan struct{}) bool {
-	t := h.Clock.NewTimer(confirmEvery)
+func (h handler) waitForChange(ctx context.Context, changed <-chan struct{}) bool {
+	t := h.Clock.NewTimer(confirmInterval)
 	defer t.Stop()
 	select {
 	case <-changed:
