--- a/internal/member/judge.go
+++ b/internal/member/judge.go
@@ -8,37 +8,37 @@
 
 // judge looks for watched boxes that are silent, and for suspects whose time to
 // contradict is over.
-func (s *State) judge(now time.Time) {
-	watching := make(map[barleystep.BoxID]bool)
+func (s *State) detectFailures(now time.Time) {
+	monitored := make(map[barleystep.BoxID]bool)
 	for _, id := range s.predecessors() {
-		watching[id] = true
-		if _, ok := s.watched[id]; !ok {
-			s.watched[id] = now
+		monitored[id] = true
+		if _, ok := s.monitoredSince[id]; !ok {
+			s.monitoredSince[id] = now
 		}
 	}
-	for id := range s.watched {
-		if !watching[id] {
-			delete(s.watched, id)
+	for id := range s.monitoredSince {
+		if !monitored[id] {
+			delete(s.monitoredSince, id)
 		}
 	}
 	for id, p := range s.peers {
 		switch p.Status {
 		case StatusAlive, StatusLeaving:
-			s.judgeAlive(now, id, p)
+			s.checkSilence(now, id, p)
 		case StatusSuspect:
-			if now.Sub(p.since) >= s.settings.DeadAfter {
-				s.bury(now, p)
+			if now.Sub(p.statusSince) >= s.settings.DeadAfter {
+				s.markDead(now, p)
 			}
 		}
 	}
 }
 
-func (s *State) judgeAlive(now time.Time, id barleystep.BoxID, p *peer) {
-	since, ok := s.watched[id]
+func (s *State) checkSilence(now time.Time, id barleystep.BoxID, p *peer) {
+	since, ok := s.monitoredSince[id]
 	if !ok {
 		return
 	}
-	last := p.heard
+	last := p.lastHeard
 	if since.After(last) {
 		last = since
 	}
@@ -47,11 +47,11 @@
 	}
 	r := p.Update
 	r.Status = StatusSuspect
-	s.change(now, p, r)
+	s.apply(now, p, r)
 }
 
-func (s *State) bury(now time.Time, p *peer) {
+func (s *State) markDead(now time.Time, p *peer) {
 	r := p.Update
 	r.Status = StatusDead
-	s.change(now, p, r)
+	s.apply(now, p, r)
 }
--- a/internal/member/ring.go
+++ b/internal/member/ring.go
@@ -12,10 +12,10 @@
 // ring returns the boxes that take part, this one among them, in the order of
 // the i-th ring. Dead boxes are left out.
 func (s *State) ring(i int) []barleystep.BoxID {
-	if s.order[i] == nil {
-		s.order[i] = s.sortRing(i)
+	if s.ringOrders[i] == nil {
+		s.ringOrders[i] = s.sortRing(i)
 	}
-	return s.order[i]
+	return s.ringOrders[i]
 }
 
 func (s *State) sortRing(i int) []barleystep.BoxID {
@@ -39,7 +39,7 @@
 }
 
 // reorder makes the rings be sorted anew.
-func (s *State) reorder() { s.order = [rings][]barleystep.BoxID{} }
+func (s *State) invalidateRings() { s.ringOrders = [ringCount][]barleystep.BoxID{} }
 
 func (s *State) successors() []barleystep.BoxID   { return s.neighbours(1) }
 func (s *State) predecessors() []barleystep.BoxID { return s.neighbours(-1) }
@@ -47,7 +47,7 @@
 // neighbours returns the boxes next to this one in each ring, without repeats.
 func (s *State) neighbours(step int) []barleystep.BoxID {
 	var ids []barleystep.BoxID
-	for i := range rings {
+	for i := range ringCount {
 		order := s.ring(i)
 		at := slices.Index(order, s.self.Box)
 		next := order[(at+step+len(order))%len(order)]
--- a/internal/member/state.go
+++ b/internal/member/state.go
@@ -24,30 +24,30 @@
 }
 
 const (
-	defaultEvery  = 500 * time.Millisecond
-	defaultBeats  = 5
-	defaultForget = 10 * time.Minute
+	defaultHeartbeatInterval = 500 * time.Millisecond
+	defaultMissedHeartbeats  = 5
+	defaultForgetAfter       = 10 * time.Minute
 	// rings is how many rings the boxes form. Each box beats to its successor in
 	// every ring, so the cost of a box does not depend on their number. Four
 	// random rings together are a graph in which news reaches 400 boxes in about
 	// five beats.
-	rings = 4
+	ringCount = 4
 	// updatesPerBeat bounds what one heartbeat carries.
-	updatesPerBeat = 8
+	maxUpdatesPerHeartbeat = 8
 )
 
 func (s Settings) withDefaults() Settings {
 	if s.HeartbeatInterval == 0 {
-		s.HeartbeatInterval = defaultEvery
+		s.HeartbeatInterval = defaultHeartbeatInterval
 	}
 	if s.SuspectAfter == 0 {
-		s.SuspectAfter = defaultBeats * s.HeartbeatInterval
+		s.SuspectAfter = defaultMissedHeartbeats * s.HeartbeatInterval
 	}
 	if s.DeadAfter == 0 {
-		s.DeadAfter = defaultBeats * s.HeartbeatInterval
+		s.DeadAfter = defaultMissedHeartbeats * s.HeartbeatInterval
 	}
 	if s.ForgetAfter == 0 {
-		s.ForgetAfter = defaultForget
+		s.ForgetAfter = defaultForgetAfter
 	}
 	return s
 }
@@ -55,23 +55,23 @@
 // State is a box's picture of its hall. It is a state machine without
 // goroutines, and not safe for concurrent use.
 type State struct {
-	settings Settings
-	self     Update
-	hall     barleystep.HallID
-	peers    map[barleystep.BoxID]*peer
-	ticked   time.Time
-	watched  map[barleystep.BoxID]time.Time // watched says since when this box has watched a peer.
-	events   []Event
-	order    [rings][]barleystep.BoxID // order is the rings; empty after a change.
-	answers  map[barleystep.BoxID]bool // answers names dead boxes that were heard and must be told.
-	ticks    int
+	settings       Settings
+	self           Update
+	hall           barleystep.HallID
+	peers          map[barleystep.BoxID]*peer
+	lastTick       time.Time
+	monitoredSince map[barleystep.BoxID]time.Time // watched says since when this box has watched a peer.
+	events         []Event
+	ringOrders     [ringCount][]barleystep.BoxID // order is the rings; empty after a change.
+	deadSenders    map[barleystep.BoxID]bool     // answers names dead boxes that were heard and must be told.
+	ticks          int
 }
 
 type peer struct {
 	Update
-	heard time.Time // heard is when the box itself was last heard.
-	since time.Time // since is when the status last changed.
-	told  int       // told is how often the status was passed on.
+	lastHeard     time.Time // heard is when the box itself was last heard.
+	statusSince   time.Time // since is when the status last changed.
+	transmissions int       // told is how often the status was passed on.
 }
 
 // Event is a change that the state has seen.
@@ -84,12 +84,12 @@
 func NewState(s Settings, self Update, hall barleystep.HallID) *State {
 	self.Status = StatusAlive
 	return &State{
-		settings: s.withDefaults(),
-		self:     self,
-		hall:     hall,
-		peers:    make(map[barleystep.BoxID]*peer),
-		watched:  make(map[barleystep.BoxID]time.Time),
-		answers:  make(map[barleystep.BoxID]bool),
+		settings:       s.withDefaults(),
+		self:           self,
+		hall:           hall,
+		peers:          make(map[barleystep.BoxID]*peer),
+		monitoredSince: make(map[barleystep.BoxID]time.Time),
+		deadSenders:    make(map[barleystep.BoxID]bool),
 	}
 }
 
@@ -107,13 +107,13 @@
 			p.Addr = b.Addr()
 			continue
 		}
-		s.peers[b.ID()] = &peer{Update: Update{Box: b.ID(), Addr: b.Addr()}, since: now}
-		s.reorder()
+		s.peers[b.ID()] = &peer{Update: Update{Box: b.ID(), Addr: b.Addr()}, statusSince: now}
+		s.invalidateRings()
 	}
 	for id, p := range s.peers {
-		if !listed[id] && p.Status != StatusAlive && now.Sub(p.since) > s.settings.ForgetAfter {
+		if !listed[id] && p.Status != StatusAlive && now.Sub(p.statusSince) > s.settings.ForgetAfter {
 			delete(s.peers, id)
-			s.reorder()
+			s.invalidateRings()
 		}
 	}
 }
@@ -126,74 +126,74 @@
 	if b.Hall != s.hall || b.From.Box == s.self.Box {
 		return
 	}
-	s.learn(now, b.From)
+	s.merge(now, b.From)
 	p := s.peers[b.From.Box]
 	if p.Incarnation == b.From.Incarnation {
-		p.heard = now
+		p.lastHeard = now
 		s.revive(now, p, b.From)
 	}
 	if p.Status == StatusDead {
-		s.answers[p.Box] = true
+		s.deadSenders[p.Box] = true
 	}
 	for _, r := range b.Updates {
-		s.learn(now, r)
+		s.merge(now, r)
 	}
 }
 
 // revive believes a suspect that is heard directly more than the update. A dead
 // box has to raise its number first, so that all hear of it.
-func (s *State) revive(now time.Time, p *peer, word Update) {
-	if p.Status == StatusSuspect && p.Sequence == word.Sequence {
-		p.Status = word.Status
-		p.since = now
-		p.told = 0
+func (s *State) revive(now time.Time, p *peer, sent Update) {
+	if p.Status == StatusSuspect && p.Sequence == sent.Sequence {
+		p.Status = sent.Status
+		p.statusSince = now
+		p.transmissions = 0
 	}
 }
 
 // learn takes in what is said of a box, if it outweighs what is known.
-func (s *State) learn(now time.Time, r Update) {
+func (s *State) merge(now time.Time, r Update) {
 	if r.Box == s.self.Box {
-		s.contradict(r)
+		s.refute(r)
 		return
 	}
 	p, ok := s.peers[r.Box]
 	if !ok {
-		p = &peer{Update: Update{Box: r.Box, Addr: r.Addr}, since: now}
+		p = &peer{Update: Update{Box: r.Box, Addr: r.Addr}, statusSince: now}
 		s.peers[r.Box] = p
-		s.reorder()
+		s.invalidateRings()
 	}
-	if !outweighs(r, p.Update) {
+	if !supersedes(r, p.Update) {
 		return
 	}
-	s.change(now, p, r)
+	s.apply(now, p, r)
 }
 
-func (s *State) change(now time.Time, p *peer, r Update) {
+func (s *State) apply(now time.Time, p *peer, r Update) {
 	replaced := p.Incarnation != 0 && p.Incarnation != r.Incarnation && p.Status != StatusDead
 	if p.Status != r.Status || p.Incarnation != r.Incarnation {
-		p.since = now
+		p.statusSince = now
 		s.events = append(s.events, Event{Box: p.Box, Status: r.Status})
 	}
 	if p.Incarnation != r.Incarnation {
 		// A new start of the box: the old one's silence does not count.
-		p.heard = now
+		p.lastHeard = now
 	}
 	if replaced {
 		s.events = append(s.events, Event{Box: p.Box, Status: StatusDead})
 	}
 	if (p.Status == StatusDead) != (r.Status == StatusDead) {
-		s.reorder()
+		s.invalidateRings()
 	}
 	addr := p.Addr
 	p.Update = r
 	if r.Addr == "" {
 		p.Addr = addr
 	}
-	p.told = 0
+	p.transmissions = 0
 }
 
 // contradict answers an update that this incarnation is suspect or dead.
-func (s *State) contradict(r Update) {
+func (s *State) refute(r Update) {
 	if r.Incarnation == s.self.Incarnation && r.Status >= StatusSuspect && r.Sequence >= s.self.Sequence {
 		s.self.Sequence = r.Sequence + 1
 	}
@@ -201,7 +201,7 @@
 
 // outweighs reports whether r is newer than, or a graver word on the same state
 // than, the known one. Incarnations grow from start to start.
-func outweighs(r, known Update) bool {
+func supersedes(r, known Update) bool {
 	switch {
 	case known.Status == StatusUnheard:
 		return r.Status != StatusUnheard
@@ -216,37 +216,37 @@
 
 // Tick judges silence and returns the heartbeats to send.
 func (s *State) Tick(now time.Time) []Message {
-	if !s.ticked.IsZero() && now.Sub(s.ticked) > s.settings.SuspectAfter/2 {
-		s.paused(now)
+	if !s.lastTick.IsZero() && now.Sub(s.lastTick) > s.settings.SuspectAfter/2 {
+		s.resetSilence(now)
 	}
-	s.ticked = now
-	s.judge(now)
-	updates := s.updates()
+	s.lastTick = now
+	s.detectFailures(now)
+	updates := s.nextUpdates()
 	var list []Message
 	for _, id := range s.successors() {
-		list = append(list, s.message(s.peers[id], updates))
+		list = append(list, s.newMessage(s.peers[id], updates))
 	}
-	for id := range s.answers {
+	for id := range s.deadSenders {
 		if p, ok := s.peers[id]; ok {
-			list = append(list, s.message(p, []Update{p.Update}))
+			list = append(list, s.newMessage(p, []Update{p.Update}))
 		}
 	}
-	clear(s.answers)
-	return append(list, s.probe()...)
+	clear(s.deadSenders)
+	return append(list, s.probeDead()...)
 }
 
-func (s *State) message(p *peer, updates []Update) Message {
+func (s *State) newMessage(p *peer, updates []Update) Message {
 	return Message{To: p.Box, Addr: p.Addr, Heartbeat: Heartbeat{From: s.self, Hall: s.hall, Updates: updates}}
 }
 
 // probeEvery is how many heartbeats pass between two probes.
-const probeEvery = 4
+const probeInterval = 4
 
 // probe beats to one dead box after the other: after a cut both sides think
 // that the other is dead, and somebody has to speak first.
-func (s *State) probe() []Message {
+func (s *State) probeDead() []Message {
 	s.ticks++
-	if s.ticks%probeEvery != 0 {
+	if s.ticks%probeInterval != 0 {
 		return nil
 	}
 	var dead []barleystep.BoxID
@@ -259,16 +259,16 @@
 		return nil
 	}
 	slices.Sort(dead)
-	p := s.peers[dead[s.ticks/probeEvery%len(dead)]]
-	return []Message{s.message(p, []Update{p.Update})}
+	p := s.peers[dead[s.ticks/probeInterval%len(dead)]]
+	return []Message{s.newMessage(p, []Update{p.Update})}
 }
 
 // paused starts all silences anew: it was this box that did not listen.
-func (s *State) paused(now time.Time) {
+func (s *State) resetSilence(now time.Time) {
 	for _, p := range s.peers {
-		p.heard = now
+		p.lastHeard = now
 		if p.Status == StatusSuspect {
-			p.since = now
+			p.statusSince = now
 		}
 	}
 	s.events = append(s.events, Event{Box: s.self.Box, Status: StatusSuspect})
--- a/internal/member/tracker.go
+++ b/internal/member/tracker.go
@@ -46,12 +46,12 @@
 var _ barleystep.Membership = (*Tracker)(nil)
 
 const (
-	defaultListEvery = 5 * time.Second
-	logPrefix        = "member: "
+	defaultListInterval = 5 * time.Second
+	logPrefix           = "member: "
 )
 
 // locked returns the state; the caller holds the lock.
-func (t *Tracker) locked() *State {
+func (t *Tracker) stateLocked() *State {
 	if t.state == nil {
 		t.state = NewState(t.Settings, t.Self, t.Hall)
 	}
@@ -61,9 +61,9 @@
 // Serve runs until ctx ends.
 func (t *Tracker) Serve(ctx context.Context) error {
 	if t.ListInterval == 0 {
-		t.ListInterval = defaultListEvery
+		t.ListInterval = defaultListInterval
 	}
-	go t.list(ctx)
+	go t.readBoxList(ctx)
 	for {
 		t.tick()
 		if !clock.Sleep(ctx, t.Clock, t.Settings.withDefaults().HeartbeatInterval) {
@@ -72,11 +72,11 @@
 	}
 }
 
-func (t *Tracker) list(ctx context.Context) {
+func (t *Tracker) readBoxList(ctx context.Context) {
 	for {
 		if boxes, err := t.Boxes.Boxes(ctx); err == nil {
 			t.mu.Lock()
-			t.locked().MergeList(t.Clock.Now(), boxes)
+			t.stateLocked().MergeList(t.Clock.Now(), boxes)
 			t.mu.Unlock()
 		}
 		if !clock.Sleep(ctx, t.Clock, t.ListInterval) {
@@ -87,7 +87,7 @@
 
 func (t *Tracker) tick() {
 	t.mu.Lock()
-	messages := t.locked().Tick(t.Clock.Now())
+	messages := t.stateLocked().Tick(t.Clock.Now())
 	events := t.state.Events()
 	t.mu.Unlock()
 	addrs := make(map[string]bool, len(messages))
@@ -96,19 +96,19 @@
 		t.Sender.SendHeartbeat(m.To, m.Addr, m.Heartbeat)
 	}
 	t.Sender.CloseExcept(addrs)
-	t.announce(events)
+	t.publish(events)
 }
 
 // Receive takes in a heartbeat of another box.
 func (t *Tracker) Receive(b Heartbeat) {
 	t.mu.Lock()
-	t.locked().Receive(t.Clock.Now(), b)
+	t.stateLocked().Receive(t.Clock.Now(), b)
 	events := t.state.Events()
 	t.mu.Unlock()
-	t.announce(events)
+	t.publish(events)
 }
 
-func (t *Tracker) announce(events []Event) {
+func (t *Tracker) publish(events []Event) {
 	if len(events) == 0 {
 		return
 	}
@@ -131,14 +131,14 @@
 func (t *Tracker) Leave() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.locked().Leave()
+	t.stateLocked().Leave()
 }
 
 // Alive returns the boxes of the hall that are alive.
 func (t *Tracker) Alive() []barleystep.BoxID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.locked().Alive()
+	return t.stateLocked().Alive()
 }
 
 // Changed returns a channel that is closed at the next change.
@@ -155,7 +155,7 @@
 func (t *Tracker) Addr(id barleystep.BoxID) (addr string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r, ok := t.locked().Peer(id)
+	r, ok := t.stateLocked().Peer(id)
 	return r.Addr, ok && r.Addr != ""
 }
 
@@ -163,5 +163,5 @@
 func (t *Tracker) Members() []Update {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.locked().Members()
+	return t.stateLocked().Members()
 }
--- a/internal/member/update.go
+++ b/internal/member/update.go
@@ -55,26 +55,26 @@
 
 // updates returns the news that was passed on least often so far. Each change
 // is told a number of times that grows with the logarithm of the hall.
-func (s *State) updates() []Update {
+func (s *State) nextUpdates() []Update {
 	limit := 4 * bitLength(len(s.peers)+1)
 	var fresh []*peer
 	for _, p := range s.peers {
-		if p.Status != StatusUnheard && p.told < limit {
+		if p.Status != StatusUnheard && p.transmissions < limit {
 			fresh = append(fresh, p)
 		}
 	}
 	sort.Slice(fresh, func(i, j int) bool {
-		if fresh[i].told != fresh[j].told {
-			return fresh[i].told < fresh[j].told
+		if fresh[i].transmissions != fresh[j].transmissions {
+			return fresh[i].transmissions < fresh[j].transmissions
 		}
 		return fresh[i].Box < fresh[j].Box
 	})
-	if len(fresh) > updatesPerBeat {
-		fresh = fresh[:updatesPerBeat]
+	if len(fresh) > maxUpdatesPerHeartbeat {
+		fresh = fresh[:maxUpdatesPerHeartbeat]
 	}
 	list := make([]Update, len(fresh))
 	for i, p := range fresh {
-		p.told++
+		p.transmissions++
 		list[i] = p.Update
 	}
 	return list
