--- a/internal/version/bench_test.go
+++ b/internal/version/bench_test.go
@@ -16,7 +16,7 @@
 )
 
 // large returns a configuration with as many accounts and targets.
-func large(b *testing.B, accounts, targets, models int) config.Document {
+func largeDocument(b *testing.B, accounts, targets, models int) config.Document {
 	f := config.File{
 		Classes:  []config.Class{{Name: "urgent"}, {Name: "normal", Rank: 1}, {Name: "bulk", Rank: 2}},
 		Policies: []config.Policy{{Name: "main", Program: `{"weight": class == "urgent" ? weight * 2.0 : weight, "limit": rank > 1 ? 0.5 : 1.0}`}},
@@ -47,14 +47,14 @@
 func BenchmarkCapacityChange(b *testing.B) {
 	for _, s := range []struct{ accounts, targets, models int }{{10, 23, 2}, {100, 100, 5}, {970, 1_000, 20}} {
 		b.Run(fmt.Sprintf("accounts=%d/targets=%d", s.accounts, s.targets), func(b *testing.B) {
-			before := heap()
-			d := large(b, s.accounts, s.targets, s.models)
+			before := heapBytes()
+			d := largeDocument(b, s.accounts, s.targets, s.models)
 			f := &version.Follower{Clock: clock.NewManual(start), Meter: metric.Discard()}
 			whole := version.Increment{Version: 1, Changes: d.Entries(), Digest: d.Digest()}
 			quicktest.Assert(b, f.Load(whole), quicktest.IsNil)
 			snapshot := len(whole.Encode())
 			whole = version.Increment{}
-			used := heap() - before
+			used := heapBytes() - before
 			n := int64(1)
 			for b.Loop() {
 				b.StopTimer()
@@ -88,7 +88,7 @@
 	return version.Increment{}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/version/follower.go
+++ b/internal/version/follower.go
@@ -29,9 +29,9 @@
 }
 
 const (
-	defaultConfirm = 4 * time.Second
+	defaultConfirmationTTL = 4 * time.Second
 	// historyLength is how many increments are kept for peers that lag.
-	historyLength = 256
+	maxHistory = 256
 )
 
 // ErrGap means that increments do not follow on the version in force.
@@ -44,7 +44,7 @@
 	defer f.mu.Unlock()
 	within := f.ConfirmationTTL
 	if within == 0 {
-		within = defaultConfirm
+		within = defaultConfirmationTTL
 	}
 	fresh := !f.confirmed.IsZero() && f.Clock.Now().Sub(f.confirmed) <= within
 	return f.view, f.view != nil && fresh
@@ -125,12 +125,12 @@
 	if f.view != nil {
 		f.history = append(f.history, inc)
 	}
-	if len(f.history) > historyLength {
-		f.history = append([]Increment(nil), f.history[len(f.history)-historyLength:]...)
+	if len(f.history) > maxHistory {
+		f.history = append([]Increment(nil), f.history[len(f.history)-maxHistory:]...)
 	}
 	f.view = v
 	f.Meter.ConfigurationChanged("in_force")
-	f.signal()
+	f.notify()
 	return nil
 }
 
@@ -141,7 +141,7 @@
 	return f.view.Document()
 }
 
-func (f *Follower) signal() {
+func (f *Follower) notify() {
 	if f.changed != nil {
 		close(f.changed)
 		f.changed = nil
--- a/internal/version/follower_test.go
+++ b/internal/version/follower_test.go
@@ -31,7 +31,7 @@
 	return d
 }
 
-func store(tb barleystep.Table) *version.Store {
+func newStore(tb barleystep.Table) *version.Store {
 	return &version.Store{Table: tb, Objects: &object.Memory{}, Clock: clock.System{}, Meter: metric.Discard(), SubmitTimeout: 200 * time.Millisecond}
 }
 
@@ -49,7 +49,7 @@
 
 func TestFollowerNeverGoesBack(t *testing.T) {
 	c := quicktest.New(t)
-	s := store(&table.Memory{})
+	s := newStore(&table.Memory{})
 	submitAll(t, s, 3)
 	list, err := s.Increments(context.Background(), 1, 3)
 	c.Assert(err, quicktest.IsNil)
@@ -96,16 +96,16 @@
 		"accepted":                       {1, "new", nil, nil},
 		"stale base":                     {0, "new", nil, version.ErrConflict},
 		"same id again":                  {0, "s1", nil, nil},
-		"answer lost after the effect":   {1, "new", onWrites(table.FailureAnswerLost), nil},
-		"answer lost before the effect":  {1, "new", firstWrite(table.FailureDelayed), version.ErrNotAccepted},
-		"store down":                     {1, "new", onWrites(table.FailureUnavailable), version.ErrNotAccepted},
-		"answers lost until patience is": {1, "new", onWrites(table.FailureDelayed), version.ErrUnknownOutcome},
+		"answer lost after the effect":   {1, "new", failWrites(table.FailureAnswerLost), nil},
+		"answer lost before the effect":  {1, "new", failFirstWrite(table.FailureDelayed), version.ErrNotAccepted},
+		"store down":                     {1, "new", failWrites(table.FailureUnavailable), version.ErrNotAccepted},
+		"answers lost until patience is": {1, "new", failWrites(table.FailureDelayed), version.ErrUnknownOutcome},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			faulty := &table.Faulty{Table: &table.Memory{}}
-			s := store(faulty)
+			s := newStore(faulty)
 			submitAll(t, s, 1)
 			faulty.SetPlan(tc.plan)
 			_, err := s.Submit(ctx, config.Document{}, version.Submission{ID: tc.id, Base: tc.base, Document: document(t, 2)})
@@ -121,13 +121,13 @@
 		})
 	}
 	t.Run("invalid", func(t *testing.T) {
-		s := store(&table.Memory{})
+		s := newStore(&table.Memory{})
 		_, err := s.Submit(ctx, config.Document{}, version.Submission{ID: "x"})
 		quicktest.Check(t, err, quicktest.ErrorMatches, ".*there is no class.*")
 	})
 }
 
-func onWrites(f table.Failure) func(table.Call) table.Failure {
+func failWrites(f table.Failure) func(table.Call) table.Failure {
 	return func(c table.Call) table.Failure {
 		if c.Write() {
 			return f
@@ -137,7 +137,7 @@
 }
 
 // firstWrite fails only the first write.
-func firstWrite(f table.Failure) func(table.Call) table.Failure {
+func failFirstWrite(f table.Failure) func(table.Call) table.Failure {
 	done := false
 	return func(c table.Call) table.Failure {
 		if !c.Write() || done {
@@ -149,10 +149,10 @@
 }
 
 // TestNewBoxReads checks that a new box reads the snapshot and what came after.
-func TestNewBoxReads(t *testing.T) {
+func TestNewBoxReadsSnapshot(t *testing.T) {
 	c := quicktest.New(t)
 	m := &table.Memory{}
-	s := store(m)
+	s := newStore(m)
 	submitAll(t, s, 130)
 	f := &version.Follower{Clock: clock.System{}, Meter: metric.Discard()}
 	before, _ := m.Operations()
--- a/internal/version/reader.go
+++ b/internal/version/reader.go
@@ -51,8 +51,8 @@
 }
 
 const (
-	defaultEvery   = time.Second
-	defaultReaders = 2
+	defaultReadInterval = time.Second
+	defaultReaders      = 2
 	// staleAfter is how long a follower goes without confirmation before it
 	// reads the table itself.
 	staleAfter = 2500 * time.Millisecond
@@ -62,7 +62,7 @@
 // Serve keeps the follower up to date until ctx ends.
 func (r *Reader) Serve(ctx context.Context) error {
 	if r.ReadInterval == 0 {
-		r.ReadInterval = defaultEvery
+		r.ReadInterval = defaultReadInterval
 	}
 	if r.Readers == 0 {
 		r.Readers = defaultReaders
@@ -70,12 +70,12 @@
 	attempt := 0
 	f := &Subscriber{Clock: r.Clock, Follower: r.Follower, Meter: r.Meter, RetryInterval: r.ReadInterval, Upstream: func() (Upstream, bool) {
 		attempt++
-		return r.upstream(attempt)
+		return r.nextUpstream(attempt)
 	}}
 	go func() { _ = f.Serve(ctx) }() // It ends with ctx.
 	for {
-		if r.mustRead() {
-			r.read(ctx)
+		if r.shouldRead() {
+			r.poll(ctx)
 		}
 		if !clock.Sleep(ctx, r.Clock, r.ReadInterval) {
 			return ctx.Err()
@@ -100,7 +100,7 @@
 }
 
 // mustRead reports whether this box reads the table itself.
-func (r *Reader) mustRead() bool {
+func (r *Reader) shouldRead() bool {
 	if slices.Contains(r.readers(), r.Box) {
 		return true
 	}
@@ -108,8 +108,8 @@
 }
 
 // read looks at the head once and brings what is newer into force.
-func (r *Reader) read(ctx context.Context) {
-	asked := r.Clock.Now()
+func (r *Reader) poll(ctx context.Context) {
+	readAt := r.Clock.Now()
 	version, err := r.Store.Head(ctx)
 	if err != nil {
 		return
@@ -122,7 +122,7 @@
 		r.Log.Warn().Err(err).Int64("version", version).Msg(logPrefix + "A version could not be read.")
 		return
 	}
-	r.Follower.Confirm(version, asked)
+	r.Follower.Confirm(version, readAt)
 }
 
 func (r *Reader) catchUp(ctx context.Context, version int64) error {
@@ -154,7 +154,7 @@
 	return r.Follower.Load(inc)
 }
 
-func (r *Reader) upstream(attempt int) (u Upstream, ok bool) {
+func (r *Reader) nextUpstream(attempt int) (u Upstream, ok bool) {
 	candidates := without(r.readers(), r.Box)
 	if r.Follower.Version() == 0 {
 		candidates = without(r.Membership.Alive(), r.Box)
--- a/internal/version/store.go
+++ b/internal/version/store.go
@@ -26,9 +26,9 @@
 }
 
 const (
-	defaultPatience = 10 * time.Second
-	storePause      = 50 * time.Millisecond
-	readBatch       = 64 // readBatch is how many versions one read brings.
+	defaultSubmitTimeout = 10 * time.Second
+	retryPause           = 50 * time.Millisecond
+	readBatch            = 64 // readBatch is how many versions one read brings.
 )
 
 // The errors of Submit.
@@ -75,36 +75,36 @@
 		Changes: base.Diff(sub.Document),
 		Digest:  sub.Document.Digest(),
 	}
-	m := s.drive(ctx, inc)
-	switch m.verdict {
-	case verdictAccepted:
-		s.snapshot(ctx, inc.Version, sub.Document)
+	m := s.runSubmission(ctx, inc)
+	switch m.outcome {
+	case outcomeAccepted:
+		s.writeSnapshot(ctx, inc.Version, sub.Document)
 		return inc.Version, nil
-	case verdictConflict:
+	case outcomeConflict:
 		return m.winner, ErrConflict
-	case verdictRefused:
+	case outcomeNotAccepted:
 		return 0, ErrNotAccepted
 	default:
 		return 0, ErrUnknownOutcome
 	}
 }
 
-func (s *Store) drive(ctx context.Context, inc Increment) submission {
-	patience := s.SubmitTimeout
-	if patience == 0 {
-		patience = defaultPatience
+func (s *Store) runSubmission(ctx context.Context, inc Increment) submission {
+	timeout := s.SubmitTimeout
+	if timeout == 0 {
+		timeout = defaultSubmitTimeout
 	}
-	ctx, cancel := clock.WithDeadline(ctx, s.Clock, s.Clock.Now().Add(patience))
+	ctx, cancel := clock.WithDeadline(ctx, s.Clock, s.Clock.Now().Add(timeout))
 	defer cancel()
 	m, act := newSubmission(inc.ID, inc.Version-1)
 	for act != actionNone {
 		if ctx.Err() != nil {
-			return m.giveUp()
+			return m.timeOut()
 		}
 		before := m.phase
 		m, act = m.step(s.perform(ctx, m, act, inc))
 		if m.phase == before && act != actionNone {
-			clock.Sleep(ctx, s.Clock, storePause)
+			clock.Sleep(ctx, s.Clock, retryPause)
 		}
 	}
 	return m
@@ -117,7 +117,7 @@
 		return s.commit(ctx, m.rowVersion, next, barleystep.Put(versionKey(inc.Version), inc.Encode()))
 	case actionExclude:
 		// The head's content stays; only its row's version changes.
-		return s.commit(ctx, m.rowVersion, m.old)
+		return s.commit(ctx, m.rowVersion, m.oldHead)
 	default:
 		o, err := s.readState(ctx, inc.Version)
 		if err != nil {
@@ -199,12 +199,12 @@
 
 // snapshot writes a document whole now and then, so that new boxes need not
 // read all versions. Losing one costs only reads.
-func (s *Store) snapshot(ctx context.Context, version int64, d config.Document) {
+func (s *Store) writeSnapshot(ctx context.Context, version int64, d config.Document) {
 	if version%snapshotEvery != 0 {
 		return
 	}
-	whole := Increment{Version: version, Changes: d.Entries(), Digest: d.Digest(), At: s.Clock.Now()}
-	if err := s.Objects.Put(ctx, snapshotObject(version), whole.Encode()); err != nil {
+	inc := Increment{Version: version, Changes: d.Entries(), Digest: d.Digest(), At: s.Clock.Now()}
+	if err := s.Objects.Put(ctx, snapshotObject(version), inc.Encode()); err != nil {
 		s.Meter.StoreFault("snapshot_put", barleystep.FaultOf(err).String())
 		return
 	}
--- a/internal/version/submit.go
+++ b/internal/version/submit.go
@@ -16,19 +16,19 @@
 	phaseRead    phase = iota // phaseRead waits for the head.
 	phaseAccept               // phaseAccept waits for the answer of the write.
 	phaseExclude              // phaseExclude waits for a write that keeps a lost one from taking effect late.
-	phaseSettle               // phaseSettle waits for the rows that tell what became of a lost write.
+	phaseResolve              // phaseSettle waits for the rows that tell what became of a lost write.
 	phaseEnded
 )
 
 // verdict is what became of a submission.
-type verdict uint8
+type outcome uint8
 
 const (
-	verdictNone     verdict = iota
-	verdictAccepted         // verdictAccepted means that the version is in the table.
-	verdictConflict         // verdictConflict means that another version won.
-	verdictRefused          // verdictRefused means that nothing was and nothing will be written.
-	verdictUnknown          // verdictUnknown means that the store gave no answer in time.
+	outcomeNone        outcome = iota
+	outcomeAccepted            // verdictAccepted means that the version is in the table.
+	outcomeConflict            // verdictConflict means that another version won.
+	outcomeNotAccepted         // verdictRefused means that nothing was and nothing will be written.
+	outcomeUnknown             // verdictUnknown means that the store gave no answer in time.
 )
 
 // action is what has to be done next.
@@ -39,7 +39,7 @@
 	actionRead           // actionRead reads the head.
 	actionAccept         // actionAccept writes head and version over the head row's version in rowVersion.
 	actionExclude        // actionExclude writes the head's old content over rowVersion.
-	actionSettle         // actionSettle reads the head and the row of the version that was offered.
+	actionResolve        // actionSettle reads the head and the row of the version that was offered.
 )
 
 // observation is an answer of the table.
@@ -54,11 +54,11 @@
 // submission is the state of one submission.
 type submission struct {
 	phase      phase
-	verdict    verdict
+	outcome    outcome
 	id         string
 	base       int64 // base is the version that the submission was made against.
 	rowVersion int64 // rowVersion is the head row's version when it was read.
-	old        head  // old is the content of the head row when it was read.
+	oldHead    head  // old is the content of the head row when it was read.
 	winner     int64 // winner is the version that won a conflict.
 }
 
@@ -75,34 +75,34 @@
 		return s.afterAccept(o)
 	case phaseExclude:
 		return s.afterExclude(o)
-	case phaseSettle:
-		return s.afterSettle(o)
+	case phaseResolve:
+		return s.afterResolve(o)
 	default:
 		return s, actionNone
 	}
 }
 
-func (s submission) end(v verdict) (submission, action) {
+func (s submission) end(v outcome) (submission, action) {
 	s.phase = phaseEnded
-	s.verdict = v
+	s.outcome = v
 	return s, actionNone
 }
 
 func (s submission) afterRead(o observation) (submission, action) {
 	switch {
 	case o.fault != barleystep.FaultNone:
-		return s.end(verdictRefused)
+		return s.end(outcomeNotAccepted)
 	case o.head.Version > s.base && o.row.ID == s.id:
-		return s.end(verdictAccepted)
+		return s.end(outcomeAccepted)
 	case o.head.Version > s.base:
 		s.winner = o.head.Version
-		return s.end(verdictConflict)
+		return s.end(outcomeConflict)
 	case o.head.Version < s.base:
 		// A stale read, or a base that does not exist.
 		return s, actionRead
 	}
 	s.rowVersion = o.rowVersion
-	s.old = o.head
+	s.oldHead = o.head
 	s.phase = phaseAccept
 	return s, actionAccept
 }
@@ -110,11 +110,11 @@
 func (s submission) afterAccept(o observation) (submission, action) {
 	switch o.fault {
 	case barleystep.FaultNone:
-		return s.end(verdictAccepted)
+		return s.end(outcomeAccepted)
 	case barleystep.FaultConflict:
-		return s.settle()
+		return s.resolve()
 	case barleystep.FaultUnavailable:
-		return s.end(verdictRefused)
+		return s.end(outcomeNotAccepted)
 	default:
 		return s.exclude()
 	}
@@ -125,9 +125,9 @@
 	return s, actionExclude
 }
 
-func (s submission) settle() (submission, action) {
-	s.phase = phaseSettle
-	return s, actionSettle
+func (s submission) resolve() (submission, action) {
+	s.phase = phaseResolve
+	return s, actionResolve
 }
 
 // afterExclude: once the exclusion is written, or the head has changed under
@@ -135,9 +135,9 @@
 func (s submission) afterExclude(o observation) (submission, action) {
 	switch o.fault {
 	case barleystep.FaultNone:
-		return s.end(verdictRefused)
+		return s.end(outcomeNotAccepted)
 	case barleystep.FaultConflict:
-		return s.settle()
+		return s.resolve()
 	default:
 		return s.exclude()
 	}
@@ -145,28 +145,28 @@
 
 // afterSettle believes only a read that is newer than the head row on which
 // the submission was based.
-func (s submission) afterSettle(o observation) (submission, action) {
+func (s submission) afterResolve(o observation) (submission, action) {
 	switch {
 	case o.fault != barleystep.FaultNone || o.rowVersion <= s.rowVersion:
-		return s, actionSettle
+		return s, actionResolve
 	case o.head.Version <= s.base:
-		return s.end(verdictRefused)
+		return s.end(outcomeNotAccepted)
 	case o.row.Version != s.base+1:
 		// The head is newer than the row of the version before it: a stale read.
-		return s, actionSettle
+		return s, actionResolve
 	case o.row.ID == s.id:
-		return s.end(verdictAccepted)
+		return s.end(outcomeAccepted)
 	}
 	s.winner = o.head.Version
-	return s.end(verdictConflict)
+	return s.end(outcomeConflict)
 }
 
 // giveUp ends a submission that the store left open for too long. Before
 // anything was written it is refused; after, nobody can tell.
-func (s submission) giveUp() submission {
-	v := verdictUnknown
+func (s submission) timeOut() submission {
+	v := outcomeUnknown
 	if s.phase == phaseRead {
-		v = verdictRefused
+		v = outcomeNotAccepted
 	}
 	s, _ = s.end(v)
 	return s
--- a/internal/version/submit_internal_test.go
+++ b/internal/version/submit_internal_test.go
@@ -23,26 +23,26 @@
 
 // world is the head row, the version rows and the submissions of racing
 // operators.
-type world struct {
-	head       head
-	rowVersion int64
-	rows       map[int64]string // rows maps a version to the id that won it.
-	past       []observation
-	late       []lateWrite
-	subs       []*racer
+type storeModel struct {
+	head          head
+	rowVersion    int64
+	rows          map[int64]string // rows maps a version to the id that won it.
+	pastReads     []observation
+	delayedWrites []delayedWrite
+	submitters    []*submitter
 }
 
-type lateWrite struct {
+type delayedWrite struct {
 	rowVersion int64
 	head       head
 }
 
-type racer struct {
+type submitter struct {
 	sub    submission
 	action action
 }
 
-func (w *world) state(version int64) observation {
+func (w *storeModel) state(version int64) observation {
 	o := observation{head: w.head, rowVersion: w.rowVersion}
 	if id, ok := w.rows[version]; ok {
 		o.row = Increment{Version: version, ID: id}
@@ -51,11 +51,11 @@
 }
 
 // commit writes the head, and the version's row if the head advances.
-func (w *world) commit(rowVersion int64, h head) bool {
+func (w *storeModel) commit(rowVersion int64, h head) bool {
 	if w.rowVersion != rowVersion {
 		return false
 	}
-	w.past = append(w.past, w.state(w.head.Version+1))
+	w.pastReads = append(w.pastReads, w.state(w.head.Version+1))
 	if h.Version > w.head.Version {
 		w.rows[h.Version] = h.ID
 	}
@@ -64,20 +64,20 @@
 	return true
 }
 
-func (w *world) perform(t *rapid.T, r *racer) observation {
+func (w *storeModel) perform(t *rapid.T, r *submitter) observation {
 	switch r.action {
 	case actionAccept:
 		return w.write(t, r.sub.rowVersion, head{Version: r.sub.base + 1, ID: r.sub.id})
 	case actionExclude:
-		return w.write(t, r.sub.rowVersion, r.sub.old)
+		return w.write(t, r.sub.rowVersion, r.sub.oldHead)
 	}
-	if len(w.past) > 0 && rapid.IntRange(0, 3).Draw(t, "stale") == 0 {
-		return rapid.SampledFrom(w.past).Draw(t, "past")
+	if len(w.pastReads) > 0 && rapid.IntRange(0, 3).Draw(t, "stale") == 0 {
+		return rapid.SampledFrom(w.pastReads).Draw(t, "past")
 	}
 	return w.state(r.sub.base + 1)
 }
 
-func (w *world) write(t *rapid.T, rowVersion int64, h head) observation {
+func (w *storeModel) write(t *rapid.T, rowVersion int64, h head) observation {
 	switch rapid.SampledFrom([]string{"answered", "unavailable", "answer lost", "late"}).Draw(t, "write") {
 	case "unavailable":
 		return observation{fault: barleystep.FaultUnavailable}
@@ -85,7 +85,7 @@
 		w.commit(rowVersion, h)
 		return observation{fault: barleystep.FaultUnknownEffect}
 	case "late":
-		w.late = append(w.late, lateWrite{rowVersion, h})
+		w.delayedWrites = append(w.delayedWrites, delayedWrite{rowVersion, h})
 		return observation{fault: barleystep.FaultUnknownEffect}
 	}
 	if w.commit(rowVersion, h) {
@@ -99,47 +99,47 @@
 // stays true whatever write takes effect later.
 func TestSubmissionsAreSettledTruthfully(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{rows: make(map[int64]string)}
+		w := &storeModel{rows: make(map[int64]string)}
 		highest := int64(0)
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
-			w.event(t)
+			w.step(t)
 			if w.head.Version < highest {
 				t.Fatalf("the head went back from %d to %d", highest, w.head.Version)
 			}
 			highest = w.head.Version
-			w.checkVerdicts(t)
+			w.checkOutcomes(t)
 		}
 	})
 }
 
-func (w *world) event(t *rapid.T) {
+func (w *storeModel) step(t *rapid.T) {
 	switch pick := rapid.IntRange(0, 7).Draw(t, "event"); {
-	case pick == 0 || len(w.subs) == 0:
-		s, a := newSubmission(string(rune('a'+len(w.subs))), w.head.Version)
-		w.subs = append(w.subs, &racer{s, a})
-	case pick == 1 && len(w.late) > 0:
-		i := rapid.IntRange(0, len(w.late)-1).Draw(t, "late")
-		w.commit(w.late[i].rowVersion, w.late[i].head)
-		w.late = append(w.late[:i], w.late[i+1:]...)
+	case pick == 0 || len(w.submitters) == 0:
+		s, a := newSubmission(string(rune('a'+len(w.submitters))), w.head.Version)
+		w.submitters = append(w.submitters, &submitter{s, a})
+	case pick == 1 && len(w.delayedWrites) > 0:
+		i := rapid.IntRange(0, len(w.delayedWrites)-1).Draw(t, "late")
+		w.commit(w.delayedWrites[i].rowVersion, w.delayedWrites[i].head)
+		w.delayedWrites = append(w.delayedWrites[:i], w.delayedWrites[i+1:]...)
 	default:
-		r := rapid.SampledFrom(w.subs).Draw(t, "racer")
+		r := rapid.SampledFrom(w.submitters).Draw(t, "racer")
 		if r.action != actionNone {
 			r.sub, r.action = r.sub.step(w.perform(t, r))
 		}
 	}
 }
 
-func (w *world) checkVerdicts(t *rapid.T) {
-	for _, r := range w.subs {
+func (w *storeModel) checkOutcomes(t *rapid.T) {
+	for _, r := range w.submitters {
 		accepted := w.rows[r.sub.base+1] == r.sub.id
-		switch r.sub.verdict {
-		case verdictAccepted:
+		switch r.sub.outcome {
+		case outcomeAccepted:
 			if !accepted {
 				t.Fatalf("%s was told accepted, but is not", r.sub)
 			}
-		case verdictRefused, verdictConflict:
+		case outcomeNotAccepted, outcomeConflict:
 			if accepted {
-				t.Fatalf("%s was told %d, but was accepted", r.sub, r.sub.verdict)
+				t.Fatalf("%s was told %d, but was accepted", r.sub, r.sub.outcome)
 			}
 		}
 	}
--- a/internal/version/follow.go
+++ b/internal/version/subscriber.go
@@ -25,11 +25,11 @@
 // Serve follows until ctx ends.
 func (f *Subscriber) Serve(ctx context.Context) error {
 	if f.RetryInterval == 0 {
-		f.RetryInterval = defaultEvery
+		f.RetryInterval = defaultReadInterval
 	}
 	for ctx.Err() == nil {
 		if u, ok := f.Upstream(); ok {
-			_ = u.Follow(ctx, f.Follower.Version(), f.take) // The stream is opened anew.
+			_ = u.Follow(ctx, f.Follower.Version(), f.apply) // The stream is opened anew.
 			f.Meter.ConfigurationChanged("stream_ended")
 		}
 		clock.Sleep(ctx, f.Clock, f.RetryInterval)
@@ -38,7 +38,7 @@
 }
 
 // take brings a peer's update into force.
-func (f *Subscriber) take(u Update) (err error) {
+func (f *Subscriber) apply(u Update) (err error) {
 	now := f.Clock.Now()
 	if u.Snapshot {
 		for _, inc := range u.Increments {
