--- a/internal/peer/bench_internal_test.go
+++ b/internal/peer/bench_internal_test.go
@@ -74,7 +74,7 @@
 				c.Credits = append(c.Credits, capacity.Credit{Target: id, PrefillTokens: 4_096, KVTokens: 90_000, OtherPrefillTokens: 4_000, Running: 20, PrefillRate: 8_000, Slowdown: 1})
 			}
 			up, down := 0, 0
-			var out, back sentNames
+			var out, back names
 			for b.Loop() {
 				up = proto.Size(&peerv1.TalkRequest{Pool: out.number("document-reader-large"), Kind: &peerv1.TalkRequest_Report{Report: toReport(&out, r, now)}}) + framingBytes
 				down = proto.Size(toCredits(&back, c, now)) + framingBytes
--- a/internal/peer/control.go
+++ b/internal/peer/control.go
@@ -19,7 +19,7 @@
 	cancel context.CancelFunc
 
 	sendMu  sync.Mutex // sending keeps messages in the order of waiting.
-	names   sentNames
+	names   names
 	mu      sync.Mutex // mu guards what follows; it is never held while sending.
 	pending []chan<- reportReply
 	err     error
@@ -63,7 +63,7 @@
 
 // send sends one message. The build function is given the names of the stream.
 // A message that wants an answer gets it on the channel.
-func (t *controlStream) send(pool string, build func(n *sentNames, m *peerv1.TalkRequest), reply chan<- reportReply) error {
+func (t *controlStream) send(pool string, build func(n *names, m *peerv1.TalkRequest), reply chan<- reportReply) error {
 	t.sendMu.Lock()
 	defer t.sendMu.Unlock()
 	if err := t.enqueue(reply); err != nil {
@@ -129,14 +129,14 @@
 
 // First notes a first token.
 func (d *remoteEndpoint) First(_ context.Context, pool string, id barleystep.AttemptID) error {
-	return d.client.controlStreamTo(d.addr).send(pool, func(_ *sentNames, m *peerv1.TalkRequest) {
+	return d.client.controlStreamTo(d.addr).send(pool, func(_ *names, m *peerv1.TalkRequest) {
 		m.Kind = &peerv1.TalkRequest_First{First: &peerv1.First{Attempt: toAttempt(id)}}
 	}, nil)
 }
 
 // Release gives a grant back.
 func (d *remoteEndpoint) Release(_ context.Context, pool string, id barleystep.AttemptID, u barleystep.Usage) error {
-	return d.client.controlStreamTo(d.addr).send(pool, func(_ *sentNames, m *peerv1.TalkRequest) {
+	return d.client.controlStreamTo(d.addr).send(pool, func(_ *names, m *peerv1.TalkRequest) {
 		m.Kind = &peerv1.TalkRequest_Release{Release: toRelease(id, u)}
 	}, nil)
 }
@@ -145,7 +145,7 @@
 func (d *remoteEndpoint) Report(ctx context.Context, pool string, r capacity.Report) (capacity.Credits, error) {
 	now := d.client.Clock.Now()
 	got := make(chan reportReply, 1)
-	err := d.client.controlStreamTo(d.addr).send(pool, func(n *sentNames, m *peerv1.TalkRequest) {
+	err := d.client.controlStreamTo(d.addr).send(pool, func(n *names, m *peerv1.TalkRequest) {
 		m.Kind = &peerv1.TalkRequest_Report{Report: toReport(n, r, now)}
 	}, got)
 	if err != nil {
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -89,13 +89,13 @@
 }
 
 // names numbers the names that one direction of a stream has sent.
-type sentNames struct {
+type names struct {
 	numbers map[string]uint32
 	unsent  []string // fresh is what the next message has to bring.
 }
 
 // number returns the number of the name.
-func (n *sentNames) number(name string) uint32 {
+func (n *names) number(name string) uint32 {
 	if i, ok := n.numbers[name]; ok {
 		return i
 	}
@@ -109,7 +109,7 @@
 }
 
 // take returns the names that were not sent yet.
-func (n *sentNames) takeUnsent() []string {
+func (n *names) takeUnsent() []string {
 	unsent := n.unsent
 	n.unsent = nil
 	return unsent
@@ -126,7 +126,7 @@
 	return k[i]
 }
 
-func toReport(n *sentNames, r capacity.Report, now time.Time) *peerv1.Report {
+func toReport(n *names, r capacity.Report, now time.Time) *peerv1.Report {
 	return &peerv1.Report{
 		Box:    n.number(string(r.Box)),
 		Wanted: uint32(r.RequestedTokens),
@@ -187,7 +187,7 @@
 	}
 }
 
-func toCredits(n *sentNames, c capacity.Credits, now time.Time) *peerv1.TalkResponse {
+func toCredits(n *names, c capacity.Credits, now time.Time) *peerv1.TalkResponse {
 	resp := &peerv1.TalkResponse{
 		LifeMs: c.Until.Sub(now).Milliseconds(),
 		Credits: convert(c.Credits, func(c capacity.Credit) *peerv1.Credit {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -55,13 +55,13 @@
 }
 
 // ears takes in heartbeats.
-type heartbeatReceiver struct{ received chan member.Heartbeat }
+type receiver struct{ received chan member.Heartbeat }
 
 // Receive passes the heartbeat on.
-func (e heartbeatReceiver) Receive(b member.Heartbeat) { e.received <- b }
+func (e receiver) Receive(b member.Heartbeat) { e.received <- b }
 
 // Members returns one box.
-func (e heartbeatReceiver) Members() []member.Update {
+func (e receiver) Members() []member.Update {
 	return []member.Update{{Box: "b1", Incarnation: 1}}
 }
 
@@ -70,7 +70,7 @@
 	endpoint *capacity.LocalEndpoint
 	follower *version.Follower
 	client   *peer.Client
-	receiver heartbeatReceiver
+	receiver receiver
 	table    *table.Faulty
 	listener *countingListener
 }
@@ -86,7 +86,7 @@
 	follower := &version.Follower{Clock: clock.System{}, Meter: metric.Discard()}
 	c.Assert(follower.Load(version.Increment{Version: 1, Changes: d.Entries(), Digest: d.Digest()}), quicktest.IsNil)
 	endpoint := &capacity.LocalEndpoint{Clock: clock.System{}, Hall: "h", Configuration: follower, Meter: metric.Discard()}
-	e := &testBox{endpoint: endpoint, follower: follower, receiver: heartbeatReceiver{make(chan member.Heartbeat, 100)}, table: &table.Faulty{Table: &table.Memory{}}}
+	e := &testBox{endpoint: endpoint, follower: follower, receiver: receiver{make(chan member.Heartbeat, 100)}, table: &table.Faulty{Table: &table.Memory{}}}
 	server := &peer.Server{
 		Auth:  peer.Auth{Secret: serverSecret, Box: "b1", Clock: clock.System{}},
 		Clock: clock.System{}, Endpoint: endpoint, Receiver: e.receiver, Follower: follower, Table: e.table,
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -85,7 +85,7 @@
 // with credits.
 func (h handler) Talk(ctx context.Context, stream *connect.BidiStream[peerv1.TalkRequest, peerv1.TalkResponse]) error {
 	var in receivedNames
-	var out sentNames
+	var out names
 	for {
 		m, err := stream.Receive()
 		if err != nil {
@@ -113,7 +113,7 @@
 	return err
 }
 
-func (h handler) handleControl(ctx context.Context, in receivedNames, out *sentNames, m *peerv1.TalkRequest) (*peerv1.TalkResponse, error) {
+func (h handler) handleControl(ctx context.Context, in receivedNames, out *names, m *peerv1.TalkRequest) (*peerv1.TalkResponse, error) {
 	pool := in.name(m.GetPool())
 	switch kind := m.GetKind().(type) {
 	case *peerv1.TalkRequest_First:
