--- a/internal/member/state.go
+++ b/internal/member/state.go
@@ -221,7 +221,7 @@
 	}
 	s.lastTick = now
 	s.detectFailures(now)
-	updates := s.nextUpdates()
+	updates := s.updates()
 	var list []Message
 	for _, id := range s.successors() {
 		list = append(list, s.newMessage(s.peers[id], updates))
--- a/internal/member/state_test.go
+++ b/internal/member/state_test.go
@@ -34,14 +34,14 @@
 		h.list = append(h.list, barleystep.NewBox(id(i), "h", "addr", false))
 	}
 	for i := range n {
-		h.start(id(i), 1)
+		h.startBox(id(i), 1)
 	}
 	h.run(20)
 	return h
 }
 
 // boot starts a box, anew if it ran before.
-func (h *simHall) start(b barleystep.BoxID, inc barleystep.Incarnation) {
+func (h *simHall) startBox(b barleystep.BoxID, inc barleystep.Incarnation) {
 	s := member.NewState(member.Settings{}, member.Update{Box: b, Addr: "addr", Incarnation: inc}, "h")
 	s.MergeList(h.now, h.list)
 	h.states[b] = s
@@ -97,11 +97,11 @@
 			h.run(30)
 			h.paused[id(7)] = false
 		}, 16, n - 1},
-		"is replaced at once": {func(h *simHall) { h.start(id(7), 2) }, 16, n - 1},
+		"is replaced at once": {func(h *simHall) { h.startBox(id(7), 2) }, 16, n - 1},
 		"is replaced after its death": {func(h *simHall) {
 			delete(h.states, id(7))
 			h.run(30)
-			h.start(id(7), 2)
+			h.startBox(id(7), 2)
 		}, 16, n - 1},
 		"leaves": {func(h *simHall) { h.states[id(7)].Leave() }, 16, 0},
 		"loses a third of its heartbeats": {func(h *simHall) {
--- a/internal/member/update.go
+++ b/internal/member/update.go
@@ -55,7 +55,7 @@
 
 // updates returns the news that was passed on least often so far. Each change
 // is told a number of times that grows with the logarithm of the hall.
-func (s *State) nextUpdates() []Update {
+func (s *State) updates() []Update {
 	limit := 4 * bitLength(len(s.peers)+1)
 	var fresh []*peer
 	for _, p := range s.peers {
--- a/internal/version/submit_internal_test.go
+++ b/internal/version/submit_internal_test.go
@@ -102,7 +102,7 @@
 		w := &storeModel{rows: make(map[int64]string)}
 		highest := int64(0)
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
-			w.step(t)
+			w.advance(t)
 			if w.head.Version < highest {
 				t.Fatalf("the head went back from %d to %d", highest, w.head.Version)
 			}
@@ -112,7 +112,7 @@
 	})
 }
 
-func (w *storeModel) step(t *rapid.T) {
+func (w *storeModel) advance(t *rapid.T) {
 	switch pick := rapid.IntRange(0, 7).Draw(t, "event"); {
 	case pick == 0 || len(w.submitters) == 0:
 		s, a := newSubmission(string(rune('a'+len(w.submitters))), w.head.Version)
