--- a/internal/member/judge.go
+++ b/internal/member/detect.go
@@ -6,8 +6,8 @@
 	"github.com/barleystep/barleystep"
 )
 
-// judge looks for watched boxes that are silent, and for suspects whose time to
-// contradict is over.
+// detectFailures marks monitored boxes without recent heartbeats as suspect, and suspects that
+// have not refuted the suspicion within DeadAfter as dead.
 func (s *State) detectFailures(now time.Time) {
 	monitored := make(map[barleystep.BoxID]bool)
 	for _, id := range s.predecessors() {
--- a/internal/member/fixed.go
+++ b/internal/member/fixed.go
@@ -1,12 +1,13 @@
-// Package member keeps track of which boxes of a hall are alive.
+// Package member implements the membership of a hall: boxes detect failures by heartbeats and
+// spread changes of status by gossip.
 package member
 
 import "github.com/barleystep/barleystep"
 
-// Fixed is a set of boxes that never changes, for tests and tools.
+// Fixed is a membership whose boxes never change, for tests and tools.
 type Fixed struct{ boxes []barleystep.BoxID }
 
-// NewFixed returns the set with the given boxes, which must be sorted.
+// NewFixed returns a Fixed of the given boxes, which must be sorted.
 func NewFixed(boxes ...barleystep.BoxID) Fixed { return Fixed{boxes: boxes} }
 
 // Alive returns all boxes.
--- a/internal/member/ring.go
+++ b/internal/member/ring.go
@@ -9,8 +9,7 @@
 	"github.com/barleystep/barleystep/internal/place"
 )
 
-// ring returns the boxes that take part, this one among them, in the order of
-// the i-th ring. Dead boxes are left out.
+// ring returns all boxes that are not dead, including this one, in the order of the i-th ring.
 func (s *State) ring(i int) []barleystep.BoxID {
 	if s.ringOrders[i] == nil {
 		s.ringOrders[i] = s.sortRing(i)
@@ -38,13 +37,14 @@
 	return ids
 }
 
-// reorder makes the rings be sorted anew.
+// invalidateRings drops the cached orders of all rings.
 func (s *State) invalidateRings() { s.ringOrders = [ringCount][]barleystep.BoxID{} }
 
 func (s *State) successors() []barleystep.BoxID   { return s.neighbours(1) }
 func (s *State) predecessors() []barleystep.BoxID { return s.neighbours(-1) }
 
-// neighbours returns the boxes next to this one in each ring, without repeats.
+// neighbours returns the box that is step positions away in each ring, without duplicates and
+// without this box.
 func (s *State) neighbours(step int) []barleystep.BoxID {
 	var ids []barleystep.BoxID
 	for i := range ringCount {
--- a/internal/member/state.go
+++ b/internal/member/state.go
@@ -8,18 +8,18 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Settings tunes the detection. The zero value takes the defaults.
+// Settings tunes failure detection. Zero fields take the defaults.
 type Settings struct {
-	// Every is the time between heartbeats; the default is 500 ms.
+	// HeartbeatInterval is the time between heartbeats; the default is 500 ms.
 	HeartbeatInterval time.Duration
-	// SuspectAfter is how long a watched box may be silent; the default is five
-	// heartbeats.
+	// SuspectAfter is how long a monitored box may send no heartbeat before it is suspect; the
+	// default is five heartbeat intervals.
 	SuspectAfter time.Duration
-	// DeadAfter is how long a suspect has to contradict; the default is five
-	// heartbeats.
+	// DeadAfter is how long a suspect has to refute the suspicion; the default is five heartbeat
+	// intervals.
 	DeadAfter time.Duration
-	// ForgetAfter is how long a dead box is remembered; the default is 10
-	// minutes.
+	// ForgetAfter is how long an unlisted box that is not alive is remembered; the default is
+	// 10 minutes.
 	ForgetAfter time.Duration
 }
 
@@ -27,12 +27,12 @@
 	defaultHeartbeatInterval = 500 * time.Millisecond
 	defaultMissedHeartbeats  = 5
 	defaultForgetAfter       = 10 * time.Minute
-	// rings is how many rings the boxes form. Each box beats to its successor in
-	// every ring, so the cost of a box does not depend on their number. Four
-	// random rings together are a graph in which news reaches 400 boxes in about
-	// five beats.
+	// ringCount is the number of rings that the boxes form. Each box sends heartbeats to its
+	// successor in every ring, so its cost does not depend on the number of boxes. Four random
+	// rings together form a graph in which an update reaches 400 boxes in about five heartbeat
+	// intervals.
 	ringCount = 4
-	// updatesPerBeat bounds what one heartbeat carries.
+	// maxUpdatesPerHeartbeat bounds the size of a heartbeat.
 	maxUpdatesPerHeartbeat = 8
 )
 
@@ -52,35 +52,35 @@
 	return s
 }
 
-// State is a box's picture of its hall. It is a state machine without
-// goroutines, and not safe for concurrent use.
+// State is one box's view of its hall. It is a state machine without goroutines or clock, and
+// not safe for concurrent use.
 type State struct {
 	settings       Settings
 	self           Update
 	hall           barleystep.HallID
 	peers          map[barleystep.BoxID]*peer
 	lastTick       time.Time
-	monitoredSince map[barleystep.BoxID]time.Time // watched says since when this box has watched a peer.
+	monitoredSince map[barleystep.BoxID]time.Time // monitoredSince is the start, by predecessor.
 	events         []Event
-	ringOrders     [ringCount][]barleystep.BoxID // order is the rings; empty after a change.
-	deadSenders    map[barleystep.BoxID]bool     // answers names dead boxes that were heard and must be told.
+	ringOrders     [ringCount][]barleystep.BoxID // ringOrders caches the rings until a change.
+	deadSenders    map[barleystep.BoxID]bool     // deadSenders sent heartbeats though dead here.
 	ticks          int
 }
 
 type peer struct {
 	Update
-	lastHeard     time.Time // heard is when the box itself was last heard.
-	statusSince   time.Time // since is when the status last changed.
-	transmissions int       // told is how often the status was passed on.
+	lastHeard     time.Time // lastHeard is when the box itself last sent a heartbeat.
+	statusSince   time.Time // statusSince is when the status last changed.
+	transmissions int       // transmissions counts how often the current update was sent.
 }
 
-// Event is a change that the state has seen.
+// Event is a change of a box's status.
 type Event struct {
 	Box    barleystep.BoxID
 	Status Status
 }
 
-// NewState returns the state of a box that knows only itself.
+// NewState returns the state of a box that knows only itself. Self is taken as alive.
 func NewState(s Settings, self Update, hall barleystep.HallID) *State {
 	self.Status = StatusAlive
 	return &State{
@@ -93,9 +93,9 @@
 	}
 }
 
-// List takes in the platform's list of boxes. It only adds: the list lags, and
-// the heartbeats say who is alive. Boxes that are not listed and dead for long
-// are forgotten.
+// MergeList adds the boxes of the platform's list that are unknown so far and updates the addresses
+// of the others. It marks none as dead, since the list lags behind and heartbeats show who is alive.
+// It removes unlisted boxes that have not been alive for longer than ForgetAfter.
 func (s *State) MergeList(now time.Time, boxes []barleystep.Box) {
 	listed := make(map[barleystep.BoxID]bool)
 	for _, b := range boxes {
@@ -121,7 +121,7 @@
 // Leave announces the planned stop of this box.
 func (s *State) Leave() { s.self.Status = StatusLeaving }
 
-// Receive takes in a heartbeat.
+// Receive processes a heartbeat. It ignores those of other halls and of this box.
 func (s *State) Receive(now time.Time, b Heartbeat) {
 	if b.Hall != s.hall || b.From.Box == s.self.Box {
 		return
@@ -140,8 +140,9 @@
 	}
 }
 
-// revive believes a suspect that is heard directly more than the update. A dead
-// box has to raise its number first, so that all hear of it.
+// revive gives a suspect the status that it sends itself: a direct heartbeat counts more than an
+// update by others with the same sequence. A dead box first has to raise its sequence, so that the
+// change spreads to all boxes.
 func (s *State) revive(now time.Time, p *peer, sent Update) {
 	if p.Status == StatusSuspect && p.Sequence == sent.Sequence {
 		p.Status = sent.Status
@@ -150,7 +151,7 @@
 	}
 }
 
-// learn takes in what is said of a box, if it outweighs what is known.
+// merge applies an update if it supersedes the known one. An update about this box may be refuted.
 func (s *State) merge(now time.Time, r Update) {
 	if r.Box == s.self.Box {
 		s.refute(r)
@@ -175,7 +176,7 @@
 		s.events = append(s.events, Event{Box: p.Box, Status: r.Status})
 	}
 	if p.Incarnation != r.Incarnation {
-		// A new start of the box: the old one's silence does not count.
+		// The box has restarted: the silence of the earlier incarnation does not count.
 		p.lastHeard = now
 	}
 	if replaced {
@@ -192,15 +193,15 @@
 	p.transmissions = 0
 }
 
-// contradict answers an update that this incarnation is suspect or dead.
+// refute raises the own sequence if the update calls this incarnation suspect or dead.
 func (s *State) refute(r Update) {
 	if r.Incarnation == s.self.Incarnation && r.Status >= StatusSuspect && r.Sequence >= s.self.Sequence {
 		s.self.Sequence = r.Sequence + 1
 	}
 }
 
-// outweighs reports whether r is newer than, or a graver word on the same state
-// than, the known one. Incarnations grow from start to start.
+// supersedes reports whether r replaces the known update: it is of a later incarnation, has a
+// higher sequence, or has a later status at the same sequence. Incarnations grow with each start.
 func supersedes(r, known Update) bool {
 	switch {
 	case known.Status == StatusUnheard:
@@ -214,7 +215,8 @@
 	}
 }
 
-// Tick judges silence and returns the heartbeats to send.
+// Tick detects failures and returns the heartbeats to send. It is called once per heartbeat
+// interval; after a gap of more than half of SuspectAfter, all silence counts from now.
 func (s *State) Tick(now time.Time) []Message {
 	if !s.lastTick.IsZero() && now.Sub(s.lastTick) > s.settings.SuspectAfter/2 {
 		s.resetSilence(now)
@@ -239,11 +241,11 @@
 	return Message{To: p.Box, Addr: p.Addr, Heartbeat: Heartbeat{From: s.self, Hall: s.hall, Updates: updates}}
 }
 
-// probeEvery is how many heartbeats pass between two probes.
+// probeInterval is the number of heartbeat intervals between two probes.
 const probeInterval = 4
 
-// probe beats to one dead box after the other: after a cut both sides think
-// that the other is dead, and somebody has to speak first.
+// probeDead returns a heartbeat to one dead box, to each in turn. After a network partition both
+// sides believe the other one dead, so one of them has to send first.
 func (s *State) probeDead() []Message {
 	s.ticks++
 	if s.ticks%probeInterval != 0 {
@@ -263,7 +265,8 @@
 	return []Message{s.newMessage(p, []Update{p.Update})}
 }
 
-// paused starts all silences anew: it was this box that did not listen.
+// resetSilence restarts the measurement of silence for all boxes, since this box itself was
+// paused and received nothing.
 func (s *State) resetSilence(now time.Time) {
 	for _, p := range s.peers {
 		p.lastHeard = now
@@ -274,8 +277,8 @@
 	s.events = append(s.events, Event{Box: s.self.Box, Status: StatusSuspect})
 }
 
-// Alive returns the boxes that are alive and not leaving, this one among them
-// unless it leaves, sorted by name.
+// Alive returns the boxes that are alive and not leaving, including this one unless it is
+// leaving, sorted by id.
 func (s *State) Alive() []barleystep.BoxID {
 	var ids []barleystep.BoxID
 	if s.self.Status == StatusAlive {
@@ -290,7 +293,7 @@
 	return ids
 }
 
-// Peer returns what is known of a box.
+// Peer returns the latest update about another box.
 func (s *State) Peer(id barleystep.BoxID) (r Update, ok bool) {
 	p, ok := s.peers[id]
 	if !ok {
@@ -299,8 +302,8 @@
 	return p.Update, true
 }
 
-// Members returns what is known of all boxes that were heard of, this one among
-// them, sorted by name.
+// Members returns the latest updates about all boxes except those with StatusUnheard, including
+// this one, sorted by id.
 func (s *State) Members() []Update {
 	list := []Update{s.self}
 	for _, p := range s.peers {
@@ -312,10 +315,10 @@
 	return list
 }
 
-// Self returns this box's word on itself.
+// Self returns this box's update about itself.
 func (s *State) Self() Update { return s.self }
 
-// Events returns what has changed since the last call.
+// Events returns and clears the changes since the last call.
 func (s *State) Events() []Event {
 	events := s.events
 	s.events = nil
--- a/internal/member/state_test.go
+++ b/internal/member/state_test.go
@@ -16,14 +16,14 @@
 
 const heartbeatInterval = 500 * time.Millisecond
 
-// hall runs the states of many boxes in simulated time.
+// simHall runs the states of many boxes in simulated time.
 type simHall struct {
 	now    time.Time
 	list   []barleystep.Box
 	states map[barleystep.BoxID]*member.State
 	paused map[barleystep.BoxID]bool
 	drop   func(from, to barleystep.BoxID) bool
-	sent   int // sent counts messages.
+	sent   int // sent counts heartbeats.
 }
 
 func id(i int) barleystep.BoxID { return barleystep.BoxID(fmt.Sprintf("b%03d", i)) }
@@ -40,14 +40,14 @@
 	return h
 }
 
-// boot starts a box, anew if it ran before.
+// startBox starts or restarts a box.
 func (h *simHall) startBox(b barleystep.BoxID, inc barleystep.Incarnation) {
 	s := member.NewState(member.Settings{}, member.Update{Box: b, Addr: "addr", Incarnation: inc}, "h")
 	s.MergeList(h.now, h.list)
 	h.states[b] = s
 }
 
-// run lets the given number of heartbeats pass.
+// run simulates the given number of heartbeat intervals.
 func (h *simHall) run(beats int) {
 	for range beats {
 		h.now = h.now.Add(heartbeatInterval)
@@ -71,7 +71,7 @@
 	}
 }
 
-// see returns how many boxes count b as alive.
+// countAlive returns how many running boxes consider b alive.
 func (h *simHall) countAlive(b barleystep.BoxID) int {
 	n := 0
 	for other, s := range h.states {
@@ -87,7 +87,7 @@
 	cases := map[string]struct {
 		event func(h *simHall)
 		beats int
-		alive int // alive is how many others count box 7 as alive in the end.
+		alive int // alive is how many others consider box 7 alive at the end.
 	}{
 		"nothing happens": {func(*simHall) {}, 100, n - 1},
 		"dies":            {func(h *simHall) { delete(h.states, id(7)) }, 16, 0},
@@ -127,7 +127,8 @@
 	}
 }
 
-// TestCutHallServesOnBothSides splits a hall and joins it again.
+// TestPartitionAndHeal checks that each side of a network partition keeps exactly its own boxes
+// alive, and that all boxes are alive again after it heals.
 func TestPartitionAndHeal(t *testing.T) {
 	c := quicktest.New(t)
 	h := newHall(12)
@@ -142,7 +143,8 @@
 	c.Check(h.states[id(9)].Alive(), quicktest.HasLen, 12)
 }
 
-// TestMessagesDoNotGrowWithTheHall holds the cost of a box to its bound.
+// TestMessagesPerBoxAreBounded checks that a box sends at most five heartbeats per interval,
+// however many boxes the hall has.
 func TestMessagesPerBoxAreBounded(t *testing.T) {
 	for _, n := range []int{9, 35, 140} {
 		h := newHall(n)
--- a/internal/member/tracker.go
+++ b/internal/member/tracker.go
@@ -12,18 +12,17 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// Sender sends heartbeats to other boxes. It never waits: what can't be sent at
-// once is dropped.
+// Sender sends heartbeats to other boxes. It does not block: heartbeats that cannot be sent at once
+// are dropped.
 type Sender interface {
-	// Beat sends one heartbeat.
+	// SendHeartbeat sends one heartbeat.
 	SendHeartbeat(to barleystep.BoxID, addr string, b Heartbeat)
-	// Keep ends what is open towards all but the given addresses.
+	// CloseExcept closes the connections to all but the given addresses.
 	CloseExcept(addrs map[string]bool)
 }
 
-// Tracker runs a State: it sends heartbeats, takes them in and reads the
-// platform's list. Its exported fields are set before Serve; it is safe for
-// concurrent use.
+// Tracker runs a State: it sends and receives heartbeats and reads the platform's list of boxes.
+// Its exported fields are set before Serve; it is safe for concurrent use.
 type Tracker struct {
 	Clock    barleystep.Clock
 	Self     Update
@@ -33,9 +32,9 @@
 	Meter    *metric.Meter
 	Log      *log.Logger
 	Settings Settings
-	// OnGone is called for each box that has died or was replaced; may be nil.
+	// OnGone is called for each box that is dead or was replaced by a new incarnation; may be nil.
 	OnGone func(barleystep.BoxID)
-	// ListEvery is the time between reads of the list; the default is 5 seconds.
+	// ListInterval is the time between reads of the platform's list; the default is 5 seconds.
 	ListInterval time.Duration
 
 	mu      sync.Mutex
@@ -50,7 +49,7 @@
 	logPrefix           = "member: "
 )
 
-// locked returns the state; the caller holds the lock.
+// stateLocked returns the state and creates it on first use. The caller holds the lock.
 func (t *Tracker) stateLocked() *State {
 	if t.state == nil {
 		t.state = NewState(t.Settings, t.Self, t.Hall)
@@ -58,7 +57,7 @@
 	return t.state
 }
 
-// Serve runs until ctx ends.
+// Serve sends heartbeats and reads the list until ctx ends.
 func (t *Tracker) Serve(ctx context.Context) error {
 	if t.ListInterval == 0 {
 		t.ListInterval = defaultListInterval
@@ -99,7 +98,7 @@
 	t.publish(events)
 }
 
-// Receive takes in a heartbeat of another box.
+// Receive processes a heartbeat of another box.
 func (t *Tracker) Receive(b Heartbeat) {
 	t.mu.Lock()
 	t.stateLocked().Receive(t.Clock.Now(), b)
@@ -120,7 +119,7 @@
 	t.mu.Unlock()
 	for _, e := range events {
 		t.Meter.MembershipChanged(e.Status.String())
-		t.Log.Info().Str("box", string(e.Box)).Stringer("status", e.Status).Msg(logPrefix + "A box has changed.")
+		t.Log.Info().Str("box", string(e.Box)).Stringer("status", e.Status).Msg(logPrefix + "The status of a box changed.")
 		if e.Status == StatusDead && t.OnGone != nil {
 			t.OnGone(e.Box)
 		}
@@ -134,14 +133,14 @@
 	t.stateLocked().Leave()
 }
 
-// Alive returns the boxes of the hall that are alive.
+// Alive returns the boxes of the hall that are alive and not leaving, sorted by id.
 func (t *Tracker) Alive() []barleystep.BoxID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.stateLocked().Alive()
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed at the next change of a box's status.
 func (t *Tracker) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -151,7 +150,7 @@
 	return t.changed
 }
 
-// Addr returns the address of a box's peer listener.
+// Addr returns the address of another box's peer listener.
 func (t *Tracker) Addr(id barleystep.BoxID) (addr string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -159,7 +158,7 @@
 	return r.Addr, ok && r.Addr != ""
 }
 
-// Members returns what is known of the boxes of the hall, this one among them.
+// Members returns the latest updates about the boxes of the hall, including this one.
 func (t *Tracker) Members() []Update {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/member/update.go
+++ b/internal/member/update.go
@@ -6,21 +6,21 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Status is what is thought of a box.
+// Status is the believed state of a box.
 type Status uint8
 
-// The states of a box. A later one outweighs an earlier one that is said of the
-// same incarnation and number.
+// The states of a box. Of two updates with the same incarnation and sequence, the one with the
+// later status wins.
 const (
-	// StatusUnheard is a listed box from which nothing was heard yet.
+	// StatusUnheard is a listed box about which no update has arrived yet.
 	StatusUnheard Status = iota
 	// StatusAlive is a box that sends heartbeats.
 	StatusAlive
-	// StatusLeaving is a box that has announced its stop.
+	// StatusLeaving is a box that has announced its planned stop.
 	StatusLeaving
-	// StatusSuspect is a box whose heartbeats one of its watchers misses.
+	// StatusSuspect is a box whose heartbeats one of its monitors does not receive.
 	StatusSuspect
-	// StatusDead is a suspect that nobody has heard in time.
+	// StatusDead is a suspect that did not refute the suspicion in time.
 	StatusDead
 )
 
@@ -29,32 +29,33 @@
 	return [...]string{"unheard", "alive", "leaving", "suspect", "dead"}[s]
 }
 
-// Update is what a heartbeat says of some box.
+// Update is the state of one box as heartbeats carry it.
 type Update struct {
 	Box         barleystep.BoxID
 	Addr        string
 	Incarnation barleystep.Incarnation
-	// Number grows whenever the box contradicts an update about itself.
+	// Sequence grows each time the box refutes an update about itself.
 	Sequence uint64
 	Status   Status
 }
 
-// Beat is one heartbeat.
+// Heartbeat is one heartbeat of a box, with updates about others.
 type Heartbeat struct {
-	From    Update // From is the sender's word on itself.
+	From    Update // From is the sender's update about itself.
 	Hall    barleystep.HallID
 	Updates []Update
 }
 
-// Message is a heartbeat and where it goes.
+// Message is a heartbeat and its destination.
 type Message struct {
 	To        barleystep.BoxID
 	Addr      string
 	Heartbeat Heartbeat
 }
 
-// updates returns the news that was passed on least often so far. Each change
-// is told a number of times that grows with the logarithm of the hall.
+// updates returns the updates that were sent least often so far, at most
+// maxUpdatesPerHeartbeat. Each update is sent a number of times that grows with the logarithm of
+// the number of boxes.
 func (s *State) updates() []Update {
 	limit := 4 * bitLength(len(s.peers)+1)
 	var fresh []*peer
