--- a/internal/peer/auth.go
+++ b/internal/peer/auth.go
@@ -1,5 +1,5 @@
-// Package peer carries what the boxes of a hall say to each other, over
-// connect: heartbeats, capacity and the configuration.
+// Package peer implements the RPCs between boxes over Connect: heartbeats, capacity, the
+// configuration and transactions, and forwards requests to boxes of other halls.
 package peer
 
 import (
@@ -19,9 +19,9 @@
 	"github.com/barleystep/barleystep/internal/clock"
 )
 
-// Auth signs calls with the secret that all boxes share, and checks the
-// signatures of incoming ones. With an empty secret, which settings allow only
-// on loopback, nothing is signed or checked.
+// Auth signs outgoing calls with the secret that all boxes share and verifies the signatures of
+// incoming ones. With an empty secret, which the settings allow only on loopback, nothing is
+// verified.
 type Auth struct {
 	Secret string
 	Box    barleystep.BoxID
@@ -30,13 +30,15 @@
 
 const (
 	headerPeer = "Barleystep-Peer"
-	// skew is how far apart two boxes' clocks may be.
+	// maxClockSkew is the largest difference between two boxes' clocks at which a signature is
+	// still accepted.
 	maxClockSkew = time.Minute
 )
 
 var _ connect.Interceptor = Auth{}
 
-// sign returns "box time signature" for a call of the procedure.
+// sign returns the header value "box time signature" for a call of the procedure. The time is in
+// Unix seconds, the signature a hexadecimal HMAC-SHA256.
 func (a Auth) sign(procedure string) string {
 	at := strconv.FormatInt(clock.TimeOfDay(a.Clock).Unix(), 10)
 	return string(a.Box) + " " + at + " " + a.signature(string(a.Box), at, procedure)
@@ -73,7 +75,7 @@
 	return clock.TimeOfDay(a.Clock).Sub(time.Unix(sec, 0)).Abs() <= maxClockSkew
 }
 
-// WrapUnary signs or checks a call.
+// WrapUnary signs an outgoing call or verifies an incoming one.
 func (a Auth) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 		if req.Spec().IsClient {
@@ -87,7 +89,7 @@
 	}
 }
 
-// WrapStreamingClient signs a stream.
+// WrapStreamingClient signs an outgoing stream.
 func (a Auth) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
 	return func(ctx context.Context, spec connect.Spec) connect.StreamingClientConn {
 		conn := next(ctx, spec)
@@ -96,7 +98,7 @@
 	}
 }
 
-// WrapStreamingHandler checks a stream.
+// WrapStreamingHandler verifies an incoming stream.
 func (a Auth) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
 	return func(ctx context.Context, conn connect.StreamingHandlerConn) error {
 		if err := a.check(conn.RequestHeader(), conn.Spec().Procedure); err != nil {
--- a/internal/peer/bench_internal_test.go
+++ b/internal/peer/bench_internal_test.go
@@ -15,13 +15,13 @@
 	"github.com/barleystep/barleystep/internal/version"
 )
 
-// framing is what HTTP/2 and connect add to a message of a stream.
+// framingBytes is what HTTP/2 (9 bytes) and Connect (5 bytes) add to a message of a stream.
 const framingBytes = 9 + 5
 
 var now = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-// BenchmarkCapacityHeartbeats measures the work of a box for one heartbeat
-// interval in halls of several sizes, and the bytes that it sends in a second.
+// BenchmarkCapacityHeartbeats measures the processor time that a box spends on heartbeats and the
+// bytes that it sends for them, both per second, in halls of several sizes.
 func BenchmarkCapacityHeartbeats(b *testing.B) {
 	for _, n := range []int{9, 35, 140, 390} {
 		b.Run(fmt.Sprintf("boxes=%d", n), func(b *testing.B) {
@@ -47,7 +47,7 @@
 				return bytes
 			}
 			for range 200 {
-				tick() // The news of the start passes.
+				tick() // Until the updates of the start have spread.
 			}
 			bytes, ticks := 0, 0
 			for b.Loop() {
@@ -61,8 +61,8 @@
 	}
 }
 
-// BenchmarkCapacityReportSize gives the bytes of a box's report of one pool and
-// of its answer.
+// BenchmarkCapacityReportSize measures the bytes of a box's report on one pool and of the credits
+// that answer it.
 func BenchmarkCapacityReportSize(b *testing.B) {
 	for _, targets := range []int{1, 8, 32, 92} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
@@ -85,8 +85,8 @@
 	}
 }
 
-// BenchmarkCapacityUpdateSize gives the bytes of a change of one target and of
-// a message that only confirms.
+// BenchmarkCapacityUpdateSize measures the bytes of a change of one target and of a message that
+// only confirms the version.
 func BenchmarkCapacityUpdateSize(b *testing.B) {
 	body := []byte(`{"id":"cluj-hala1-t001","hall":"cluj-hala1","url":"http://10.20.30.41:8000","model":"document-reader-large","drain":true}`)
 	inc := version.Increment{
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -18,16 +18,16 @@
 	"github.com/barleystep/barleystep/internal/version"
 )
 
-// Client reaches the other boxes. Its exported fields are set before use; it is
-// safe for concurrent use.
+// Client calls the other boxes. Its exported fields are set before use; it is safe for concurrent
+// use.
 type Client struct {
 	Auth  Auth
 	Clock barleystep.Clock
 	// Addr returns the address of a box's peer listener.
 	Addr func(barleystep.BoxID) (addr string, ok bool)
-	// TLS encrypts the connections; nil uses HTTP/2 in the clear.
+	// TLS configures the encryption of connections; nil means unencrypted HTTP/2.
 	TLS *tls.Config
-	// Base bounds the life of heartbeat streams; it ends with the process.
+	// BaseContext bounds the lifetime of long-lived streams; it ends with the process.
 	BaseContext context.Context
 
 	once             sync.Once
@@ -40,7 +40,7 @@
 
 var _ member.Sender = (*Client)(nil)
 
-// pingAfter and pingTimeout find connections to boxes that have vanished.
+// pingAfter and pingTimeout detect connections to boxes that are no longer reachable.
 const (
 	pingAfter   = 3 * time.Second
 	pingTimeout = 2 * time.Second
@@ -57,7 +57,7 @@
 		}
 		c.http = &http.Client{Transport: &http.Transport{
 			Protocols:       p,
-			TLSClientConfig: c.TLS.Clone(), // The transport changes its own copy.
+			TLSClientConfig: c.TLS.Clone(), // The transport modifies its copy.
 			HTTP2:           &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTimeout},
 		}}
 		c.heartbeatStreams = make(map[string]*heartbeatStream)
@@ -70,7 +70,7 @@
 	return peerv1connect.NewPeerClient(c.http, c.scheme+addr, connect.WithInterceptors(c.Auth))
 }
 
-// Endpoint returns the endpoint of another box.
+// Endpoint returns the capacity endpoint of another box, or false if its address is unknown.
 func (c *Client) Endpoint(id barleystep.BoxID) (capacity.Endpoint, bool) {
 	addr, ok := c.Addr(id)
 	if !ok {
@@ -79,7 +79,8 @@
 	return &remoteEndpoint{client: c, addr: addr}, true
 }
 
-// Upstream returns the way to another box's versions.
+// Upstream returns another box as a source of configuration versions, or false if its address is
+// unknown.
 func (c *Client) Upstream(id barleystep.BoxID) (version.Upstream, bool) {
 	addr, ok := c.Addr(id)
 	if !ok {
@@ -88,7 +89,7 @@
 	return upstream{c.rpcClient(addr)}, true
 }
 
-// Members asks the box at the address what it knows of its hall.
+// Members returns the membership of its hall as the box at the address sees it.
 func (c *Client) Members(ctx context.Context, addr string) ([]member.Update, error) {
 	resp, err := c.rpcClient(addr).Members(ctx, connect.NewRequest(&peerv1.MembersRequest{}))
 	if err != nil {
@@ -97,13 +98,13 @@
 	return convert(resp.Msg.GetMembers(), fromMemberUpdate), nil
 }
 
-// remoteEndpoint is the endpoint of another box.
+// remoteEndpoint is the capacity endpoint of another box.
 type remoteEndpoint struct {
 	client *Client
 	addr   string
 }
 
-// Ask waits for a grant.
+// Ask requests a grant and waits for it.
 func (d *remoteEndpoint) Ask(ctx context.Context, pool string, a capacity.GrantRequest) (g capacity.Grant, err error) {
 	resp, err := d.client.rpcClient(d.addr).Ask(ctx, connect.NewRequest(toAsk(pool, a, d.client.Clock.Now())))
 	if err != nil {
@@ -122,7 +123,7 @@
 
 type upstream struct{ client peerv1connect.PeerClient }
 
-// Follow passes on what the peer sends until the stream ends.
+// Follow passes the peer's updates to sink until the stream ends or sink fails.
 func (u upstream) Follow(ctx context.Context, have int64, sink func(version.Update) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/peer/commit.go
+++ b/internal/peer/commit.go
@@ -11,8 +11,8 @@
 	peerv1 "github.com/barleystep/barleystep/api/peer/v1"
 )
 
-// Commit hands the transaction to another box. Its errors say of the effect what
-// those of barleystep.Table do.
+// Commit has another box commit the transaction. Its errors tell the same of the effect as those of
+// barleystep.Table: ErrUnavailable means that there was none, ErrUnknownEffect that there may be one.
 func (c *Client) Commit(ctx context.Context, id barleystep.BoxID, t barleystep.Txn) error {
 	addr, ok := c.Addr(id)
 	if !ok {
@@ -64,7 +64,7 @@
 	}
 }
 
-// Commit takes in a transaction of another box.
+// Commit commits a transaction for another box.
 func (h handler) Commit(ctx context.Context, req *connect.Request[peerv1.CommitRequest]) (*connect.Response[peerv1.CommitResponse], error) {
 	var t barleystep.Txn
 	for _, c := range req.Msg.GetConditions() {
--- a/internal/peer/control.go
+++ b/internal/peer/control.go
@@ -12,20 +12,21 @@
 	"github.com/barleystep/barleystep/internal/capacity"
 )
 
-// talk is the stream of reports and notices to one dispenser. Streams cost far
-// fewer bytes than calls, which is what the limit on control traffic asks for.
+// controlStream is the stream of reports and notices to the box that allocates a pool's capacity.
+// Control traffic is limited, and a stream takes far fewer bytes than separate calls.
 type controlStream struct {
 	stream *connect.BidiStreamForClient[peerv1.TalkRequest, peerv1.TalkResponse]
 	cancel context.CancelFunc
 
-	sendMu  sync.Mutex // sending keeps messages in the order of waiting.
+	sendMu  sync.Mutex // sendMu keeps messages in the order of pending.
 	names   names
-	mu      sync.Mutex // mu guards what follows; it is never held while sending.
+	mu      sync.Mutex // mu guards the fields below; it is never held while sending.
 	pending []chan<- reportReply
 	err     error
 }
 
-// answer is what a report brought.
+// reportReply is the response to a report, or the error that ended the stream. Names resolves the
+// numbers in resp.
 type reportReply struct {
 	resp  *peerv1.TalkResponse
 	names receivedNames
@@ -34,7 +35,7 @@
 
 var errControlStreamEnded = eris.New("peer: the stream to the dispenser has ended")
 
-// talkTo returns the stream to the address and opens it if there is none.
+// controlStreamTo returns the stream to the address and opens one if there is none.
 func (c *Client) controlStreamTo(addr string) *controlStream {
 	c.init()
 	c.mu.Lock()
@@ -61,8 +62,8 @@
 	}
 }
 
-// send sends one message. The build function is given the names of the stream.
-// A message that wants an answer gets it on the channel.
+// send sends one message, whose kind build fills in with the names of the stream. If reply is not
+// nil, it receives the response.
 func (t *controlStream) send(pool string, build func(n *names, m *peerv1.TalkRequest), reply chan<- reportReply) error {
 	t.sendMu.Lock()
 	defer t.sendMu.Unlock()
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// await lines up for an answer, if one is wanted.
+// enqueue adds reply, unless it is nil, to the channels that receive responses in order.
 func (t *controlStream) enqueue(reply chan<- reportReply) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,7 +89,7 @@
 	return t.err
 }
 
-// receive hands answers to those that wait, in order, until the stream ends.
+// receive delivers responses in order until the stream ends.
 func (t *controlStream) receive() {
 	var in receivedNames
 	for {
@@ -111,7 +112,7 @@
 	}
 }
 
-// end fails all that wait, and returns the error with which the stream ended.
+// fail ends the stream, fails all pending reports and returns the error that ended the stream first.
 func (t *controlStream) fail(err error) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -127,14 +128,14 @@
 	return t.err
 }
 
-// First notes a first token.
+// First reports the first token of an attempt.
 func (d *remoteEndpoint) First(_ context.Context, pool string, id barleystep.AttemptID) error {
 	return d.client.controlStreamTo(d.addr).send(pool, func(_ *names, m *peerv1.TalkRequest) {
 		m.Kind = &peerv1.TalkRequest_First{First: &peerv1.First{Attempt: toAttempt(id)}}
 	}, nil)
 }
 
-// Release gives a grant back.
+// Release returns a grant.
 func (d *remoteEndpoint) Release(_ context.Context, pool string, id barleystep.AttemptID, u barleystep.Usage) error {
 	return d.client.controlStreamTo(d.addr).send(pool, func(_ *names, m *peerv1.TalkRequest) {
 		m.Kind = &peerv1.TalkRequest_Release{Release: toRelease(id, u)}
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -10,7 +10,7 @@
 	"github.com/barleystep/barleystep/internal/version"
 )
 
-// Times travel as ages, since the clocks of boxes differ.
+// Messages carry times as durations relative to now, since the clocks of boxes differ.
 
 func toAttempt(a barleystep.AttemptID) *peerv1.Attempt {
 	return &peerv1.Attempt{Box: string(a.Box()), Incarnation: uint64(a.Incarnation()), Number: a.Number()}
@@ -88,13 +88,14 @@
 		WithRetryAfter(millis(r.GetRetryAfterMs()))
 }
 
-// names numbers the names that one direction of a stream has sent.
+// names assigns numbers to the names sent in one direction of a stream, so that each name is
+// sent only once.
 type names struct {
 	numbers map[string]uint32
-	unsent  []string // fresh is what the next message has to bring.
+	unsent  []string // unsent holds the names that the next message has to carry.
 }
 
-// number returns the number of the name.
+// number returns the number of the name and assigns the next one to a new name.
 func (n *names) number(name string) uint32 {
 	if i, ok := n.numbers[name]; ok {
 		return i
@@ -108,17 +109,17 @@
 	return i
 }
 
-// take returns the names that were not sent yet.
+// takeUnsent returns and clears the names that were not sent yet.
 func (n *names) takeUnsent() []string {
 	unsent := n.unsent
 	n.unsent = nil
 	return unsent
 }
 
-// known is the names that one direction of a stream has brought.
+// receivedNames holds the names received in one direction of a stream, by number.
 type receivedNames []string
 
-// name returns the name with the number, "" if there is none.
+// name returns the name with the number, or "" if there is none.
 func (k receivedNames) name(i uint32) string {
 	if int(i) >= len(k) {
 		return ""
@@ -289,8 +290,8 @@
 	}
 }
 
-// fromStatus reads a status; one that this version does not know counts as
-// alive, which the box's own heartbeats then confirm or not.
+// fromStatus converts a status. An unknown one, as a newer version of the program may send, becomes
+// alive; the box's own heartbeats, or their absence, correct it.
 func fromStatus(s peerv1.Status) member.Status {
 	if s < peerv1.Status_STATUS_ALIVE || s > peerv1.Status_STATUS_DEAD {
 		return member.StatusAlive
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -15,17 +15,19 @@
 	"github.com/barleystep/barleystep/internal/place"
 )
 
-// Forwarder sends callers' requests to boxes of other halls. Its exported fields
-// are set before use; it is safe for concurrent use.
+// Forwarder forwards callers' requests to boxes of other halls. Its exported fields are set before
+// use; it is safe for concurrent use.
 type Forwarder struct {
 	Client *Client
 	Boxes  barleystep.BoxList
 }
 
-// maxForwards is how many boxes are tried, as long as none was reached.
+// maxForwardAttempts is how many boxes are tried while none is reached.
 const maxForwardAttempts = 2
 
-// Forward sends the request to a box of one of the halls.
+// Forward sends the request to a box of one of the halls. It tries another box only if no connection
+// was made, so that the request runs at most once; its error is then barleystep.ErrNotStarted, and
+// barleystep.ErrUnknownEffect after a connection was made.
 func (f *Forwarder) Forward(ctx context.Context, halls []string, r *http.Request, body []byte) (*http.Response, error) {
 	boxes, err := f.Boxes.Boxes(ctx)
 	if err != nil {
@@ -52,7 +54,7 @@
 	c.init()
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
-	// The body cannot be rewound, so that it is not sent twice.
+	// NopCloser hides that the body can be rewound, so that the transport does not send it twice.
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), r.Method, c.scheme+addr+r.URL.RequestURI(), io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
 		return nil, eris.Wrap(barleystep.ErrNotStarted, err.Error())
@@ -71,8 +73,8 @@
 	return resp, nil
 }
 
-// Guard lets requests that other boxes have forwarded through to the callers'
-// handler.
+// RequireBox returns a handler that passes only requests signed by another box to next and answers
+// others with status 401.
 func (a Auth) RequireBox(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if a.check(r.Header, r.URL.Path) != nil {
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -7,18 +7,18 @@
 	"github.com/barleystep/barleystep/internal/member"
 )
 
-// beatStream sends heartbeats to one address over one long-lived stream.
+// heartbeatStream sends heartbeats to one address over one long-lived stream.
 type heartbeatStream struct {
 	queue  chan member.Heartbeat
 	cancel context.CancelFunc
 }
 
-// beatQueue is how many heartbeats wait for a stream. More would only be old
-// news.
+// heartbeatQueueSize is the number of heartbeats queued per stream. In a longer queue they would
+// be outdated when sent.
 const heartbeatQueueSize = 2
 
-// Beat sends a heartbeat. It does not wait: a heartbeat that can't be sent at
-// once is dropped, which is what its absence has to tell.
+// SendHeartbeat queues a heartbeat. It does not block: if the queue is full, the heartbeat is
+// dropped, and its absence tells the other box that this one is slow or cut off.
 func (c *Client) SendHeartbeat(_ barleystep.BoxID, addr string, b member.Heartbeat) {
 	if addr == "" {
 		return
@@ -44,7 +44,8 @@
 	return s
 }
 
-// run sends until the stream breaks; the next heartbeat opens another.
+// sendHeartbeats sends from the queue until the stream breaks. The next heartbeat opens a new
+// stream.
 func (c *Client) sendHeartbeats(ctx context.Context, addr string, s *heartbeatStream) {
 	defer c.removeHeartbeatStream(addr, s)
 	stream := c.rpcClient(addr).Beats(ctx)
@@ -70,7 +71,7 @@
 	}
 }
 
-// Keep closes the heartbeat streams to all but the given addresses. Neighbours
+// CloseExcept closes the heartbeat streams to all but the given addresses. The neighbours of a box
 // change as boxes come and go.
 func (c *Client) CloseExcept(addrs map[string]bool) {
 	c.init()
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -23,13 +23,13 @@
 
 const pool = "m"
 
-// countingListener counts the bytes of its connections, both ways.
+// countingListener counts the bytes of its connections in both directions.
 type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
 }
 
-// Accept wraps a connection.
+// Accept returns the next connection, wrapped in a countingConn.
 func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	return countingConn{c, &l.bytes}, err
@@ -40,24 +40,24 @@
 	bytes *atomic.Int64
 }
 
-// Read counts what was read.
+// Read counts the bytes read.
 func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write counts what was written.
+// Write counts the bytes written.
 func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// ears takes in heartbeats.
+// receiver passes received heartbeats to a channel.
 type receiver struct{ received chan member.Heartbeat }
 
-// Receive passes the heartbeat on.
+// Receive sends the heartbeat to the channel.
 func (e receiver) Receive(b member.Heartbeat) { e.received <- b }
 
 // Members returns one box.
@@ -65,7 +65,7 @@
 	return []member.Update{{Box: "b1", Incarnation: 1}}
 }
 
-// end is a box's peer server with a client that reaches it.
+// testBox is a box's peer server with a client connected to it.
 type testBox struct {
 	endpoint *capacity.LocalEndpoint
 	follower *version.Follower
@@ -121,7 +121,7 @@
 	}}
 }
 
-// TestEndpoint holds both implementations of Endpoint to the same contract.
+// TestEndpoint checks that the local and the remote Endpoint fulfil the same contract.
 func TestEndpoint(t *testing.T) {
 	e := newTestBox(t, "secret", "secret")
 	remote, _ := e.client.Endpoint("b1")
@@ -132,7 +132,7 @@
 			g, err := endpoint.Ask(t.Context(), pool, first)
 			c.Assert(err, quicktest.IsNil)
 			c.Check(g.Targets, quicktest.DeepEquals, []barleystep.TargetID{"e1"})
-			// A second long prompt waits until the first has been read.
+			// A second long prompt waits until the first one's prefill is done.
 			got := make(chan error, 1)
 			go func() {
 				_, err := endpoint.Ask(t.Context(), pool, newAsk(2))
@@ -140,7 +140,7 @@
 			}()
 			c.Assert(endpoint.First(t.Context(), pool, first.Demand.Attempt), quicktest.IsNil)
 			c.Assert(<-got, quicktest.IsNil)
-			// A caller that goes away leaves its question behind nowhere.
+			// An abandoned call leaves no waiting request behind.
 			ctx, cancel := context.WithCancel(t.Context())
 			cancel()
 			_, err = endpoint.Ask(ctx, pool, newAsk(3))
@@ -202,8 +202,8 @@
 	c.Check(other.Version(), quicktest.Equals, int64(1))
 }
 
-// TestCommitTellsTheEffect checks that what a box learns of a transaction that it
-// handed over is true.
+// TestCommitReportsEffect checks that a box learns the true effect of a transaction that another box
+// commits for it.
 func TestCommitReportsEffect(t *testing.T) {
 	cases := map[string]struct {
 		failure table.Failure
@@ -237,8 +237,8 @@
 	})
 }
 
-// BenchmarkCapacityWire counts the bytes of a grant with its notices, and of a
-// report, on a real connection, both ways.
+// BenchmarkCapacityWire measures the bytes of a grant with its notices, and of a report, in both
+// directions of a TCP connection.
 func BenchmarkCapacityWire(b *testing.B) {
 	e := newTestBox(b, "secret", "secret")
 	endpoint, _ := e.client.Endpoint("b1")
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -17,29 +17,28 @@
 	"github.com/barleystep/barleystep/internal/version"
 )
 
-// Receiver takes in heartbeats and tells who is alive.
+// Receiver processes heartbeats and knows the members of the hall.
 type Receiver interface {
-	// Receive takes in one heartbeat.
+	// Receive processes one heartbeat.
 	Receive(b member.Heartbeat)
-	// Members returns what is known of the boxes of the hall.
+	// Members returns the latest updates about the boxes of the hall.
 	Members() []member.Update
 }
 
-// Server answers the other boxes. Its exported fields are set before Handler.
+// Server serves the calls of other boxes. Its exported fields are set before Handler is called.
 type Server struct {
 	Auth     Auth
 	Clock    barleystep.Clock
 	Endpoint capacity.Endpoint
 	Receiver Receiver
 	Follower *version.Follower
-	// Table commits the transactions that other boxes hand over.
+	// Table commits transactions for other boxes.
 	Table barleystep.Table
-	// Callers serves the requests that boxes of other halls forward; may be nil.
+	// Forwarded serves requests that boxes of other halls forward; may be nil.
 	Forwarded http.Handler
 }
 
-// confirmEvery is the time between messages of a stream of versions that only
-// say how fresh the newest one is.
+// confirmInterval is the time between messages of Follow that only confirm the current version.
 const confirmInterval = time.Second
 
 // Handler returns the handler for peers.
@@ -54,7 +53,7 @@
 
 type handler struct{ *Server }
 
-// Beats takes in heartbeats until the stream ends.
+// Beats receives heartbeats until the stream ends.
 func (h handler) Beats(_ context.Context, stream *connect.ClientStream[peerv1.Beat]) (*connect.Response[peerv1.BeatsResponse], error) {
 	for stream.Receive() {
 		h.Receiver.Receive(fromHeartbeat(stream.Msg()))
@@ -62,12 +61,12 @@
 	return connect.NewResponse(&peerv1.BeatsResponse{}), stream.Err()
 }
 
-// Members tells what is known of the boxes of the hall.
+// Members returns the latest updates about the boxes of the hall.
 func (h handler) Members(context.Context, *connect.Request[peerv1.MembersRequest]) (*connect.Response[peerv1.MembersResponse], error) {
 	return connect.NewResponse(&peerv1.MembersResponse{Members: convert(h.Receiver.Members(), toMemberUpdate)}), nil
 }
 
-// Ask waits for a grant. A refusal is an answer, not an error.
+// Ask waits for a grant. A refusal is sent as a response, not as an error.
 func (h handler) Ask(ctx context.Context, req *connect.Request[peerv1.AskRequest]) (*connect.Response[peerv1.AskResponse], error) {
 	now := h.Clock.Now()
 	g, err := h.Endpoint.Ask(ctx, req.Msg.GetPool(), fromAsk(req.Msg, now))
@@ -81,8 +80,7 @@
 	return connect.NewResponse(&peerv1.AskResponse{Targets: toTargets(g.Targets), Priority: int32(g.Priority)}), nil
 }
 
-// Talk takes in reports and notices until the stream ends, and answers reports
-// with credits.
+// Talk receives reports and notices until the stream ends and answers each report with credits.
 func (h handler) Talk(ctx context.Context, stream *connect.BidiStream[peerv1.TalkRequest, peerv1.TalkResponse]) error {
 	var in receivedNames
 	var out names
@@ -105,7 +103,7 @@
 	}
 }
 
-// ended turns the regular end of a stream into no error.
+// ignoreEOF returns nil for io.EOF, the regular end of a stream, and other errors unchanged.
 func ignoreEOF(err error) error {
 	if eris.Is(err, io.EOF) {
 		return nil
@@ -128,11 +126,11 @@
 		}
 		return toCredits(out, c, now), nil
 	default:
-		return nil, nil // A kind that this version does not know.
+		return nil, nil // A kind added by a newer version of the program.
 	}
 }
 
-// Follow streams versions until the peer goes away.
+// Follow streams versions and confirmations until the peer disconnects.
 func (h handler) Follow(ctx context.Context, req *connect.Request[peerv1.FollowRequest], stream *connect.ServerStream[peerv1.FollowResponse]) error {
 	sent := req.Msg.GetVersion()
 	for {
@@ -149,7 +147,8 @@
 	}
 }
 
-// age returns how long ago the version was confirmed, negative for never.
+// confirmationAge returns the time since the current version was confirmed, or a negative value if
+// it never was.
 func (h handler) confirmationAge() time.Duration {
 	at := h.Follower.ConfirmedAt()
 	if at.IsZero() {
--- a/internal/peer/tls.go
+++ b/internal/peer/tls.go
@@ -8,10 +8,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// LoadTLS returns the configuration with which boxes prove themselves to each
-// other both ways: a certificate, its key, and the authority that has signed the
-// certificates of all boxes, as PEM files. Without a certificate it returns nil,
-// which means no encryption.
+// LoadTLS returns the configuration for mutual TLS between boxes. Its arguments are the PEM files of
+// the box's certificate, of its key, and of the authority that signs the certificates of all boxes.
+// If certificate is empty, it returns nil, which means no encryption.
 func LoadTLS(certificate, key, authority string) (c *tls.Config, err error) {
 	defer func() {
 		if err != nil {
