--- a/internal/version/bench_test.go
+++ b/internal/version/bench_test.go
@@ -15,7 +15,7 @@
 	"github.com/barleystep/barleystep/internal/version"
 )
 
-// large returns a configuration with as many accounts and targets.
+// largeDocument returns a configuration with the given numbers of accounts, targets and models.
 func largeDocument(b *testing.B, accounts, targets, models int) config.Document {
 	f := config.File{
 		Classes:  []config.Class{{Name: "urgent"}, {Name: "normal", Rank: 1}, {Name: "bulk", Rank: 2}},
@@ -42,8 +42,8 @@
 	return d
 }
 
-// BenchmarkCapacityChange measures how a box brings one changed target into
-// force, and what the configuration takes in memory and as a snapshot.
+// BenchmarkCapacityChange measures the time a box takes to apply a change of one target, and the
+// size of the configuration in memory and as a snapshot.
 func BenchmarkCapacityChange(b *testing.B) {
 	for _, s := range []struct{ accounts, targets, models int }{{10, 23, 2}, {100, 100, 5}, {970, 1_000, 20}} {
 		b.Run(fmt.Sprintf("accounts=%d/targets=%d", s.accounts, s.targets), func(b *testing.B) {
@@ -72,7 +72,8 @@
 	}
 }
 
-// drain returns the change that drains a target or lets it back.
+// drain returns version n, which sets the first target's drain flag if n is even and clears it
+// otherwise.
 func drain(b *testing.B, d config.Document, n int64) version.Increment {
 	for _, e := range d.Entries() {
 		if e.Kind != config.KindTarget {
--- a/internal/version/follower.go
+++ b/internal/version/follower.go
@@ -11,34 +11,34 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// Follower holds the version that is in force on this box. Whatever a stale
-// read, a restart of a peer or a peer itself says, it never goes back. Its
-// exported fields are set before use; it is safe for concurrent use.
+// Follower holds the current version of the configuration on this box. It never goes back to an
+// older version, whatever a stale read or a restarted or faulty peer brings. Its exported fields
+// are set before use; it is safe for concurrent use.
 type Follower struct {
 	Clock barleystep.Clock
 	Meter *metric.Meter
-	// ConfirmWithin is how long a version counts as confirmed to be the newest;
-	// the default is 4 seconds.
+	// ConfirmationTTL is how long a version counts as confirmed to be the newest; the default is
+	// 4 seconds.
 	ConfirmationTTL time.Duration
 
 	mu        sync.Mutex
 	view      *config.View
-	history   []Increment // history holds the latest increments, oldest first.
+	history   []Increment // history holds the latest increments, the oldest first.
 	confirmed time.Time
 	changed   chan struct{}
 }
 
 const (
 	defaultConfirmationTTL = 4 * time.Second
-	// historyLength is how many increments are kept for peers that lag.
+	// maxHistory is the number of increments kept for peers that lag behind.
 	maxHistory = 256
 )
 
-// ErrGap means that increments do not follow on the version in force.
+// ErrGap means that an increment does not follow directly on the current version.
 var ErrGap = eris.New("version: increments do not follow on the version in force")
 
-// View returns the version in force, nil before there is one, and whether it
-// was confirmed lately to be the newest.
+// View returns the current version, or nil if there is none yet, and whether it was confirmed to be
+// the newest within ConfirmationTTL.
 func (f *Follower) View() (v *config.View, confirmed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -50,7 +50,7 @@
 	return f.view, f.view != nil && fresh
 }
 
-// Version returns the number of the version in force, zero if there is none.
+// Version returns the number of the current version, or zero if there is none.
 func (f *Follower) Version() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -64,8 +64,8 @@
 	return f.view.Version()
 }
 
-// Confirm notes that the version was the newest at the given time. A version
-// that is not in force confirms nothing.
+// Confirm records that the version was the newest at the given time. It has no effect if the version
+// is not the current one.
 func (f *Follower) Confirm(version int64, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -74,15 +74,15 @@
 	}
 }
 
-// ConfirmedAt returns the time of the last confirmation.
+// ConfirmedAt returns the time of the last confirmation, or the zero time if there was none.
 func (f *Follower) ConfirmedAt() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.confirmed
 }
 
-// Apply brings increments into force. Those that are in force already are
-// passed over. It returns ErrGap if one does not follow.
+// Apply applies increments in order and skips those up to the current version. It returns ErrGap if
+// one does not follow directly on the version before it.
 func (f *Follower) Apply(list []Increment) (err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// Load brings a whole document into force if it is newer.
+// Load replaces the configuration by a whole document if that is newer.
 func (f *Follower) Load(snapshot Increment) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,7 +111,8 @@
 	return f.advance(snapshot, config.Document{}.Apply(snapshot.Changes))
 }
 
-// advance puts a document into force. The caller holds the lock.
+// advance makes the document the current version after checking its digest and its contents. The
+// caller holds the lock.
 func (f *Follower) advance(inc Increment, d config.Document) error {
 	if got := d.Digest(); got != inc.Digest {
 		f.Meter.ConfigurationChanged("digest_mismatch")
@@ -148,8 +149,7 @@
 	}
 }
 
-// Changed returns a channel that is closed when another version comes into
-// force.
+// Changed returns a channel that is closed when the current version changes.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -159,7 +159,7 @@
 	return f.changed
 }
 
-// Await waits until at least the given version is in force.
+// Await waits until the current version is at least the given one.
 func (f *Follower) Await(version int64) {
 	for {
 		changed := f.Changed()
@@ -170,8 +170,8 @@
 	}
 }
 
-// Since returns what a peer with the given version lacks: increments, or a
-// whole document if it lags too far.
+// Since returns the increments after the given version, or a snapshot of the whole document if the
+// history does not reach back that far.
 func (f *Follower) Since(version int64) (list []Increment, snapshot bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/version/follower_test.go
+++ b/internal/version/follower_test.go
@@ -21,7 +21,7 @@
 
 var start = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-// document returns a configuration that differs with n.
+// document returns a configuration that is different for each n.
 func document(t testing.TB, n int) config.Document {
 	d, err := config.File{
 		Classes:  []config.Class{{Name: "normal", Rank: n}},
@@ -35,7 +35,7 @@
 	return &version.Store{Table: tb, Objects: &object.Memory{}, Clock: clock.System{}, Meter: metric.Discard(), SubmitTimeout: 200 * time.Millisecond}
 }
 
-// submitAll accepts versions 1 to n.
+// submitAll submits versions 1 to n and checks that each is accepted.
 func submitAll(t testing.TB, s *version.Store, n int) {
 	base := config.Document{}
 	for v := 1; v <= n; v++ {
@@ -82,7 +82,7 @@
 	clk.Advance(5 * time.Second)
 	v, confirmed := f.View()
 	c.Check(confirmed, quicktest.IsFalse)
-	c.Check(v.Version(), quicktest.Equals, int64(1), quicktest.Commentf("it stays in force"))
+	c.Check(v.Version(), quicktest.Equals, int64(1), quicktest.Commentf("an unconfirmed version stays current"))
 }
 
 func TestSubmit(t *testing.T) {
@@ -93,13 +93,13 @@
 		plan func(table.Call) table.Failure
 		want error
 	}{
-		"accepted":                       {1, "new", nil, nil},
-		"stale base":                     {0, "new", nil, version.ErrConflict},
-		"same id again":                  {0, "s1", nil, nil},
-		"answer lost after the effect":   {1, "new", failWrites(table.FailureAnswerLost), nil},
-		"answer lost before the effect":  {1, "new", failFirstWrite(table.FailureDelayed), version.ErrNotAccepted},
-		"store down":                     {1, "new", failWrites(table.FailureUnavailable), version.ErrNotAccepted},
-		"answers lost until patience is": {1, "new", failWrites(table.FailureDelayed), version.ErrUnknownOutcome},
+		"accepted":                        {1, "new", nil, nil},
+		"stale base":                      {0, "new", nil, version.ErrConflict},
+		"same id resubmitted":             {0, "s1", nil, nil},
+		"answer lost after the effect":    {1, "new", failWrites(table.FailureAnswerLost), nil},
+		"answer lost before the effect":   {1, "new", failFirstWrite(table.FailureDelayed), version.ErrNotAccepted},
+		"store down":                      {1, "new", failWrites(table.FailureUnavailable), version.ErrNotAccepted},
+		"answers lost until the time-out": {1, "new", failWrites(table.FailureDelayed), version.ErrUnknownOutcome},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -116,7 +116,7 @@
 			c.Check(err, quicktest.ErrorIs, tc.want)
 			faulty.SetPlan(nil)
 			if tc.want == version.ErrNotAccepted {
-				c.Check(faulty.ApplyDelayed(ctx), quicktest.Equals, 0, quicktest.Commentf("a write took effect after it was denied"))
+				c.Check(faulty.ApplyDelayed(ctx), quicktest.Equals, 0, quicktest.Commentf("a write took effect after its submission was reported as not accepted"))
 			}
 		})
 	}
@@ -136,7 +136,7 @@
 	}
 }
 
-// firstWrite fails only the first write.
+// failFirstWrite returns a plan that fails only the first write.
 func failFirstWrite(f table.Failure) func(table.Call) table.Failure {
 	done := false
 	return func(c table.Call) table.Failure {
@@ -148,7 +148,8 @@
 	}
 }
 
-// TestNewBoxReads checks that a new box reads the snapshot and what came after.
+// TestNewBoxReadsSnapshot checks that a new box reads the latest snapshot and the versions after it,
+// in at most 6 reads, instead of all versions.
 func TestNewBoxReadsSnapshot(t *testing.T) {
 	c := quicktest.New(t)
 	m := &table.Memory{}
--- a/internal/version/reader.go
+++ b/internal/version/reader.go
@@ -14,47 +14,47 @@
 	"github.com/barleystep/barleystep/internal/place"
 )
 
-// Upstream brings versions from a peer.
+// Upstream is a peer that streams its versions.
 type Upstream interface {
-	// Follow passes on what the peer sends until the stream ends.
+	// Follow passes the updates after the given version to sink until the stream ends.
 	Follow(ctx context.Context, version int64, sink func(Update) error) error
 }
 
-// Update is one message of a peer.
+// Update is one message of a peer's stream.
 type Update struct {
 	Increments []Increment
 	// Snapshot is set when Increments holds one whole document.
 	Snapshot bool
-	// Version is the newest that the peer has, and Age is how long ago the table
-	// service confirmed it.
+	// Version is the peer's current version. Age is the time since the table service confirmed it,
+	// negative if it never did.
 	Version int64
 	Age     time.Duration
 }
 
-// Reader keeps a Follower up to date. Few boxes of a hall read the table; the
-// others follow one of them, and read the table themselves only while that
-// fails. Its exported fields are set before Serve.
+// Reader keeps a Follower up to date. A few boxes of a hall read the table; the others follow one of
+// them and read the table themselves only while that fails. Its exported fields are set before
+// Serve.
 type Reader struct {
 	Clock      barleystep.Clock
 	Box        barleystep.BoxID
 	Store      *Store
 	Follower   *Follower
 	Membership barleystep.Membership
-	// Peer returns the way to a peer's versions.
+	// Upstream returns the stream of a peer's versions, or false if the peer's address is unknown.
 	Upstream func(barleystep.BoxID) (u Upstream, ok bool)
 	Meter    *metric.Meter
 	Log      *log.Logger
-	// Every is the time between reads of the head; the default is 1 second.
+	// ReadInterval is the time between reads of the head row; the default is 1 second.
 	ReadInterval time.Duration
-	// Readers is how many boxes of the hall read the table; the default is 2.
+	// Readers is the number of boxes of the hall that read the table; the default is 2.
 	Readers int
 }
 
 const (
 	defaultReadInterval = time.Second
 	defaultReaders      = 2
-	// staleAfter is how long a follower goes without confirmation before it
-	// reads the table itself.
+	// staleAfter is how long a box goes without a confirmation from a peer before it reads the table
+	// itself.
 	staleAfter = 2500 * time.Millisecond
 	logPrefix  = "version: "
 )
@@ -72,7 +72,7 @@
 		attempt++
 		return r.nextUpstream(attempt)
 	}}
-	go func() { _ = f.Serve(ctx) }() // It ends with ctx.
+	go func() { _ = f.Serve(ctx) }() // Serve returns when ctx ends.
 	for {
 		if r.shouldRead() {
 			r.poll(ctx)
@@ -83,7 +83,8 @@
 	}
 }
 
-// readers returns the boxes of the hall that read the table.
+// readers returns the boxes of the hall that read the table, chosen by rendezvous hashing from those
+// alive.
 func (r *Reader) readers() []barleystep.BoxID {
 	left := r.Membership.Alive()
 	var chosen []barleystep.BoxID
@@ -99,7 +100,8 @@
 	return slices.DeleteFunc(slices.Clone(list), func(other barleystep.BoxID) bool { return other == id })
 }
 
-// mustRead reports whether this box reads the table itself.
+// shouldRead reports whether this box reads the table itself: it is one of the readers, or its
+// version was not confirmed within staleAfter.
 func (r *Reader) shouldRead() bool {
 	if slices.Contains(r.readers(), r.Box) {
 		return true
@@ -107,7 +109,8 @@
 	return r.Clock.Now().Sub(r.Follower.ConfirmedAt()) > staleAfter
 }
 
-// read looks at the head once and brings what is newer into force.
+// poll reads the head row once and applies newer versions. A head older than the current version is
+// a stale read and ignored.
 func (r *Reader) poll(ctx context.Context) {
 	readAt := r.Clock.Now()
 	version, err := r.Store.Head(ctx)
@@ -119,12 +122,14 @@
 		return
 	}
 	if err := r.catchUp(ctx, version); err != nil {
-		r.Log.Warn().Err(err).Int64("version", version).Msg(logPrefix + "A version could not be read.")
+		r.Log.Warn().Err(err).Int64("version", version).Msg(logPrefix + "A version of the configuration could not be read.")
 		return
 	}
 	r.Follower.Confirm(version, readAt)
 }
 
+// catchUp applies the versions up to the given one, from the latest snapshot if more than readBatch
+// are missing.
 func (r *Reader) catchUp(ctx context.Context, version int64) error {
 	if version-r.Follower.Version() > readBatch {
 		if err := r.loadSnapshot(ctx); err != nil {
@@ -154,6 +159,8 @@
 	return r.Follower.Load(inc)
 }
 
+// nextUpstream returns the peer to follow, in turn: one of the other readers, or any peer while this
+// box has no version.
 func (r *Reader) nextUpstream(attempt int) (u Upstream, ok bool) {
 	candidates := without(r.readers(), r.Box)
 	if r.Follower.Version() == 0 {
--- a/internal/version/store.go
+++ b/internal/version/store.go
@@ -13,50 +13,50 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// Store reads and submits versions. Its exported fields are set before use; it
+// Store reads and submits versions in the table service. Its exported fields are set before use; it
 // is safe for concurrent use.
 type Store struct {
 	Table   barleystep.Table
 	Objects barleystep.ObjectStore
 	Clock   barleystep.Clock
 	Meter   *metric.Meter
-	// Patience is how long a submission waits for the store; the default is 10
-	// seconds.
+	// SubmitTimeout is how long a submission waits for the store; the default is 10 seconds.
 	SubmitTimeout time.Duration
 }
 
 const (
 	defaultSubmitTimeout = 10 * time.Second
 	retryPause           = 50 * time.Millisecond
-	readBatch            = 64 // readBatch is how many versions one read brings.
+	readBatch            = 64 // readBatch is the largest number of versions in one read.
 )
 
 // The errors of Submit.
 var (
 	// ErrConflict means that another version was accepted first.
 	ErrConflict = eris.New("version: another version was accepted first")
-	// ErrNotAccepted means that the submission was not and will not be accepted.
+	// ErrNotAccepted means that the submission was not accepted and will not take effect later.
 	ErrNotAccepted = eris.New("version: not accepted; the store did not take it")
-	// ErrUnknown means that the store gave no answer in time. Submitting again
-	// with the same id settles it.
+	// ErrUnknownOutcome means that the store did not answer in time. Submitting again with the same
+	// id returns the outcome.
 	ErrUnknownOutcome = eris.New("version: the store did not say whether it was accepted; submit again with the same id")
-	// ErrInvalid wraps what is wrong with a configuration.
+	// ErrInvalid means that the configuration is invalid; it is wrapped with the reason.
 	ErrInvalid = eris.New("version: invalid configuration")
 )
 
-// Submission is an offer of a new version.
+// Submission is a proposed version.
 type Submission struct {
-	// ID names the submission; the same ID again gets the first result.
+	// ID identifies the submission. Submitting the same ID again returns the first result.
 	ID string
-	// Base is the version against which it was made.
+	// Base is the version that the submission changes.
 	Base     int64
 	Document config.Document
 	Author   string
 	Reason   string
 }
 
-// Submit offers the document as version base+1. The base is the document of
-// that version. On a conflict it returns the winner with ErrConflict.
+// Submit proposes sub.Document as version sub.Base+1, where base is the document of version
+// sub.Base. It returns the accepted version; on a conflict it returns the number of the version
+// that won, with ErrConflict.
 func (s *Store) Submit(ctx context.Context, base config.Document, sub Submission) (version int64, err error) {
 	defer func() {
 		if err != nil {
@@ -116,7 +116,7 @@
 		next := head{Version: inc.Version, ID: inc.ID}
 		return s.commit(ctx, m.rowVersion, next, barleystep.Put(versionKey(inc.Version), inc.Encode()))
 	case actionExclude:
-		// The head's content stays; only its row's version changes.
+		// This rewrites the head's content unchanged and so only raises the row's version.
 		return s.commit(ctx, m.rowVersion, m.oldHead)
 	default:
 		o, err := s.readState(ctx, inc.Version)
@@ -143,7 +143,7 @@
 	return observation{fault: fault}
 }
 
-// readState reads the head and the row of one version.
+// readState reads the head row and the row of one version.
 func (s *Store) readState(ctx context.Context, version int64) (o observation, err error) {
 	rows, err := s.Table.Read(ctx, headKey, versionKey(version))
 	if err != nil {
@@ -164,14 +164,14 @@
 	return o, nil
 }
 
-// Head returns the number of the newest version, zero if there is none.
+// Head returns the number of the newest version, or zero if there is none.
 func (s *Store) Head(ctx context.Context) (int64, error) {
 	o, err := s.readState(ctx, 0)
 	return o.head.Version, err
 }
 
-// Increments returns the accepted versions from first to last, as far as the
-// read shows them without a gap.
+// Increments returns the accepted versions from first to last, at most readBatch of them and only up
+// to the first gap in what was read.
 func (s *Store) Increments(ctx context.Context, first, last int64) ([]Increment, error) {
 	last = min(last, first+readBatch-1)
 	var keys []string
@@ -197,8 +197,8 @@
 	return list, nil
 }
 
-// snapshot writes a document whole now and then, so that new boxes need not
-// read all versions. Losing one costs only reads.
+// writeSnapshot writes the whole document every snapshotEvery versions, so that new boxes need not
+// read all versions. Errors are only counted, since a missing snapshot costs no more than reads.
 func (s *Store) writeSnapshot(ctx context.Context, version int64, d config.Document) {
 	if version%snapshotEvery != 0 {
 		return
@@ -217,8 +217,7 @@
 	}
 }
 
-// Snapshot returns the newest whole document, a zero increment if there is
-// none.
+// Snapshot returns the newest whole document, or a zero Increment if there is none.
 func (s *Store) Snapshot(ctx context.Context) (inc Increment, err error) {
 	rows, err := s.Table.Read(ctx, snapshotKey)
 	if err != nil || !rows[0].Exists() {
@@ -235,8 +234,8 @@
 	return DecodeIncrement(data)
 }
 
-// At returns the document of a version, from the nearest snapshot before it and
-// the increments after that.
+// DocumentAt returns the document of a version, from the nearest snapshot before it and the
+// increments after that. It returns ErrNoVersion if there is no such version.
 func (s *Store) DocumentAt(ctx context.Context, version int64) (d config.Document, err error) {
 	defer func() {
 		if err != nil {
@@ -266,7 +265,7 @@
 	return d, nil
 }
 
-// ErrNoVersion means that there is no version with the number.
+// ErrNoVersion means that there is no version with the given number.
 var ErrNoVersion = eris.New("version: there is no such version")
 
 func (s *Store) snapshotAt(ctx context.Context, version int64) (config.Document, error) {
--- a/internal/version/submit.go
+++ b/internal/version/submit.go
@@ -6,46 +6,46 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Step function of a submission, free of input and output, so that a test can
-// drive it through every order of events. It mirrors docs/spec/versions.pml.
+// The step function of a submission does no input or output, so that a test can drive it through any
+// order of events. It matches the model in docs/spec/versions.pml.
 
-// phase is where a submission stands.
+// phase is the state of a submission's protocol.
 type phase uint8
 
 const (
-	phaseRead    phase = iota // phaseRead waits for the head.
-	phaseAccept               // phaseAccept waits for the answer of the write.
-	phaseExclude              // phaseExclude waits for a write that keeps a lost one from taking effect late.
-	phaseResolve              // phaseSettle waits for the rows that tell what became of a lost write.
+	phaseRead    phase = iota // phaseRead waits for a read of the head row.
+	phaseAccept               // phaseAccept waits for the result of the write of the new version.
+	phaseExclude              // phaseExclude waits for a write that makes a lost one fail.
+	phaseResolve              // phaseResolve waits for a read that shows the write's effect.
 	phaseEnded
 )
 
-// verdict is what became of a submission.
+// outcome is the result of a submission.
 type outcome uint8
 
 const (
 	outcomeNone        outcome = iota
-	outcomeAccepted            // verdictAccepted means that the version is in the table.
-	outcomeConflict            // verdictConflict means that another version won.
-	outcomeNotAccepted         // verdictRefused means that nothing was and nothing will be written.
-	outcomeUnknown             // verdictUnknown means that the store gave no answer in time.
+	outcomeAccepted            // outcomeAccepted means that the version is in the table.
+	outcomeConflict            // outcomeConflict means that another version was accepted first.
+	outcomeNotAccepted         // outcomeNotAccepted means that nothing was written and nothing will be.
+	outcomeUnknown             // outcomeUnknown means that the store did not answer in time.
 )
 
-// action is what has to be done next.
+// action is the next operation on the table.
 type action uint8
 
 const (
 	actionNone    action = iota
-	actionRead           // actionRead reads the head.
-	actionAccept         // actionAccept writes head and version over the head row's version in rowVersion.
-	actionExclude        // actionExclude writes the head's old content over rowVersion.
-	actionResolve        // actionSettle reads the head and the row of the version that was offered.
+	actionRead           // actionRead reads the head row.
+	actionAccept         // actionAccept writes head and version if the head row has rowVersion.
+	actionExclude        // actionExclude rewrites the old head if the head row has rowVersion.
+	actionResolve        // actionResolve reads the head row and the row of the submitted version.
 )
 
-// observation is an answer of the table.
+// observation is the result of an operation on the table.
 type observation struct {
 	fault barleystep.Fault
-	// head and row are what a read found; rowVersion is the head row's version.
+	// head and row are the contents of a read; rowVersion is the version of the head row.
 	head       head
 	rowVersion int64
 	row        Increment
@@ -56,9 +56,9 @@
 	phase      phase
 	outcome    outcome
 	id         string
-	base       int64 // base is the version that the submission was made against.
+	base       int64 // base is the version that the submission changes.
 	rowVersion int64 // rowVersion is the head row's version when it was read.
-	oldHead    head  // old is the content of the head row when it was read.
+	oldHead    head  // oldHead is the content of the head row when it was read.
 	winner     int64 // winner is the version that won a conflict.
 }
 
@@ -66,7 +66,7 @@
 	return submission{id: id, base: base}, actionRead
 }
 
-// step takes in one answer and returns the next state and action.
+// step processes the result of an action and returns the next state and action.
 func (s submission) step(o observation) (submission, action) {
 	switch s.phase {
 	case phaseRead:
@@ -98,7 +98,7 @@
 		s.winner = o.head.Version
 		return s.end(outcomeConflict)
 	case o.head.Version < s.base:
-		// A stale read, or a base that does not exist.
+		// The read is stale, or the base does not exist.
 		return s, actionRead
 	}
 	s.rowVersion = o.rowVersion
@@ -130,8 +130,9 @@
 	return s, actionResolve
 }
 
-// afterExclude: once the exclusion is written, or the head has changed under
-// it, the lost write can no longer take effect; the rows tell whether it did.
+// afterExclude handles the result of actionExclude. Once the head row is rewritten, or was found
+// changed, a lost write can no longer take effect late; in the latter case the rows show whether it
+// took effect.
 func (s submission) afterExclude(o observation) (submission, action) {
 	switch o.fault {
 	case barleystep.FaultNone:
@@ -143,8 +144,8 @@
 	}
 }
 
-// afterSettle believes only a read that is newer than the head row on which
-// the submission was based.
+// afterResolve handles the result of actionResolve. It uses only a read that is newer than the head
+// row on which the submission was based.
 func (s submission) afterResolve(o observation) (submission, action) {
 	switch {
 	case o.fault != barleystep.FaultNone || o.rowVersion <= s.rowVersion:
@@ -152,7 +153,7 @@
 	case o.head.Version <= s.base:
 		return s.end(outcomeNotAccepted)
 	case o.row.Version != s.base+1:
-		// The head is newer than the row of the version before it: a stale read.
+		// The head has advanced but the row of the submitted version is missing: the read is stale.
 		return s, actionResolve
 	case o.row.ID == s.id:
 		return s.end(outcomeAccepted)
@@ -161,8 +162,8 @@
 	return s.end(outcomeConflict)
 }
 
-// giveUp ends a submission that the store left open for too long. Before
-// anything was written it is refused; after, nobody can tell.
+// timeOut ends a submission that the store did not answer in time. Before the first write it is not
+// accepted; after that, its outcome is unknown.
 func (s submission) timeOut() submission {
 	v := outcomeUnknown
 	if s.phase == phaseRead {
--- a/internal/version/submit_internal_test.go
+++ b/internal/version/submit_internal_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	// Every run draws the same events.
+	// A fixed seed makes every run draw the same events.
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "3000"} {
 		if err := flag.Set(name, value); err != nil {
 			panic(err)
@@ -21,17 +21,17 @@
 	os.Exit(m.Run())
 }
 
-// world is the head row, the version rows and the submissions of racing
-// operators.
+// storeModel models the head row, the version rows and the submissions of concurrent operators.
 type storeModel struct {
 	head          head
 	rowVersion    int64
-	rows          map[int64]string // rows maps a version to the id that won it.
+	rows          map[int64]string // rows maps a version to the id of the accepted submission.
 	pastReads     []observation
 	delayedWrites []delayedWrite
 	submitters    []*submitter
 }
 
+// delayedWrite is a write without an answer that may take effect later.
 type delayedWrite struct {
 	rowVersion int64
 	head       head
@@ -94,9 +94,9 @@
 	return observation{fault: barleystep.FaultConflict}
 }
 
-// TestSubmissionsAreSettledTruthfully drives racing submissions through lost
-// and late writes and stale reads. The head never goes back, and every verdict
-// stays true whatever write takes effect later.
+// TestSubmissionsAreSettledTruthfully drives concurrent submissions through lost and delayed writes
+// and stale reads. It checks that the head never goes back, and that every reported outcome stays
+// true whichever write takes effect later.
 func TestSubmissionsAreSettledTruthfully(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &storeModel{rows: make(map[int64]string)}
@@ -135,11 +135,11 @@
 		switch r.sub.outcome {
 		case outcomeAccepted:
 			if !accepted {
-				t.Fatalf("%s was told accepted, but is not", r.sub)
+				t.Fatalf("%s: reported as accepted, but is not", r.sub)
 			}
 		case outcomeNotAccepted, outcomeConflict:
 			if accepted {
-				t.Fatalf("%s was told %d, but was accepted", r.sub, r.sub.outcome)
+				t.Fatalf("%s: reported outcome %d, but was accepted", r.sub, r.sub.outcome)
 			}
 		}
 	}
--- a/internal/version/subscriber.go
+++ b/internal/version/subscriber.go
@@ -9,27 +9,26 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// Follow keeps a Follower up to date from a peer: one of the hall's readers, or
-// any peer while this box has no version. Its exported fields are set before
-// Serve.
+// Subscriber keeps a Follower up to date with the versions that a peer streams. Its exported fields
+// are set before Serve.
 type Subscriber struct {
 	Clock    barleystep.Clock
 	Follower *Follower
-	// Upstream returns the peer to follow next; it is called by one goroutine.
+	// Upstream returns the peer to follow next; it is called from one goroutine only.
 	Upstream func() (u Upstream, ok bool)
 	Meter    *metric.Meter
-	// Every is the pause after a stream has ended; the default is 1 second.
+	// RetryInterval is the pause after a stream has ended; the default is 1 second.
 	RetryInterval time.Duration
 }
 
-// Serve follows until ctx ends.
+// Serve follows peers until ctx ends.
 func (f *Subscriber) Serve(ctx context.Context) error {
 	if f.RetryInterval == 0 {
 		f.RetryInterval = defaultReadInterval
 	}
 	for ctx.Err() == nil {
 		if u, ok := f.Upstream(); ok {
-			_ = u.Follow(ctx, f.Follower.Version(), f.apply) // The stream is opened anew.
+			_ = u.Follow(ctx, f.Follower.Version(), f.apply) // The next round opens a new stream.
 			f.Meter.ConfigurationChanged("stream_ended")
 		}
 		clock.Sleep(ctx, f.Clock, f.RetryInterval)
@@ -37,7 +36,7 @@
 	return ctx.Err()
 }
 
-// take brings a peer's update into force.
+// apply applies a peer's update and notes its confirmation.
 func (f *Subscriber) apply(u Update) (err error) {
 	now := f.Clock.Now()
 	if u.Snapshot {
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,9 +1,9 @@
-// Package version keeps the versions of the configuration in the platform's
-// table service and brings each new one into force on every box.
+// Package version stores the versions of the configuration in the platform's table service and
+// distributes each new one to every box.
 //
-// A version is accepted by one conditional transaction on the head row. Store
-// submits and reads versions; Follower holds the one in force on this box and
-// never goes back to an older one.
+// A version is accepted by one conditional transaction on the head row. Store submits and reads
+// versions; Follower holds the current one on this box and never goes back to an older one; Reader
+// and Subscriber keep it up to date from the table and from peers.
 package version
 
 import (
@@ -16,21 +16,20 @@
 	"github.com/barleystep/barleystep/internal/config"
 )
 
-// Increment is one accepted version: what it changed, and who wanted it.
+// Increment is one accepted version: its changes, with their author and reason.
 type Increment struct {
 	Version int64 `json:"version"`
-	// ID names the submission, so that its fate can be told when an answer is
-	// lost.
+	// ID identifies the submission, so that its outcome can be determined when an answer is lost.
 	ID      string          `json:"id"`
 	Author  string          `json:"author"`
 	Reason  string          `json:"reason"`
 	At      time.Time       `json:"at"`
 	Changes []config.Change `json:"changes"`
-	// Digest is that of the whole document after the change.
+	// Digest is the digest of the whole document after the changes.
 	Digest string `json:"digest"`
 }
 
-// Encode returns the increment as it is stored and sent.
+// Encode returns the increment as JSON, as it is stored and sent.
 func (i Increment) Encode() []byte {
 	data, err := json.Marshal(i)
 	if err != nil {
@@ -39,7 +38,7 @@
 	return data
 }
 
-// DecodeIncrement reads what Encode wrote.
+// DecodeIncrement decodes the result of Encode.
 func DecodeIncrement(data []byte) (i Increment, err error) {
 	if err = json.Unmarshal(data, &i); err != nil {
 		return Increment{}, eris.Wrap(err, "version: decode increment")
@@ -55,8 +54,8 @@
 
 const (
 	headKey = "config/head"
-	// snapshotKey names the row that says which version was last written whole
-	// to the object store.
+	// snapshotKey is the key of the row that holds the number of the latest snapshot in the object
+	// store.
 	snapshotKey = "config/snapshot"
 	// snapshotEvery is the number of versions between snapshots.
 	snapshotEvery = 64
