--- a/internal/peer/commit.go
+++ b/internal/peer/commit.go
@@ -11,8 +11,8 @@
 	peerv1 "github.com/barleystep/barleystep/api/peer/v1"
 )
 
-// Commit hands the transaction to another box. Its errors say of the effect what
-// those of barleystep.Table do.
+// Commit has another box commit the transaction. Its errors tell the same of the effect as those of
+// barleystep.Table: ErrUnavailable means that there was none, ErrUnknownEffect that there may be one.
 func (c *Client) Commit(ctx context.Context, id barleystep.BoxID, t barleystep.Txn) error {
 	addr, ok := c.Addr(id)
 	if !ok {
@@ -25,11 +25,11 @@
 	for _, w := range t.Writes {
 		req.Writes = append(req.Writes, &peerv1.Write{Key: w.Key(), Value: w.Value(), Remove: w.Removes()})
 	}
-	reached := false
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { reached = true }}
-	resp, err := c.at(addr).Commit(httptrace.WithClientTrace(ctx, trace), connect.NewRequest(req))
+	connected := false
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
+	resp, err := c.rpcClient(addr).Commit(httptrace.WithClientTrace(ctx, trace), connect.NewRequest(req))
 	switch {
-	case err != nil && !reached:
+	case err != nil && !connected:
 		return eris.Wrap(barleystep.ErrUnavailable, err.Error())
 	case err != nil:
 		return eris.Wrap(barleystep.ErrUnknownEffect, err.Error())
@@ -64,7 +64,7 @@
 	}
 }
 
-// Commit takes in a transaction of another box.
+// Commit commits a transaction for another box.
 func (h handler) Commit(ctx context.Context, req *connect.Request[peerv1.CommitRequest]) (*connect.Response[peerv1.CommitResponse], error) {
 	var t barleystep.Txn
 	for _, c := range req.Msg.GetConditions() {
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -15,17 +15,19 @@
 	"github.com/barleystep/barleystep/internal/place"
 )
 
-// Forwarder sends callers' requests to boxes of other halls. Its exported fields
-// are set before use; it is safe for concurrent use.
+// Forwarder forwards callers' requests to boxes of other halls. Its exported fields are set before
+// use; it is safe for concurrent use.
 type Forwarder struct {
 	Client *Client
 	Boxes  barleystep.BoxList
 }
 
-// maxForwards is how many boxes are tried, as long as none was reached.
-const maxForwards = 2
+// maxForwardAttempts is how many boxes are tried while none is reached.
+const maxForwardAttempts = 2
 
-// Forward sends the request to a box of one of the halls.
+// Forward sends the request to a box of one of the halls. It tries another box only if no connection
+// was made, so that the request runs at most once; its error is then barleystep.ErrNotStarted, and
+// barleystep.ErrUnknownEffect after a connection was made.
 func (f *Forwarder) Forward(ctx context.Context, halls []string, r *http.Request, body []byte) (*http.Response, error) {
 	boxes, err := f.Boxes.Boxes(ctx)
 	if err != nil {
@@ -38,7 +40,7 @@
 	sort.Slice(candidates, func(i, j int) bool {
 		return place.Rank(string(key), string(candidates[i].ID())) > place.Rank(string(key), string(candidates[j].ID()))
 	})
-	for _, b := range candidates[:min(len(candidates), maxForwards)] {
+	for _, b := range candidates[:min(len(candidates), maxForwardAttempts)] {
 		resp, err := f.send(ctx, b.Addr(), r, body)
 		if err == nil || !eris.Is(err, barleystep.ErrNotStarted) {
 			return resp, err
@@ -50,9 +52,9 @@
 func (f *Forwarder) send(ctx context.Context, addr string, r *http.Request, body []byte) (*http.Response, error) {
 	c := f.Client
 	c.init()
-	reached := false
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { reached = true }}
-	// The body cannot be rewound, so that it is not sent twice.
+	connected := false
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
+	// NopCloser hides that the body can be rewound, so that the transport does not send it twice.
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), r.Method, c.scheme+addr+r.URL.RequestURI(), io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
 		return nil, eris.Wrap(barleystep.ErrNotStarted, err.Error())
@@ -63,7 +65,7 @@
 	req.Header.Set(headerPeer, c.Auth.sign(r.URL.Path))
 	resp, err := c.http.Do(req)
 	switch {
-	case err != nil && !reached:
+	case err != nil && !connected:
 		return nil, eris.Wrap(barleystep.ErrNotStarted, err.Error())
 	case err != nil:
 		return nil, eris.Wrap(barleystep.ErrUnknownEffect, err.Error())
@@ -71,12 +73,12 @@
 	return resp, nil
 }
 
-// Guard lets requests that other boxes have forwarded through to the callers'
-// handler.
+// RequireBox returns a handler that passes only requests signed by another box to next and answers
+// others with status 401.
 func (a Auth) RequireBox(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if a.check(r.Header, r.URL.Path) != nil {
-			http.Error(w, errPeer.Error(), http.StatusUnauthorized)
+			http.Error(w, errUnauthenticated.Error(), http.StatusUnauthorized)
 			return
 		}
 		next.ServeHTTP(w, r)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -17,30 +17,29 @@
 	"github.com/barleystep/barleystep/internal/version"
 )
 
-// Receiver takes in heartbeats and tells who is alive.
+// Receiver processes heartbeats and knows the members of the hall.
 type Receiver interface {
-	// Receive takes in one heartbeat.
+	// Receive processes one heartbeat.
 	Receive(b member.Heartbeat)
-	// Members returns what is known of the boxes of the hall.
+	// Members returns the latest updates about the boxes of the hall.
 	Members() []member.Update
 }
 
-// Server answers the other boxes. Its exported fields are set before Handler.
+// Server serves the calls of other boxes. Its exported fields are set before Handler is called.
 type Server struct {
 	Auth     Auth
 	Clock    barleystep.Clock
 	Endpoint capacity.Endpoint
 	Receiver Receiver
 	Follower *version.Follower
-	// Table commits the transactions that other boxes hand over.
+	// Table commits transactions for other boxes.
 	Table barleystep.Table
-	// Callers serves the requests that boxes of other halls forward; may be nil.
+	// Forwarded serves requests that boxes of other halls forward; may be nil.
 	Forwarded http.Handler
 }
 
-// confirmEvery is the time between messages of a stream of versions that only
-// say how fresh the newest one is.
-const confirmEvery = time.Second
+// confirmInterval is the time between messages of Follow that only confirm the current version.
+const confirmInterval = time.Second
 
 // Handler returns the handler for peers.
 func (s *Server) Handler() http.Handler {
@@ -54,20 +53,20 @@
 
 type handler struct{ *Server }
 
-// Beats takes in heartbeats until the stream ends.
+// Beats receives heartbeats until the stream ends.
 func (h handler) Beats(_ context.Context, stream *connect.ClientStream[peerv1.Beat]) (*connect.Response[peerv1.BeatsResponse], error) {
 	for stream.Receive() {
-		h.Receiver.Receive(fromBeat(stream.Msg()))
+		h.Receiver.Receive(fromHeartbeat(stream.Msg()))
 	}
 	return connect.NewResponse(&peerv1.BeatsResponse{}), stream.Err()
 }
 
-// Members tells what is known of the boxes of the hall.
+// Members returns the latest updates about the boxes of the hall.
 func (h handler) Members(context.Context, *connect.Request[peerv1.MembersRequest]) (*connect.Response[peerv1.MembersResponse], error) {
 	return connect.NewResponse(&peerv1.MembersResponse{Members: convert(h.Receiver.Members(), toMemberUpdate)}), nil
 }
 
-// Ask waits for a grant. A refusal is an answer, not an error.
+// Ask waits for a grant. A refusal is sent as a response, not as an error.
 func (h handler) Ask(ctx context.Context, req *connect.Request[peerv1.AskRequest]) (*connect.Response[peerv1.AskResponse], error) {
 	now := h.Clock.Now()
 	g, err := h.Endpoint.Ask(ctx, req.Msg.GetPool(), fromAsk(req.Msg, now))
@@ -81,18 +80,17 @@
 	return connect.NewResponse(&peerv1.AskResponse{Targets: toTargets(g.Targets), Priority: int32(g.Priority)}), nil
 }
 
-// Talk takes in reports and notices until the stream ends, and answers reports
-// with credits.
+// Talk receives reports and notices until the stream ends and answers each report with credits.
 func (h handler) Talk(ctx context.Context, stream *connect.BidiStream[peerv1.TalkRequest, peerv1.TalkResponse]) error {
-	var in known
+	var in receivedNames
 	var out names
 	for {
 		m, err := stream.Receive()
 		if err != nil {
-			return ended(err)
+			return ignoreEOF(err)
 		}
 		in = append(in, m.GetNames()...)
-		resp, err := h.talk(ctx, in, &out, m)
+		resp, err := h.handleControl(ctx, in, &out, m)
 		if err != nil {
 			return err
 		}
@@ -105,15 +103,15 @@
 	}
 }
 
-// ended turns the regular end of a stream into no error.
-func ended(err error) error {
+// ignoreEOF returns nil for io.EOF, the regular end of a stream, and other errors unchanged.
+func ignoreEOF(err error) error {
 	if eris.Is(err, io.EOF) {
 		return nil
 	}
 	return err
 }
 
-func (h handler) talk(ctx context.Context, in known, out *names, m *peerv1.TalkRequest) (*peerv1.TalkResponse, error) {
+func (h handler) handleControl(ctx context.Context, in receivedNames, out *names, m *peerv1.TalkRequest) (*peerv1.TalkResponse, error) {
 	pool := in.name(m.GetPool())
 	switch kind := m.GetKind().(type) {
 	case *peerv1.TalkRequest_First:
@@ -128,29 +126,30 @@
 		}
 		return toCredits(out, c, now), nil
 	default:
-		return nil, nil // A kind that this version does not know.
+		return nil, nil // A kind added by a newer version of the program.
 	}
 }
 
-// Follow streams versions until the peer goes away.
+// Follow streams versions and confirmations until the peer disconnects.
 func (h handler) Follow(ctx context.Context, req *connect.Request[peerv1.FollowRequest], stream *connect.ServerStream[peerv1.FollowResponse]) error {
 	sent := req.Msg.GetVersion()
 	for {
 		changed := h.Follower.Changed()
 		list, snapshot := h.Follower.Since(sent)
 		newest := h.Follower.Version()
-		if err := stream.Send(toUpdate(list, snapshot, newest, h.age())); err != nil {
+		if err := stream.Send(toUpdate(list, snapshot, newest, h.confirmationAge())); err != nil {
 			return err
 		}
 		sent = max(sent, newest)
-		if !h.wait(ctx, changed) {
+		if !h.waitForChange(ctx, changed) {
 			return eris.Wrap(ctx.Err(), "peer: follow")
 		}
 	}
 }
 
-// age returns how long ago the version was confirmed, negative for never.
-func (h handler) age() time.Duration {
+// confirmationAge returns the time since the current version was confirmed, or a negative value if
+// it never was.
+func (h handler) confirmationAge() time.Duration {
 	at := h.Follower.ConfirmedAt()
 	if at.IsZero() {
 		return -time.Second
@@ -158,8 +157,8 @@
 	return h.Clock.Now().Sub(at)
 }
 
-func (h handler) wait(ctx context.Context, changed <-chan struct{}) bool {
-	t := h.Clock.NewTimer(confirmEvery)
+func (h handler) waitForChange(ctx context.Context, changed <-chan struct{}) bool {
+	t := h.Clock.NewTimer(confirmInterval)
 	defer t.Stop()
 	select {
 	case <-changed:
--- a/internal/version/follower_test.go
+++ b/internal/version/follower_test.go
@@ -21,7 +21,7 @@
 
 var start = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-// document returns a configuration that differs with n.
+// document returns a configuration that is different for each n.
 func document(t testing.TB, n int) config.Document {
 	d, err := config.File{
 		Classes:  []config.Class{{Name: "normal", Rank: n}},
@@ -31,11 +31,11 @@
 	return d
 }
 
-func store(tb barleystep.Table) *version.Store {
+func newStore(tb barleystep.Table) *version.Store {
 	return &version.Store{Table: tb, Objects: &object.Memory{}, Clock: clock.System{}, Meter: metric.Discard(), SubmitTimeout: 200 * time.Millisecond}
 }
 
-// submitAll accepts versions 1 to n.
+// submitAll submits versions 1 to n and checks that each is accepted.
 func submitAll(t testing.TB, s *version.Store, n int) {
 	base := config.Document{}
 	for v := 1; v <= n; v++ {
@@ -49,7 +49,7 @@
 
 func TestFollowerNeverGoesBack(t *testing.T) {
 	c := quicktest.New(t)
-	s := store(&table.Memory{})
+	s := newStore(&table.Memory{})
 	submitAll(t, s, 3)
 	list, err := s.Increments(context.Background(), 1, 3)
 	c.Assert(err, quicktest.IsNil)
@@ -82,7 +82,7 @@
 	clk.Advance(5 * time.Second)
 	v, confirmed := f.View()
 	c.Check(confirmed, quicktest.IsFalse)
-	c.Check(v.Version(), quicktest.Equals, int64(1), quicktest.Commentf("it stays in force"))
+	c.Check(v.Version(), quicktest.Equals, int64(1), quicktest.Commentf("an unconfirmed version stays current"))
 }
 
 func TestSubmit(t *testing.T) {
@@ -93,19 +93,19 @@
 		plan func(table.Call) table.Failure
 		want error
 	}{
-		"accepted":                       {1, "new", nil, nil},
-		"stale base":                     {0, "new", nil, version.ErrConflict},
-		"same id again":                  {0, "s1", nil, nil},
-		"answer lost after the effect":   {1, "new", onWrites(table.FailureAnswerLost), nil},
-		"answer lost before the effect":  {1, "new", firstWrite(table.FailureDelayed), version.ErrNotAccepted},
-		"store down":                     {1, "new", onWrites(table.FailureUnavailable), version.ErrNotAccepted},
-		"answers lost until patience is": {1, "new", onWrites(table.FailureDelayed), version.ErrUnknownOutcome},
+		"accepted":                        {1, "new", nil, nil},
+		"stale base":                      {0, "new", nil, version.ErrConflict},
+		"same id resubmitted":             {0, "s1", nil, nil},
+		"answer lost after the effect":    {1, "new", failWrites(table.FailureAnswerLost), nil},
+		"answer lost before the effect":   {1, "new", failFirstWrite(table.FailureDelayed), version.ErrNotAccepted},
+		"store down":                      {1, "new", failWrites(table.FailureUnavailable), version.ErrNotAccepted},
+		"answers lost until the time-out": {1, "new", failWrites(table.FailureDelayed), version.ErrUnknownOutcome},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			faulty := &table.Faulty{Table: &table.Memory{}}
-			s := store(faulty)
+			s := newStore(faulty)
 			submitAll(t, s, 1)
 			faulty.SetPlan(tc.plan)
 			_, err := s.Submit(ctx, config.Document{}, version.Submission{ID: tc.id, Base: tc.base, Document: document(t, 2)})
@@ -116,18 +116,18 @@
 			c.Check(err, quicktest.ErrorIs, tc.want)
 			faulty.SetPlan(nil)
 			if tc.want == version.ErrNotAccepted {
-				c.Check(faulty.ApplyDelayed(ctx), quicktest.Equals, 0, quicktest.Commentf("a write took effect after it was denied"))
+				c.Check(faulty.ApplyDelayed(ctx), quicktest.Equals, 0, quicktest.Commentf("a write took effect after its submission was reported as not accepted"))
 			}
 		})
 	}
 	t.Run("invalid", func(t *testing.T) {
-		s := store(&table.Memory{})
+		s := newStore(&table.Memory{})
 		_, err := s.Submit(ctx, config.Document{}, version.Submission{ID: "x"})
 		quicktest.Check(t, err, quicktest.ErrorMatches, ".*there is no class.*")
 	})
 }
 
-func onWrites(f table.Failure) func(table.Call) table.Failure {
+func failWrites(f table.Failure) func(table.Call) table.Failure {
 	return func(c table.Call) table.Failure {
 		if c.Write() {
 			return f
@@ -136,8 +136,8 @@
 	}
 }
 
-// firstWrite fails only the first write.
-func firstWrite(f table.Failure) func(table.Call) table.Failure {
+// failFirstWrite returns a plan that fails only the first write.
+func failFirstWrite(f table.Failure) func(table.Call) table.Failure {
 	done := false
 	return func(c table.Call) table.Failure {
 		if !c.Write() || done {
@@ -148,11 +148,12 @@
 	}
 }
 
-// TestNewBoxReads checks that a new box reads the snapshot and what came after.
-func TestNewBoxReads(t *testing.T) {
+// TestNewBoxReadsSnapshot checks that a new box reads the latest snapshot and the versions after it,
+// in at most 6 reads, instead of all versions.
+func TestNewBoxReadsSnapshot(t *testing.T) {
 	c := quicktest.New(t)
 	m := &table.Memory{}
-	s := store(m)
+	s := newStore(m)
 	submitAll(t, s, 130)
 	f := &version.Follower{Clock: clock.System{}, Meter: metric.Discard()}
 	before, _ := m.Operations()
--- a/internal/version/store.go
+++ b/internal/version/store.go
@@ -13,50 +13,50 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// Store reads and submits versions. Its exported fields are set before use; it
+// Store reads and submits versions in the table service. Its exported fields are set before use; it
 // is safe for concurrent use.
 type Store struct {
 	Table   barleystep.Table
 	Objects barleystep.ObjectStore
 	Clock   barleystep.Clock
 	Meter   *metric.Meter
-	// Patience is how long a submission waits for the store; the default is 10
-	// seconds.
+	// SubmitTimeout is how long a submission waits for the store; the default is 10 seconds.
 	SubmitTimeout time.Duration
 }
 
 const (
-	defaultPatience = 10 * time.Second
-	storePause      = 50 * time.Millisecond
-	readBatch       = 64 // readBatch is how many versions one read brings.
+	defaultSubmitTimeout = 10 * time.Second
+	retryPause           = 50 * time.Millisecond
+	readBatch            = 64 // readBatch is the largest number of versions in one read.
 )
 
 // The errors of Submit.
 var (
 	// ErrConflict means that another version was accepted first.
 	ErrConflict = eris.New("version: another version was accepted first")
-	// ErrNotAccepted means that the submission was not and will not be accepted.
+	// ErrNotAccepted means that the submission was not accepted and will not take effect later.
 	ErrNotAccepted = eris.New("version: not accepted; the store did not take it")
-	// ErrUnknown means that the store gave no answer in time. Submitting again
-	// with the same id settles it.
+	// ErrUnknownOutcome means that the store did not answer in time. Submitting again with the same
+	// id returns the outcome.
 	ErrUnknownOutcome = eris.New("version: the store did not say whether it was accepted; submit again with the same id")
-	// ErrInvalid wraps what is wrong with a configuration.
+	// ErrInvalid means that the configuration is invalid; it is wrapped with the reason.
 	ErrInvalid = eris.New("version: invalid configuration")
 )
 
-// Submission is an offer of a new version.
+// Submission is a proposed version.
 type Submission struct {
-	// ID names the submission; the same ID again gets the first result.
+	// ID identifies the submission. Submitting the same ID again returns the first result.
 	ID string
-	// Base is the version against which it was made.
+	// Base is the version that the submission changes.
 	Base     int64
 	Document config.Document
 	Author   string
 	Reason   string
 }
 
-// Submit offers the document as version base+1. The base is the document of
-// that version. On a conflict it returns the winner with ErrConflict.
+// Submit proposes sub.Document as version sub.Base+1, where base is the document of version
+// sub.Base. It returns the accepted version; on a conflict it returns the number of the version
+// that won, with ErrConflict.
 func (s *Store) Submit(ctx context.Context, base config.Document, sub Submission) (version int64, err error) {
 	defer func() {
 		if err != nil {
@@ -75,36 +75,36 @@
 		Changes: base.Diff(sub.Document),
 		Digest:  sub.Document.Digest(),
 	}
-	m := s.drive(ctx, inc)
-	switch m.verdict {
-	case verdictAccepted:
-		s.snapshot(ctx, inc.Version, sub.Document)
+	m := s.runSubmission(ctx, inc)
+	switch m.outcome {
+	case outcomeAccepted:
+		s.writeSnapshot(ctx, inc.Version, sub.Document)
 		return inc.Version, nil
-	case verdictConflict:
+	case outcomeConflict:
 		return m.winner, ErrConflict
-	case verdictRefused:
+	case outcomeNotAccepted:
 		return 0, ErrNotAccepted
 	default:
 		return 0, ErrUnknownOutcome
 	}
 }
 
-func (s *Store) drive(ctx context.Context, inc Increment) submission {
-	patience := s.SubmitTimeout
-	if patience == 0 {
-		patience = defaultPatience
+func (s *Store) runSubmission(ctx context.Context, inc Increment) submission {
+	timeout := s.SubmitTimeout
+	if timeout == 0 {
+		timeout = defaultSubmitTimeout
 	}
-	ctx, cancel := clock.WithDeadline(ctx, s.Clock, s.Clock.Now().Add(patience))
+	ctx, cancel := clock.WithDeadline(ctx, s.Clock, s.Clock.Now().Add(timeout))
 	defer cancel()
 	m, act := newSubmission(inc.ID, inc.Version-1)
 	for act != actionNone {
 		if ctx.Err() != nil {
-			return m.giveUp()
+			return m.timeOut()
 		}
 		before := m.phase
 		m, act = m.step(s.perform(ctx, m, act, inc))
 		if m.phase == before && act != actionNone {
-			clock.Sleep(ctx, s.Clock, storePause)
+			clock.Sleep(ctx, s.Clock, retryPause)
 		}
 	}
 	return m
@@ -116,8 +116,8 @@
 		next := head{Version: inc.Version, ID: inc.ID}
 		return s.commit(ctx, m.rowVersion, next, barleystep.Put(versionKey(inc.Version), inc.Encode()))
 	case actionExclude:
-		// The head's content stays; only its row's version changes.
-		return s.commit(ctx, m.rowVersion, m.old)
+		// This rewrites the head's content unchanged and so only raises the row's version.
+		return s.commit(ctx, m.rowVersion, m.oldHead)
 	default:
 		o, err := s.readState(ctx, inc.Version)
 		if err != nil {
@@ -143,7 +143,7 @@
 	return observation{fault: fault}
 }
 
-// readState reads the head and the row of one version.
+// readState reads the head row and the row of one version.
 func (s *Store) readState(ctx context.Context, version int64) (o observation, err error) {
 	rows, err := s.Table.Read(ctx, headKey, versionKey(version))
 	if err != nil {
@@ -164,14 +164,14 @@
 	return o, nil
 }
 
-// Head returns the number of the newest version, zero if there is none.
+// Head returns the number of the newest version, or zero if there is none.
 func (s *Store) Head(ctx context.Context) (int64, error) {
 	o, err := s.readState(ctx, 0)
 	return o.head.Version, err
 }
 
-// Increments returns the accepted versions from first to last, as far as the
-// read shows them without a gap.
+// Increments returns the accepted versions from first to last, at most readBatch of them and only up
+// to the first gap in what was read.
 func (s *Store) Increments(ctx context.Context, first, last int64) ([]Increment, error) {
 	last = min(last, first+readBatch-1)
 	var keys []string
@@ -197,14 +197,14 @@
 	return list, nil
 }
 
-// snapshot writes a document whole now and then, so that new boxes need not
-// read all versions. Losing one costs only reads.
-func (s *Store) snapshot(ctx context.Context, version int64, d config.Document) {
+// writeSnapshot writes the whole document every snapshotEvery versions, so that new boxes need not
+// read all versions. Errors are only counted, since a missing snapshot costs no more than reads.
+func (s *Store) writeSnapshot(ctx context.Context, version int64, d config.Document) {
 	if version%snapshotEvery != 0 {
 		return
 	}
-	whole := Increment{Version: version, Changes: d.Entries(), Digest: d.Digest(), At: s.Clock.Now()}
-	if err := s.Objects.Put(ctx, snapshotObject(version), whole.Encode()); err != nil {
+	inc := Increment{Version: version, Changes: d.Entries(), Digest: d.Digest(), At: s.Clock.Now()}
+	if err := s.Objects.Put(ctx, snapshotObject(version), inc.Encode()); err != nil {
 		s.Meter.StoreFault("snapshot_put", barleystep.FaultOf(err).String())
 		return
 	}
@@ -217,8 +217,7 @@
 	}
 }
 
-// Snapshot returns the newest whole document, a zero increment if there is
-// none.
+// Snapshot returns the newest whole document, or a zero Increment if there is none.
 func (s *Store) Snapshot(ctx context.Context) (inc Increment, err error) {
 	rows, err := s.Table.Read(ctx, snapshotKey)
 	if err != nil || !rows[0].Exists() {
@@ -235,8 +234,8 @@
 	return DecodeIncrement(data)
 }
 
-// At returns the document of a version, from the nearest snapshot before it and
-// the increments after that.
+// DocumentAt returns the document of a version, from the nearest snapshot before it and the
+// increments after that. It returns ErrNoVersion if there is no such version.
 func (s *Store) DocumentAt(ctx context.Context, version int64) (d config.Document, err error) {
 	defer func() {
 		if err != nil {
@@ -266,7 +265,7 @@
 	return d, nil
 }
 
-// ErrNoVersion means that there is no version with the number.
+// ErrNoVersion means that there is no version with the given number.
 var ErrNoVersion = eris.New("version: there is no such version")
 
 func (s *Store) snapshotAt(ctx context.Context, version int64) (config.Document, error) {
