--- a/internal/trial/baseline.go
+++ b/internal/trial/baseline.go
@@ -11,41 +11,41 @@
 
 // baseline is a dispatcher that decides by one simple rule and sends at once.
 type baseline struct {
-	fleet *fleet
-	rng   *rand.Rand
-	loads map[barleystep.TargetID]barleystep.Load
-	sent  map[barleystep.TargetID]int // sent counts attempts sent and not ended.
-	next  int
+	fleet    *fleet
+	rng      *rand.Rand
+	loads    map[barleystep.TargetID]barleystep.Load
+	inFlight map[barleystep.TargetID]int // sent counts attempts sent and not ended.
+	next     int
 	// pick orders the engines, best first.
-	pick func(b *baseline) []*fakeEngine
+	pick func(b *baseline) []*simEngine
 	// central makes requests wait in one queue, first come, first served, until
 	// an engine has nothing waiting.
-	central bool
-	queue   []*request
-	dead    map[int]bool
+	centralQueue bool
+	queue        []*request
+	crashedBoxes map[int]bool
 }
 
-func newBaseline(f *fleet, seed uint64, pick func(*baseline) []*fakeEngine) *baseline {
+func newBaseline(f *fleet, seed uint64, pick func(*baseline) []*simEngine) *baseline {
 	return &baseline{
-		fleet: f,
-		rng:   rand.New(rand.NewPCG(seed, 1)),
-		loads: make(map[barleystep.TargetID]barleystep.Load),
-		sent:  make(map[barleystep.TargetID]int),
-		pick:  pick,
-		dead:  make(map[int]bool),
+		fleet:        f,
+		rng:          rand.New(rand.NewPCG(seed, 1)),
+		loads:        make(map[barleystep.TargetID]barleystep.Load),
+		inFlight:     make(map[barleystep.TargetID]int),
+		pick:         pick,
+		crashedBoxes: make(map[int]bool),
 	}
 }
 
-func pickRandom(b *baseline) []*fakeEngine {
+func pickRandom(b *baseline) []*simEngine {
 	list := slices.Clone(b.fleet.engines)
 	b.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list
 }
 
-func pickRoundRobin(b *baseline) []*fakeEngine {
+func pickRoundRobin(b *baseline) []*simEngine {
 	b.next++
 	n := len(b.fleet.engines)
-	list := make([]*fakeEngine, n)
+	list := make([]*simEngine, n)
 	for i := range n {
 		list[i] = b.fleet.engines[(b.next+i)%n]
 	}
@@ -53,7 +53,7 @@
 }
 
 // pickLeastLoaded takes the engine with the fewest requests by its last report.
-func pickLeastLoaded(b *baseline) []*fakeEngine {
+func pickLeastLoaded(b *baseline) []*simEngine {
 	list := pickRandom(b)
 	sort.SliceStable(list, func(i, j int) bool {
 		x, y := b.loads[list[i].id], b.loads[list[j].id]
@@ -63,30 +63,30 @@
 }
 
 // pickFewestSent takes the engine with the fewest attempts of our own.
-func pickFewestSent(b *baseline) []*fakeEngine {
+func pickFewestInFlight(b *baseline) []*simEngine {
 	list := slices.Clone(b.fleet.engines)
-	sort.SliceStable(list, func(i, j int) bool { return b.sent[list[i].id] < b.sent[list[j].id] })
+	sort.SliceStable(list, func(i, j int) bool { return b.inFlight[list[i].id] < b.inFlight[list[j].id] })
 	return list
 }
 
 func (b *baseline) submit(r *request) {
-	if b.dead[r.box] {
+	if b.crashedBoxes[r.box] {
 		r.refused = true
 		return
 	}
-	if b.central {
+	if b.centralQueue {
 		b.queue = append(b.queue, r)
-		b.drain()
+		b.dispatchQueued()
 		return
 	}
 	b.send(r)
 }
 
 // perEngine is how many attempts the first-come baseline sends to an engine.
-const perEngine = 8
+const maxPerEngine = 8
 
-func (b *baseline) drain() {
-	for len(b.queue) > 0 && b.sent[b.pick(b)[0].id] < perEngine {
+func (b *baseline) dispatchQueued() {
+	for len(b.queue) > 0 && b.inFlight[b.pick(b)[0].id] < maxPerEngine {
 		r := b.queue[0]
 		b.queue = b.queue[1:]
 		b.send(r)
@@ -98,30 +98,30 @@
 	n := (r.prompt+r.output)*21/(20*b.fleet.speed.KVTokens) + 1
 	var targets []barleystep.TargetID
 	for _, e := range list {
-		if len(targets) < n && !slices.Contains(r.avoid, e.id) {
+		if len(targets) < n && !slices.Contains(r.failedTargets, e.id) {
 			targets = append(targets, e.id)
 		}
 	}
 	if len(targets) < n {
-		r.avoid = nil
+		r.failedTargets = nil
 		b.fleet.sim.After(time.Second, func() { b.submit(r) })
 		return
 	}
 	for _, t := range targets {
-		b.sent[t]++
+		b.inFlight[t]++
 	}
 	b.fleet.send(r, b.fleet.nextID(r.box), targets, 0)
 }
 
-func (b *baseline) first(*attempt) {}
+func (b *baseline) firstToken(*attempt) {}
 
 func (b *baseline) ended(a *attempt, _ bool) {
 	for _, t := range a.targets {
-		b.sent[t]--
+		b.inFlight[t]--
 	}
-	b.drain()
+	b.dispatchQueued()
 }
 
-func (b *baseline) load(id barleystep.TargetID, l barleystep.Load) { b.loads[id] = l }
+func (b *baseline) recordLoad(id barleystep.TargetID, l barleystep.Load) { b.loads[id] = l }
 
-func (b *baseline) boxDied(box int) { b.dead[box] = true }
+func (b *baseline) boxCrashed(box int) { b.crashedBoxes[box] = true }
--- a/internal/trial/ours.go
+++ b/internal/trial/capacity.go
@@ -8,40 +8,40 @@
 )
 
 // ours drives the real Dispenser and one Holder for each box.
-type ours struct {
-	fleet     *fleet
-	settings  capacity.Settings
-	credits   bool // credits lets short prompts run without asking.
-	dispenser *capacity.Dispenser
-	owner     int
-	holders   []*capacity.Holder
-	waiting   map[barleystep.AttemptID]*request
-	granted   map[barleystep.AttemptID]bool
-	down      bool // down is set while the dispenser's box is dead and not replaced.
-	dead      map[int]bool
+type capacityDispatcher struct {
+	fleet        *fleet
+	settings     capacity.Settings
+	credits      bool // credits lets short prompts run without asking.
+	dispenser    *capacity.Dispenser
+	dispenserBox int
+	holders      []*capacity.Holder
+	waiting      map[barleystep.AttemptID]*request
+	granted      map[barleystep.AttemptID]bool
+	down         bool // down is set while the dispenser's box is dead and not replaced.
+	crashedBoxes map[int]bool
 }
 
 // takeOver is how long the boxes need to notice that the dispenser's box died.
-const takeOver = 3 * time.Second
-
-func newOurs(f *fleet, s capacity.Settings, credits bool) *ours {
-	o := &ours{
-		fleet:    f,
-		settings: s,
-		credits:  credits,
-		waiting:  make(map[barleystep.AttemptID]*request),
-		granted:  make(map[barleystep.AttemptID]bool),
-		dead:     make(map[int]bool),
-	}
-	for i := range boxes {
+const takeoverDelay = 3 * time.Second
+
+func newCapacityDispatcher(f *fleet, s capacity.Settings, credits bool) *capacityDispatcher {
+	o := &capacityDispatcher{
+		fleet:        f,
+		settings:     s,
+		credits:      credits,
+		waiting:      make(map[barleystep.AttemptID]*request),
+		granted:      make(map[barleystep.AttemptID]bool),
+		crashedBoxes: make(map[int]bool),
+	}
+	for i := range boxCount {
 		o.holders = append(o.holders, capacity.NewHolder(boxName(i)))
 	}
-	o.found()
+	o.startDispenser()
 	interval := s.Interval
 	if interval == 0 {
 		interval = time.Second
 	}
-	f.sim.Every(interval, o.reportAll)
+	f.sim.Every(interval, o.exchangeReports)
 	f.sim.Every(100*time.Millisecond, o.tick)
 	return o
 }
@@ -49,7 +49,7 @@
 func boxName(i int) barleystep.BoxID { return barleystep.BoxID(string(rune('0' + i))) }
 
 // found starts a dispenser that knows nothing yet.
-func (o *ours) found() {
+func (o *capacityDispatcher) startDispenser() {
 	o.dispenser = capacity.NewDispenser(o.settings, o.fleet.sim.Now())
 	var specs []capacity.TargetSpec
 	for _, e := range o.fleet.engines {
@@ -59,8 +59,8 @@
 	o.down = false
 }
 
-func (o *ours) submit(r *request) {
-	if o.dead[r.box] {
+func (o *capacityDispatcher) submit(r *request) {
+	if o.crashedBoxes[r.box] {
 		r.refused = true
 		return
 	}
@@ -73,12 +73,12 @@
 			return
 		}
 	}
-	o.fleet.sim.After(hop, func() { o.ask(r, id) })
+	o.fleet.sim.After(hopDelay, func() { o.requestGrant(r, id) })
 }
 
-func (o *ours) ask(r *request, id barleystep.AttemptID) {
+func (o *capacityDispatcher) requestGrant(r *request, id barleystep.AttemptID) {
 	if o.down {
-		o.fleet.sim.After(takeOver, func() { o.ask(r, id) })
+		o.fleet.sim.After(takeoverDelay, func() { o.requestGrant(r, id) })
 		return
 	}
 	a := capacity.GrantRequest{Demand: r.demand(id), Box: boxName(r.box), Weight: weightOf(r.account), Rank: r.rank, Limit: 1}
@@ -90,7 +90,7 @@
 	o.tick()
 }
 
-func (o *ours) tick() {
+func (o *capacityDispatcher) tick() {
 	if o.down {
 		return
 	}
@@ -102,18 +102,18 @@
 		case g.Refusal != nil:
 			r.refused = true
 		default:
-			o.fleet.sim.After(hop, func() { o.start(r, g) })
+			o.fleet.sim.After(hopDelay, func() { o.start(r, g) })
 		}
 	}
 }
 
-func (o *ours) start(r *request, g capacity.Grant) {
+func (o *capacityDispatcher) start(r *request, g capacity.Grant) {
 	o.granted[g.Attempt] = true
 	o.holders[r.box].AddGrant(o.fleet.sim.Now(), r.demand(g.Attempt), g.Targets)
 	o.fleet.send(r, g.Attempt, g.Targets, g.Priority)
 }
 
-func (o *ours) first(a *attempt) {
+func (o *capacityDispatcher) firstToken(a *attempt) {
 	now := o.fleet.sim.Now()
 	o.holders[a.request.box].FirstToken(now, a.id)
 	if o.granted[a.id] && !o.down {
@@ -122,7 +122,7 @@
 	}
 }
 
-func (o *ours) ended(a *attempt, ok bool) {
+func (o *capacityDispatcher) ended(a *attempt, ok bool) {
 	u := barleystep.Usage{Outcome: barleystep.OutcomeDone}
 	if !ok {
 		u.Outcome = barleystep.OutcomeFailed
@@ -139,19 +139,19 @@
 	o.tick()
 }
 
-func (o *ours) load(id barleystep.TargetID, l barleystep.Load) {
+func (o *capacityDispatcher) recordLoad(id barleystep.TargetID, l barleystep.Load) {
 	if !o.down {
 		o.dispenser.UpdateLoad(id, l)
 	}
 }
 
-func (o *ours) reportAll() {
+func (o *capacityDispatcher) exchangeReports() {
 	if o.down {
 		return
 	}
 	now := o.fleet.sim.Now()
 	for i, h := range o.holders {
-		if !o.dead[i] {
+		if !o.crashedBoxes[i] {
 			h.SetCredits(o.dispenser.ApplyReport(now, h.Report(now)))
 		}
 	}
@@ -159,19 +159,19 @@
 
 // boxDied loses the box's dispenser, if it has it: what waited there is asked
 // again at the next one.
-func (o *ours) boxDied(box int) {
-	o.dead[box] = true
-	if box != o.owner {
+func (o *capacityDispatcher) boxCrashed(box int) {
+	o.crashedBoxes[box] = true
+	if box != o.dispenserBox {
 		o.dispenser.RemoveBox(o.fleet.sim.Now(), boxName(box))
 		return
 	}
 	o.down = true
-	o.owner = (box + 1) % boxes
+	o.dispenserBox = (box + 1) % boxCount
 	lost := o.waiting
 	o.waiting = make(map[barleystep.AttemptID]*request)
-	o.fleet.sim.After(takeOver, func() {
-		o.found()
-		o.reportAll()
+	o.fleet.sim.After(takeoverDelay, func() {
+		o.startDispenser()
+		o.exchangeReports()
 		for _, r := range sortedRequests(lost) {
 			o.submit(r)
 		}
--- a/internal/trial/engine.go
+++ b/internal/trial/engine.go
@@ -37,58 +37,58 @@
 
 // job is one attempt, or a member's part of one, at an engine.
 type job struct {
-	request  *request
-	attempt  barleystep.AttemptID
-	priority int
-	order    int // order is the arrival at the engine.
-	conv     uint64
-	unread   int // unread is the prompt tokens left to read.
-	left     int // left is the tokens left to generate; a member's part has none.
-	tokens   int // tokens is the memory that the job takes.
-	first    func(now time.Duration)
-	done     func(now time.Duration)
-	failed   func(now time.Duration)
+	request      *request
+	attempt      barleystep.AttemptID
+	priority     int
+	arrival      int // order is the arrival at the engine.
+	conversation uint64
+	prefillLeft  int // unread is the prompt tokens left to read.
+	decodeLeft   int // left is the tokens left to generate; a member's part has none.
+	kvTokens     int // tokens is the memory that the job takes.
+	onFirstToken func(now time.Duration)
+	onDone       func(now time.Duration)
+	onFailed     func(now time.Duration)
 }
 
 // fakeEngine batches continuously, reads prompts in chunks by priority, and
 // keeps the prefixes of ended conversations in what memory is left.
-type fakeEngine struct {
-	id      barleystep.TargetID
-	speed   EngineSpeed
-	sim     *timeline.Timeline
-	waiting []*job
-	running []*job
-	memory  int // memory is what running jobs take.
-	order   int
-	busy    bool
-	dead    bool
-	hung    bool
-	cache   prefixCache
-	hits    int // hits and read count prompt tokens from cache and in all.
-	read    int
+type simEngine struct {
+	id           barleystep.TargetID
+	speed        EngineSpeed
+	sim          *timeline.Timeline
+	waiting      []*job
+	running      []*job
+	usedTokens   int // memory is what running jobs take.
+	arrivals     int
+	busy         bool
+	dead         bool
+	hung         bool
+	cache        prefixCache
+	cachedTokens int // hits and read count prompt tokens from cache and in all.
+	promptTokens int
 }
 
 // add queues a job.
-func (e *fakeEngine) add(j *job) {
+func (e *simEngine) add(j *job) {
 	if e.dead {
-		e.sim.After(0, func() { j.failed(e.sim.Elapsed()) })
+		e.sim.After(0, func() { j.onFailed(e.sim.Elapsed()) })
 		return
 	}
-	e.order++
-	j.order = e.order
+	e.arrivals++
+	j.arrival = e.arrivals
 	e.waiting = append(e.waiting, j)
 	sort.SliceStable(e.waiting, func(a, b int) bool { return before(e.waiting[a], e.waiting[b]) })
-	e.wake()
+	e.startStep()
 }
 
 func before(a, b *job) bool {
 	if a.priority != b.priority {
 		return a.priority < b.priority
 	}
-	return a.order < b.order
+	return a.arrival < b.arrival
 }
 
-func (e *fakeEngine) wake() {
+func (e *simEngine) startStep() {
 	if e.busy || e.hung || e.dead {
 		return
 	}
@@ -97,31 +97,31 @@
 		return
 	}
 	e.busy = true
-	duration, apply := e.plan()
+	duration, apply := e.planStep()
 	e.sim.After(duration, func() {
 		e.busy = false
 		if e.dead || e.hung {
 			return
 		}
 		apply()
-		e.wake()
+		e.startStep()
 	})
 }
 
 // admit starts waiting jobs in order of priority while there is memory.
-func (e *fakeEngine) admit() {
+func (e *simEngine) admit() {
 	for len(e.waiting) > 0 {
 		j := e.waiting[0]
-		if e.memory+j.tokens > e.speed.KVTokens {
+		if e.usedTokens+j.kvTokens > e.speed.KVTokens {
 			return
 		}
 		e.waiting = e.waiting[1:]
-		e.memory += j.tokens
-		hit := min(e.cache.take(j.conv), j.unread)
-		e.hits += hit
-		e.read += j.unread
-		j.unread = max(j.unread-hit, 1)
-		e.cache.shrink(e.speed.KVTokens - e.memory)
+		e.usedTokens += j.kvTokens
+		hit := min(e.cache.take(j.conversation), j.prefillLeft)
+		e.cachedTokens += hit
+		e.promptTokens += j.prefillLeft
+		j.prefillLeft = max(j.prefillLeft-hit, 1)
+		e.cache.shrink(e.speed.KVTokens - e.usedTokens)
 		e.running = append(e.running, j)
 		sort.SliceStable(e.running, func(a, b int) bool { return before(e.running[a], e.running[b]) })
 	}
@@ -129,57 +129,57 @@
 
 // plan decides one step: every sequence that generates gets a token, and the
 // chunk is read for the others in order of priority.
-func (e *fakeEngine) plan() (d time.Duration, apply func()) {
+func (e *simEngine) planStep() (d time.Duration, apply func()) {
 	d = e.speed.StepTime
 	budget := e.speed.ChunkTokens
 	chunks := make(map[*job]int)
-	var generating []*job
+	var decoding []*job
 	for _, j := range e.running {
-		if j.unread == 0 {
-			generating = append(generating, j)
+		if j.prefillLeft == 0 {
+			decoding = append(decoding, j)
 			d += e.speed.TimePerSequence
 			continue
 		}
-		n := min(j.unread, budget)
+		n := min(j.prefillLeft, budget)
 		if n > 0 {
 			chunks[j] = n
 			budget -= n
 		}
 	}
 	d += time.Duration(float64(e.speed.ChunkTokens-budget) / e.speed.PrefillRate * float64(time.Second))
-	return d, func() { e.apply(chunks, generating) }
+	return d, func() { e.finishStep(chunks, decoding) }
 }
 
-func (e *fakeEngine) apply(chunks map[*job]int, generating []*job) {
-	for _, j := range generating {
-		j.left--
+func (e *simEngine) finishStep(chunks map[*job]int, decoding []*job) {
+	for _, j := range decoding {
+		j.decodeLeft--
 	}
 	for _, j := range append([]*job(nil), e.running...) {
 		if n, ok := chunks[j]; ok {
-			j.unread -= n
-			if j.unread == 0 {
-				j.left--
-				j.first(e.sim.Elapsed())
+			j.prefillLeft -= n
+			if j.prefillLeft == 0 {
+				j.decodeLeft--
+				j.onFirstToken(e.sim.Elapsed())
 			}
 		}
-		if j.unread == 0 && j.left <= 0 {
+		if j.prefillLeft == 0 && j.decodeLeft <= 0 {
 			e.finish(j)
 		}
 	}
 }
 
 // finish ends a job. A member's part stays in memory until the whole has ended.
-func (e *fakeEngine) finish(j *job) {
+func (e *simEngine) finish(j *job) {
 	if !e.remove(j) {
 		return
 	}
-	e.memory -= j.tokens
-	e.cache.put(j.conv, j.tokens)
-	e.cache.shrink(e.speed.KVTokens - e.memory)
-	j.done(e.sim.Elapsed())
+	e.usedTokens -= j.kvTokens
+	e.cache.put(j.conversation, j.kvTokens)
+	e.cache.shrink(e.speed.KVTokens - e.usedTokens)
+	j.onDone(e.sim.Elapsed())
 }
 
-func (e *fakeEngine) remove(j *job) bool {
+func (e *simEngine) remove(j *job) bool {
 	for i, other := range e.running {
 		if other == j {
 			e.running = append(e.running[:i], e.running[i+1:]...)
@@ -190,9 +190,9 @@
 }
 
 // cancel drops a job wherever it stands.
-func (e *fakeEngine) cancel(j *job) {
+func (e *simEngine) cancel(j *job) {
 	if e.remove(j) {
-		e.memory -= j.tokens
+		e.usedTokens -= j.kvTokens
 		return
 	}
 	for i, other := range e.waiting {
@@ -204,76 +204,76 @@
 }
 
 // kill ends the engine; its jobs fail.
-func (e *fakeEngine) kill() {
+func (e *simEngine) crash() {
 	e.dead = true
 	jobs := append(append([]*job(nil), e.running...), e.waiting...)
-	e.running, e.waiting, e.memory = nil, nil, 0
+	e.running, e.waiting, e.usedTokens = nil, nil, 0
 	e.cache = prefixCache{}
 	for _, j := range jobs {
-		j.failed(e.sim.Elapsed())
+		j.onFailed(e.sim.Elapsed())
 	}
 }
 
 // revive starts the engine anew, or lets it go on after a hang.
-func (e *fakeEngine) revive() {
+func (e *simEngine) restore() {
 	e.dead, e.hung = false, false
-	e.wake()
+	e.startStep()
 }
 
 // load is the engine's report. A hung engine still reports.
-func (e *fakeEngine) load() barleystep.Load {
+func (e *simEngine) loadReport() barleystep.Load {
 	return barleystep.Load{
 		At:          e.sim.Now(),
 		Running:     len(e.running),
 		Waiting:     len(e.waiting),
-		FreeTokens:  e.speed.KVTokens - e.memory,
+		FreeTokens:  e.speed.KVTokens - e.usedTokens,
 		TotalTokens: e.speed.KVTokens,
 	}
 }
 
 // prefixCache keeps the prompts of conversations, the latest used longest.
 type prefixCache struct {
-	order  list.List
-	byConv map[uint64]*list.Element
-	tokens int
+	order          list.List
+	byConversation map[uint64]*list.Element
+	tokens         int
 }
 
-type cached struct {
-	conv   uint64
-	tokens int
+type cacheEntry struct {
+	conversation uint64
+	tokens       int
 }
 
 // take returns how many tokens of the conversation are cached, and removes them:
 // the running job holds them now.
-func (c *prefixCache) take(conv uint64) int {
-	el, ok := c.byConv[conv]
+func (c *prefixCache) take(conversation uint64) int {
+	el, ok := c.byConversation[conversation]
 	if !ok {
 		return 0
 	}
-	n := el.Value.(cached).tokens
+	n := el.Value.(cacheEntry).tokens
 	c.drop(el)
 	return n
 }
 
-func (c *prefixCache) put(conv uint64, tokens int) {
-	c.take(conv)
-	if c.byConv == nil {
-		c.byConv = make(map[uint64]*list.Element)
+func (c *prefixCache) put(conversation uint64, tokens int) {
+	c.take(conversation)
+	if c.byConversation == nil {
+		c.byConversation = make(map[uint64]*list.Element)
 	}
-	c.byConv[conv] = c.order.PushFront(cached{conv, tokens})
+	c.byConversation[conversation] = c.order.PushFront(cacheEntry{conversation, tokens})
 	c.tokens += tokens
 }
 
 // shrink evicts until the cache fits the room.
-func (c *prefixCache) shrink(room int) {
-	for c.tokens > room && c.order.Len() > 0 {
+func (c *prefixCache) shrink(capacity int) {
+	for c.tokens > capacity && c.order.Len() > 0 {
 		c.drop(c.order.Back())
 	}
 }
 
 func (c *prefixCache) drop(el *list.Element) {
-	entry := el.Value.(cached)
+	entry := el.Value.(cacheEntry)
 	c.order.Remove(el)
-	delete(c.byConv, entry.conv)
+	delete(c.byConversation, entry.conversation)
 	c.tokens -= entry.tokens
 }
--- a/internal/trial/fleet.go
+++ b/internal/trial/fleet.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	boxes   = 3
-	engines = 8
+	boxCount    = 3
+	engineCount = 8
 	// hop is the way of a message within a hall.
-	hop = 300 * time.Microsecond
+	hopDelay = 300 * time.Microsecond
 	// stall is after how long without a token a box gives an attempt up, beyond
 	// the reading time.
-	stall = 20 * time.Second
+	stallTimeout = 20 * time.Second
 	// retryPause is the wait before a failed request is tried again.
-	retryPause = 20 * time.Millisecond
-	loadEvery  = time.Second
+	retryDelay   = 20 * time.Millisecond
+	loadInterval = time.Second
 )
 
 // dispatcher decides where and when requests run.
@@ -27,45 +27,45 @@
 	// submit takes a request that has arrived or comes back.
 	submit(r *request)
 	// first and ended tell what became of an attempt. Full is false.
-	first(a *attempt)
+	firstToken(a *attempt)
 	ended(a *attempt, ok bool)
 	// load brings a load report.
-	load(id barleystep.TargetID, l barleystep.Load)
+	recordLoad(id barleystep.TargetID, l barleystep.Load)
 	// boxDied tells that a box is gone; its requests were already dropped.
-	boxDied(box int)
+	boxCrashed(box int)
 }
 
 // fleet is the engines of a run and the attempts at them.
 type fleet struct {
-	sim      *timeline.Timeline
-	speed    EngineSpeed
-	engines  []*fakeEngine
-	byID     map[barleystep.TargetID]*fakeEngine
-	lag      time.Duration // lag is how late load reports come.
-	dispatch dispatcher
-	serial   uint64
-	live     map[*attempt]bool
+	sim         *timeline.Timeline
+	speed       EngineSpeed
+	engines     []*simEngine
+	byID        map[barleystep.TargetID]*simEngine
+	reportDelay time.Duration // lag is how late load reports come.
+	dispatch    dispatcher
+	lastSerial  uint64
+	live        map[*attempt]bool
 }
 
 // attempt is one try of a request at one engine, or at several together.
 type attempt struct {
-	id      barleystep.AttemptID
-	request *request
-	targets []barleystep.TargetID
-	jobs    []*job
-	unread  int // unread counts the parts that are still being read.
-	started bool
-	over    bool
+	id           barleystep.AttemptID
+	request      *request
+	targets      []barleystep.TargetID
+	jobs         []*job
+	pendingParts int // unread counts the parts that are still being read.
+	started      bool
+	ended        bool
 }
 
 func newFleet(s *timeline.Timeline, speed EngineSpeed) *fleet {
-	f := &fleet{sim: s, speed: speed, byID: make(map[barleystep.TargetID]*fakeEngine), lag: loadEvery / 2, live: make(map[*attempt]bool)}
-	for i := range engines {
-		e := &fakeEngine{id: barleystep.TargetID(fmt.Sprintf("e%02d", i)), speed: speed, sim: s}
+	f := &fleet{sim: s, speed: speed, byID: make(map[barleystep.TargetID]*simEngine), reportDelay: loadInterval / 2, live: make(map[*attempt]bool)}
+	for i := range engineCount {
+		e := &simEngine{id: barleystep.TargetID(fmt.Sprintf("e%02d", i)), speed: speed, sim: s}
 		f.engines = append(f.engines, e)
 		f.byID[e.id] = e
 	}
-	s.Every(loadEvery, f.report)
+	s.Every(loadInterval, f.report)
 	return f
 }
 
@@ -74,94 +74,94 @@
 		if e.dead {
 			continue
 		}
-		l := e.load()
+		l := e.loadReport()
 		id := e.id
-		f.sim.After(f.lag, func() {
+		f.sim.After(f.reportDelay, func() {
 			l.At = f.sim.Now()
-			f.dispatch.load(id, l)
+			f.dispatch.recordLoad(id, l)
 		})
 	}
 }
 
 // nextID returns an attempt id.
 func (f *fleet) nextID(box int) barleystep.AttemptID {
-	f.serial++
-	return barleystep.NewAttemptID(barleystep.BoxID(fmt.Sprintf("b%d", box)), 1, f.serial)
+	f.lastSerial++
+	return barleystep.NewAttemptID(barleystep.BoxID(fmt.Sprintf("b%d", box)), 1, f.lastSerial)
 }
 
 // send starts an attempt at the targets. Together they read and hold a part of
 // the prompt each; the first of them generates.
 func (f *fleet) send(r *request, id barleystep.AttemptID, targets []barleystep.TargetID, priority int) {
-	a := &attempt{id: id, request: r, targets: targets, unread: len(targets)}
+	a := &attempt{id: id, request: r, targets: targets, pendingParts: len(targets)}
 	r.tries++
 	f.live[a] = true
 	n := len(targets)
 	for range targets {
 		j := &job{
-			request:  r,
-			attempt:  id,
-			priority: priority,
-			conv:     r.conv,
-			unread:   (r.prompt + n - 1) / n,
-			tokens:   (r.prompt + r.output + n - 1) / n,
+			request:      r,
+			attempt:      id,
+			priority:     priority,
+			conversation: r.conversation,
+			prefillLeft:  (r.prompt + n - 1) / n,
+			kvTokens:     (r.prompt + r.output + n - 1) / n,
 			// Every part is held as long as the whole generates.
-			left:   r.output,
-			failed: func(time.Duration) { f.fail(a) },
+			decodeLeft: r.output,
+			onFailed:   func(time.Duration) { f.fail(a) },
 		}
-		j.first = func(time.Duration) { f.read(a) }
-		j.done = func(time.Duration) { f.partDone(a) }
+		j.onFirstToken = func(time.Duration) { f.partPrefilled(a) }
+		j.onDone = func(time.Duration) { f.partDone(a) }
 		a.jobs = append(a.jobs, j)
 	}
-	f.sim.After(hop, func() {
+	f.sim.After(hopDelay, func() {
 		for i, t := range targets {
 			f.byID[t].add(a.jobs[i])
 		}
 	})
-	f.watch(a)
+	f.startStallTimer(a)
 }
 
 // watch gives up an attempt that has got no token for too long, as an entry box
 // does.
-func (f *fleet) watch(a *attempt) {
-	const margin = 8
-	read := time.Duration(float64(a.request.prompt) / f.speed.PrefillRate * margin * float64(time.Second))
-	f.sim.After(stall+read, func() {
-		if !a.over && !a.started {
+func (f *fleet) startStallTimer(a *attempt) {
+	const slack = 8
+	prefillTime := time.Duration(float64(a.request.prompt) / f.speed.PrefillRate * slack * float64(time.Second))
+	f.sim.After(stallTimeout+prefillTime, func() {
+		if !a.ended && !a.started {
 			f.fail(a)
 		}
 	})
 }
 
-func (f *fleet) read(a *attempt) {
-	a.unread--
-	if a.unread > 0 || a.over {
+func (f *fleet) partPrefilled(a *attempt) {
+	a.pendingParts--
+	if a.pendingParts > 0 || a.ended {
 		return
 	}
 	a.started = true
-	if a.request.first == 0 {
-		a.request.first = f.sim.Elapsed()
+	if a.request.firstToken == 0 {
+		a.request.firstToken = f.sim.Elapsed()
 	}
-	f.sim.After(hop, func() {
-		if !a.over {
-			f.dispatch.first(a)
+	f.sim.After(hopDelay, func() {
+		if !a.ended {
+			f.dispatch.firstToken(a)
 		}
 	})
 }
 
 // partDone ends the attempt when its first part has generated all.
 func (f *fleet) partDone(a *attempt) {
-	if a.over || a.unread > 0 {
+	if a.ended || a.pendingParts > 0 {
 		return
 	}
-	a.over = true
+	a.ended = true
 	delete(f.live, a)
-	f.drop(a)
+	f.releaseParts(a)
 	a.request.ended = true
-	f.sim.After(hop, func() { f.dispatch.ended(a, true) })
+	f.sim.After(hopDelay, func() { f.dispatch.ended(a, true) })
 }
 
 // drop frees what the attempt holds anywhere.
-func (f *fleet) drop(a *attempt) {
+func (f *fleet) releaseParts(a *attempt) {
 	for i, t := range a.targets {
 		f.byID[t].cancel(a.jobs[i])
 	}
@@ -170,14 +170,14 @@
 // fail ends an attempt without an answer; the request is tried elsewhere unless
 // the caller has seen a part of the answer.
 func (f *fleet) fail(a *attempt) {
-	if a.over {
+	if a.ended {
 		return
 	}
-	a.over = true
+	a.ended = true
 	delete(f.live, a)
-	f.drop(a)
+	f.releaseParts(a)
 	for _, t := range a.targets {
-		f.byID[t].wake()
+		f.byID[t].startStep()
 	}
 	f.dispatch.ended(a, false)
 	r := a.request
@@ -185,8 +185,8 @@
 		r.ended = true
 		return
 	}
-	r.avoid = append(r.avoid, a.targets[0])
-	f.sim.After(retryPause, func() { f.dispatch.submit(r) })
+	r.failedTargets = append(r.failedTargets, a.targets[0])
+	f.sim.After(retryDelay, func() { f.dispatch.submit(r) })
 }
 
 // killBox drops the requests of a box that has died. Its clean-up frees the
@@ -196,10 +196,10 @@
 		if a.request.box != box {
 			continue
 		}
-		a.over = true
+		a.ended = true
 		a.request.refused = true
 		delete(f.live, a)
-		f.sim.After(cleanUp, func() { f.drop(a) })
+		f.sim.After(cleanupDelay, func() { f.releaseParts(a) })
 	}
 }
 
@@ -213,4 +213,4 @@
 	return list
 }
 
-const cleanUp = 5 * time.Second
+const cleanupDelay = 5 * time.Second
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -11,23 +11,23 @@
 
 // request is one request of the load.
 type request struct {
-	id       int
-	at       time.Duration
-	account  string
-	class    string
-	rank     int
-	prompt   int
-	output   int
-	conv     uint64
-	limit    time.Duration
-	box      int
-	warmedUp bool // warmedUp is set for requests that are measured.
-
-	first   time.Duration // first is the time of the first token, zero if there was none.
-	ended   bool
-	refused bool
-	avoid   []barleystep.TargetID
-	tries   int
+	id           int
+	at           time.Duration
+	account      string
+	class        string
+	rank         int
+	prompt       int
+	output       int
+	conversation uint64
+	timeLimit    time.Duration
+	box          int
+	measured     bool // warmedUp is set for requests that are measured.
+
+	firstToken    time.Duration // first is the time of the first token, zero if there was none.
+	ended         bool
+	refused       bool
+	failedTargets []barleystep.TargetID
+	tries         int
 }
 
 // band returns the request's band of prompt length.
@@ -38,13 +38,13 @@
 	const firstTokens = 1024
 	var hashes []uint64
 	for size := firstTokens; size <= r.prompt; size *= 2 {
-		hashes = append(hashes, r.conv*prefixMix+uint64(size))
+		hashes = append(hashes, r.conversation*prefixMultiplier+uint64(size))
 	}
 	return hashes
 }
 
 // prefixMix keeps the hashes of conversations apart.
-const prefixMix = 0x9E3779B97F4A7C15
+const prefixMultiplier = 0x9E3779B97F4A7C15
 
 // Load describes the requests of a run.
 type Workload struct {
@@ -67,30 +67,30 @@
 	{Name: "Chaiyaphruek", BandShares: [...]float64{0.60, 0.28, 0.10, 0.02}, ContinuedShare: 0.4, BulkBurst: 40, UrgentLongShare: 0.1},
 }
 
-var bandLimits = [...][2]float64{{1_000, 4_000}, {4_000, 16_000}, {16_000, 100_000}, {100_000, 1_000_000}}
+var bandRanges = [...][2]float64{{1_000, 4_000}, {4_000, 16_000}, {16_000, 100_000}, {100_000, 1_000_000}}
 
 // mean returns the mean prompt length of the load in tokens.
-func (l Workload) mean() float64 {
+func (l Workload) meanPromptTokens() float64 {
 	sum := 0.0
 	for i, part := range l.BandShares {
-		low, high := bandLimits[i][0], bandLimits[i][1]
+		low, high := bandRanges[i][0], bandRanges[i][1]
 		sum += part * (high - low) / math.Log(high/low)
 	}
 	return sum
 }
 
 const (
-	accounts   = 10
-	meanOutput = 150
-	turnTokens = 1_500
+	accountCount     = 10
+	meanOutputTokens = 150
+	turnTokens       = 1_500
 )
 
 // requests draws the requests of a run. Level is the part of the fleet's
 // reading speed that they take; without long ones, the short ones stay as they
 // are.
-func (l Workload) requests(seed uint64, speed EngineSpeed, engines int, level float64, span, warmup time.Duration, withLong bool) []*request {
+func (l Workload) requests(seed uint64, speed EngineSpeed, engines int, utilization float64, span, warmup time.Duration, withLong bool) []*request {
 	rng := rand.New(rand.NewPCG(seed, seed))
-	rate := level * speed.PrefillRate * float64(engines) / l.mean()
+	rate := utilization * speed.PrefillRate * float64(engines) / l.meanPromptTokens()
 	var list []*request
 	var convs []*request
 	for at := 0.0; ; {
@@ -100,11 +100,11 @@
 		if r.at > span {
 			break
 		}
-		r.warmedUp = r.at >= warmup
+		r.measured = r.at >= warmup
 		convs = append(convs, r)
 		list = append(list, r)
 	}
-	list = append(list, l.province(rng, len(list), span/2)...)
+	list = append(list, l.burst(rng, len(list), span/2)...)
 	if withLong {
 		return list
 	}
@@ -118,14 +118,14 @@
 }
 
 func (l Workload) draw(rng *rand.Rand, id int, convs []*request) *request {
-	r := &request{id: id, conv: uint64(id) + 1, box: rng.IntN(boxes)}
+	r := &request{id: id, conversation: uint64(id) + 1, box: rng.IntN(boxCount)}
 	r.account = drawAccount(rng)
 	r.prompt = l.drawPrompt(rng)
-	r.output = int(min(rng.ExpFloat64()*meanOutput+8, 2_000))
-	growing, pick, urgent := rng.Float64(), rng.IntN(recentConvs), rng.Float64()
-	if growing < l.ContinuedShare && len(convs) > recentConvs {
+	r.output = int(min(rng.ExpFloat64()*meanOutputTokens+8, 2_000))
+	growing, pick, urgent := rng.Float64(), rng.IntN(recentConversations), rng.Float64()
+	if growing < l.ContinuedShare && len(convs) > recentConversations {
 		old := convs[len(convs)-1-pick]
-		r.conv, r.account = old.conv, old.account
+		r.conversation, r.account = old.conversation, old.account
 		r.prompt = min(old.prompt+old.output+turnTokens, 1_000_000)
 	}
 	l.classify(r, urgent)
@@ -133,13 +133,13 @@
 }
 
 // recentConvs is how far back a conversation may be that goes on.
-const recentConvs = 40
+const recentConversations = 40
 
 func (l Workload) drawPrompt(rng *rand.Rand) int {
 	u, v := rng.Float64(), rng.Float64()
 	for i, part := range l.BandShares {
 		if u < part || i == len(l.BandShares)-1 {
-			low, high := bandLimits[i][0], bandLimits[i][1]
+			low, high := bandRanges[i][0], bandRanges[i][1]
 			return int(low * math.Pow(high/low, v))
 		}
 		u -= part
@@ -152,7 +152,7 @@
 	if rng.Float64() < 0.5 {
 		return string(rune('a' + rng.IntN(2)))
 	}
-	return string(rune('a' + 2 + rng.IntN(accounts-2)))
+	return string(rune('a' + 2 + rng.IntN(accountCount-2)))
 }
 
 // weightOf is the account's weight: the two large accounts pay for their part.
@@ -166,31 +166,31 @@
 func (l Workload) classify(r *request, urgent float64) {
 	switch {
 	case !r.band().Long():
-		r.class, r.rank, r.limit = "urgent", 0, 2*time.Minute
+		r.class, r.rank, r.timeLimit = "urgent", 0, 2*time.Minute
 	case urgent < l.UrgentLongShare:
-		r.class, r.rank, r.limit = "urgent", 0, 10*time.Minute
+		r.class, r.rank, r.timeLimit = "urgent", 0, 10*time.Minute
 	default:
-		r.class, r.rank, r.limit = "normal", 1, 20*time.Minute
+		r.class, r.rank, r.timeLimit = "normal", 1, 20*time.Minute
 	}
 }
 
 // province is the monthly burst of long bulk prompts of one account.
-func (l Workload) province(rng *rand.Rand, id int, at time.Duration) []*request {
+func (l Workload) burst(rng *rand.Rand, id int, at time.Duration) []*request {
 	var list []*request
 	for i := range l.BulkBurst {
 		v := rng.Float64()
 		list = append(list, &request{
-			id:       id + i,
-			at:       at,
-			account:  "a",
-			class:    "bulk",
-			rank:     2,
-			prompt:   int(30_000 * math.Pow(10, v)),
-			output:   meanOutput,
-			conv:     uint64(id+i) + 1,
-			limit:    time.Hour,
-			box:      rng.IntN(boxes),
-			warmedUp: true,
+			id:           id + i,
+			at:           at,
+			account:      "a",
+			class:        "bulk",
+			rank:         2,
+			prompt:       int(30_000 * math.Pow(10, v)),
+			output:       meanOutputTokens,
+			conversation: uint64(id+i) + 1,
+			timeLimit:    time.Hour,
+			box:          rng.IntN(boxCount),
+			measured:     true,
 		})
 	}
 	return list
@@ -206,8 +206,8 @@
 		PromptTokens:    r.prompt,
 		MaxOutputTokens: r.output,
 		AdmittedAt:      timeline.At(r.at),
-		Deadline:        timeline.At(r.at + r.limit),
+		Deadline:        timeline.At(r.at + r.timeLimit),
 		PrefixHashes:    r.prefixes(),
-		FailedTargets:   r.avoid,
+		FailedTargets:   r.failedTargets,
 	}
 }
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -34,24 +34,24 @@
 
 // Variants are the baselines and our own versions, the present one last.
 var Strategies = []Strategy{
-	{"random", simple(pickRandom, false)},
-	{"round robin", simple(pickRoundRobin, false)},
-	{"least loaded", simple(pickLeastLoaded, false)},
-	{"first come", simple(pickFewestSent, true)},
-	{"barleystep, no credits", decided(capacity.Settings{}, false)},
-	{"barleystep", decided(capacity.Settings{}, true)},
+	{"random", baselineStrategy(pickRandom, false)},
+	{"round robin", baselineStrategy(pickRoundRobin, false)},
+	{"least loaded", baselineStrategy(pickLeastLoaded, false)},
+	{"first come", baselineStrategy(pickFewestInFlight, true)},
+	{"barleystep, no credits", capacityStrategy(capacity.Settings{}, false)},
+	{"barleystep", capacityStrategy(capacity.Settings{}, true)},
 }
 
-func simple(pick func(*baseline) []*fakeEngine, central bool) func(*fleet, uint64) dispatcher {
+func baselineStrategy(pick func(*baseline) []*simEngine, central bool) func(*fleet, uint64) dispatcher {
 	return func(f *fleet, seed uint64) dispatcher {
 		b := newBaseline(f, seed, pick)
-		b.central = central
+		b.centralQueue = central
 		return b
 	}
 }
 
-func decided(s capacity.Settings, credits bool) func(*fleet, uint64) dispatcher {
-	return func(f *fleet, _ uint64) dispatcher { return newOurs(f, s, credits) }
+func capacityStrategy(s capacity.Settings, credits bool) func(*fleet, uint64) dispatcher {
+	return func(f *fleet, _ uint64) dispatcher { return newCapacityDispatcher(f, s, credits) }
 }
 
 // Case is one run.
@@ -86,12 +86,12 @@
 }
 
 const (
-	span    = 20 * time.Minute
-	warmup  = 2 * time.Minute
-	tail    = 30 * time.Minute // tail is how long after the last arrival a run goes on.
-	faultAt = 8 * time.Minute
-	healAt  = 11 * time.Minute
-	lateBy  = 5 * time.Second
+	arrivalSpan     = 20 * time.Minute
+	warmup          = 2 * time.Minute
+	drainTime       = 30 * time.Minute // tail is how long after the last arrival a run goes on.
+	faultStart      = 8 * time.Minute
+	faultEnd        = 11 * time.Minute
+	lateReportDelay = 5 * time.Second
 )
 
 // Run carries out one case.
@@ -99,60 +99,60 @@
 	s := &timeline.Timeline{}
 	f := newFleet(s, c.EngineSpeed)
 	f.dispatch = c.Strategy.build(f, c.Seed)
-	list := c.Workload.requests(c.Seed, c.EngineSpeed, engines, c.Utilization, span, warmup, !c.ShortOnly)
+	list := c.Workload.requests(c.Seed, c.EngineSpeed, engineCount, c.Utilization, arrivalSpan, warmup, !c.ShortOnly)
 	for _, r := range list {
 		s.After(r.at, func() { f.dispatch.submit(r) })
 	}
-	c.fault(s, f)
-	s.RunUntil(span + tail)
+	c.scheduleFault(s, f)
+	s.RunUntil(arrivalSpan + drainTime)
 	return measure(c, f, list)
 }
 
-func (c Case) fault(s *timeline.Timeline, f *fleet) {
+func (c Case) scheduleFault(s *timeline.Timeline, f *fleet) {
 	e := f.engines[3]
 	switch c.Fault {
 	case FaultEngineCrash:
-		s.After(faultAt, e.kill)
-		s.After(healAt, e.revive)
+		s.After(faultStart, e.crash)
+		s.After(faultEnd, e.restore)
 	case FaultEngineHang:
-		s.After(faultAt, func() { e.hung = true })
-		s.After(healAt, e.revive)
+		s.After(faultStart, func() { e.hung = true })
+		s.After(faultEnd, e.restore)
 	case FaultBoxCrash:
-		s.After(faultAt, func() {
+		s.After(faultStart, func() {
 			f.killBox(0)
-			f.dispatch.boxDied(0)
+			f.dispatch.boxCrashed(0)
 		})
 	case FaultLateReports:
-		f.lag = lateBy
+		f.reportDelay = lateReportDelay
 	}
 }
 
 const (
-	longestMicros = int64(time.Hour / time.Microsecond)
-	digits        = 3
+	maxMicros         = int64(time.Hour / time.Microsecond)
+	significantDigits = 3
 )
 
 func measure(c Case, f *fleet, list []*request) Result {
-	res := Result{Case: c, ShortTTFT: hdrhistogram.New(1, longestMicros, digits)}
+	res := Result{Case: c, ShortTTFT: hdrhistogram.New(1, maxMicros, significantDigits)}
 	for i := range res.TTFT {
-		res.TTFT[i] = hdrhistogram.New(1, longestMicros, digits)
+		res.TTFT[i] = hdrhistogram.New(1, maxMicros, significantDigits)
 	}
-	asked, served := make(map[string]float64), make(map[string]float64)
+	requested, served := make(map[string]float64), make(map[string]float64)
 	for _, r := range list {
-		if !r.warmedUp || (c.Fault == FaultBoxCrash && r.box == 0) {
+		if !r.measured || (c.Fault == FaultBoxCrash && r.box == 0) {
 			continue
 		}
 		res.count(r)
-		asked[r.account] += float64(r.prompt)
-		if r.first > 0 && r.first-r.at <= r.limit {
+		requested[r.account] += float64(r.prompt)
+		if r.firstToken > 0 && r.firstToken-r.at <= r.timeLimit {
 			served[r.account] += float64(r.prompt)
 		}
 	}
-	res.Fairness = jain(asked, served)
+	res.Fairness = jain(requested, served)
 	hits, read := 0, 0
 	for _, e := range f.engines {
-		hits += e.hits
-		read += e.read
+		hits += e.cachedTokens
+		read += e.promptTokens
 	}
 	res.CachedShare = float64(hits) / float64(max(read, 1))
 	return res
@@ -164,14 +164,14 @@
 		res.Refused++
 		return
 	}
-	took := r.first - r.at
-	if r.first == 0 || took > r.limit {
+	took := r.firstToken - r.at
+	if r.firstToken == 0 || took > r.timeLimit {
 		res.Starved++
-		took = max(r.limit, took)
+		took = max(r.timeLimit, took)
 	} else {
 		res.InTime++
 	}
-	micros := min(took.Microseconds(), longestMicros)
+	micros := min(took.Microseconds(), maxMicros)
 	_ = res.TTFT[r.band()].RecordValue(micros) // The value is within the histogram's range.
 	if !r.band().Long() {
 		_ = res.ShortTTFT.RecordValue(micros) // As above.
@@ -179,7 +179,7 @@
 }
 
 // add takes in another run of the same case.
-func (res *Result) add(other Result) {
+func (res *Result) merge(other Result) {
 	n, m := float64(res.Requests), float64(other.Requests)
 	res.Fairness = (n*res.Fairness + m*other.Fairness) / (n + m)
 	res.CachedShare = (n*res.CachedShare + m*other.CachedShare) / (n + m)
@@ -195,15 +195,15 @@
 
 // jain returns Jain's fairness index of the served parts, 1 when all accounts
 // got the same part of what they asked for.
-func jain(asked, served map[string]float64) float64 {
+func jain(requested, served map[string]float64) float64 {
 	sum, squares, n := 0.0, 0.0, 0.0
-	names := make([]string, 0, len(asked))
-	for a := range asked {
+	names := make([]string, 0, len(requested))
+	for a := range requested {
 		names = append(names, a)
 	}
 	sort.Strings(names)
 	for _, a := range names {
-		part := served[a] / asked[a]
+		part := served[a] / requested[a]
 		sum += part
 		squares += part * part
 		n++
--- a/internal/trial/table.go
+++ b/internal/trial/table.go
@@ -33,17 +33,17 @@
 
 // cell is a case together with the same case without long prompts.
 type cell struct {
-	level   Level
-	mixed   Case
-	result  Result
-	without Result
+	level     Level
+	mixed     Case
+	result    Result
+	shortOnly Result
 }
 
 // WriteTables runs the plan and writes its tables as Markdown.
 func WriteTables(w io.Writer, p Plan) error {
 	for _, load := range Workloads {
 		for _, speed := range p.speeds() {
-			if err := p.table(w, load, speed); err != nil {
+			if err := p.writeTable(w, load, speed); err != nil {
 				return err
 			}
 		}
@@ -52,7 +52,7 @@
 		return nil
 	}
 	for _, load := range Workloads {
-		if err := p.faults(w, load); err != nil {
+		if err := p.writeFaultTable(w, load); err != nil {
 			return err
 		}
 	}
@@ -66,7 +66,7 @@
 	return EngineSpeeds
 }
 
-func (p Plan) table(w io.Writer, load Workload, speed EngineSpeed) error {
+func (p Plan) writeTable(w io.Writer, load Workload, speed EngineSpeed) error {
 	var cells []*cell
 	for _, level := range Levels {
 		for _, v := range Strategies {
@@ -75,26 +75,26 @@
 			}})
 		}
 	}
-	p.run(cells)
+	p.runCells(cells)
 	title := fmt.Sprintf("%s, %s engines (%.0f tokens/s)", load.Name, speed.Name, speed.PrefillRate)
-	return write(w, title, "load", cells, func(c *cell) string { return c.level.Name })
+	return writeMarkdown(w, title, "load", cells, func(c *cell) string { return c.level.Name })
 }
 
-func (p Plan) faults(w io.Writer, load Workload) error {
+func (p Plan) writeFaultTable(w io.Writer, load Workload) error {
 	var cells []*cell
-	ours := Strategies[len(Strategies)-1]
+	current := Strategies[len(Strategies)-1]
 	for _, f := range Faults {
 		cells = append(cells, &cell{level: Levels[1], mixed: Case{
-			Strategy: ours, Workload: load, EngineSpeed: EngineSpeeds[1], Utilization: Levels[1].Utilization, Fault: f,
+			Strategy: current, Workload: load, EngineSpeed: EngineSpeeds[1], Utilization: Levels[1].Utilization, Fault: f,
 		}})
 	}
-	p.run(cells)
+	p.runCells(cells)
 	title := fmt.Sprintf("%s, middle engines, full load, with faults", load.Name)
-	return write(w, title, "fault", cells, func(c *cell) string { return string(c.mixed.Fault) })
+	return writeMarkdown(w, title, "fault", cells, func(c *cell) string { return string(c.mixed.Fault) })
 }
 
 // run runs all cells, several at a time. Each run is deterministic by itself.
-func (p Plan) run(cells []*cell) {
+func (p Plan) runCells(cells []*cell) {
 	var wait sync.WaitGroup
 	slots := make(chan struct{}, max(p.Workers, 1))
 	for _, c := range cells {
@@ -104,7 +104,7 @@
 			short := c.mixed
 			short.ShortOnly = true
 			short.Fault = FaultNone
-			c.without = p.runSeeds(short)
+			c.shortOnly = p.runSeeds(short)
 			<-slots
 		})
 	}
@@ -117,12 +117,12 @@
 	sum := Run(c)
 	for seed := 2; seed <= p.Seeds; seed++ {
 		c.Seed = uint64(seed)
-		sum.add(Run(c))
+		sum.merge(Run(c))
 	}
 	return sum
 }
 
-func write(w io.Writer, title, first string, cells []*cell, label func(*cell) string) error {
+func writeMarkdown(w io.Writer, title, first string, cells []*cell, label func(*cell) string) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "\n### %s\n\n", title)
 	fmt.Fprintf(&b, "| %s | decided by | %s | slowdown of short, p95 | good | refused | starved | fairness | cached |\n", first, bandTitles())
@@ -160,5 +160,5 @@
 
 // slowdown is the ratio of the short prompts' p95 with and without long ones.
 func slowdown(c *cell) float64 {
-	return float64(c.result.ShortTTFT.ValueAtQuantile(95)) / float64(c.without.ShortTTFT.ValueAtQuantile(95))
+	return float64(c.result.ShortTTFT.ValueAtQuantile(95)) / float64(c.shortOnly.ShortTTFT.ValueAtQuantile(95))
 }
