--- a/internal/admin/auth.go
+++ b/internal/admin/auth.go
@@ -40,7 +40,7 @@
 		token, ok := strings.CutPrefix(req.Header().Get("Authorization"), "Bearer ")
 		operator, known := a.operators[config.HashKey(token)]
 		if !ok || !known {
-			return nil, refused(connect.CodeUnauthenticated, "Send a valid token as: Authorization: Bearer TOKEN.")
+			return nil, errorf(connect.CodeUnauthenticated, "Send a valid token as: Authorization: Bearer TOKEN.")
 		}
 		return next(context.WithValue(ctx, operatorKey{}, operator), req)
 	}
@@ -62,7 +62,7 @@
 // Error returns the text.
 func (m message) Error() string { return string(m) }
 
-func refused(code connect.Code, format string, args ...any) error {
+func errorf(code connect.Code, format string, args ...any) error {
 	return connect.NewError(code, message(fmt.Sprintf(format, args...)))
 }
 
@@ -73,20 +73,20 @@
 
 // allow refuses changes that the operator's role does not cover: a team changes
 // its own accounts and nothing else.
-func allow(o settings.Operator, base, next config.Document, changes []config.Change) error {
+func authorize(o settings.Operator, base, next config.Document, changes []config.Change) error {
 	if o.Role == RoleAdmin {
 		return nil
 	}
 	if o.Role != RoleTeam {
-		return refused(connect.CodePermissionDenied, "Operator %s may look, not change.", o.Name)
+		return errorf(connect.CodePermissionDenied, "Operator %s may look, not change.", o.Name)
 	}
 	for _, c := range changes {
 		if c.Kind != config.KindAccount {
-			return refused(connect.CodePermissionDenied, "Team %s may change its accounts; %s %q is not one.", o.Team, c.Kind, c.Name)
+			return errorf(connect.CodePermissionDenied, "Team %s may change its accounts; %s %q is not one.", o.Team, c.Kind, c.Name)
 		}
 		for _, d := range []config.Document{base, next} {
 			if team, ok := teamOf(d, c.Name); ok && team != o.Team {
-				return refused(connect.CodePermissionDenied, "Account %q belongs to team %q, not %q.", c.Name, team, o.Team)
+				return errorf(connect.CodePermissionDenied, "Account %q belongs to team %q, not %q.", c.Name, team, o.Team)
 			}
 		}
 	}
--- a/internal/admin/edits.go
+++ b/internal/admin/edits.go
@@ -16,12 +16,12 @@
 func (a api) Drain(ctx context.Context, req *connect.Request[adminv1.DrainRequest]) (*connect.Response[adminv1.SubmitResponse], error) {
 	name := req.Msg.GetTarget()
 	v, err := a.edit(ctx, req.Msg.GetReason(), func(d config.Document) (config.Change, error) {
-		t, err := entry[config.Target](d, config.KindTarget, name)
+		t, err := decodeEntry[config.Target](d, config.KindTarget, name)
 		if err != nil {
 			return config.Change{}, err
 		}
 		t.Drain = req.Msg.GetDrain()
-		return change(config.KindTarget, name, t)
+		return newChange(config.KindTarget, name, t)
 	})
 	if err != nil {
 		return nil, err
@@ -35,13 +35,13 @@
 	key := "bs-" + rand.Text()
 	id := ""
 	v, err := a.edit(ctx, req.Msg.GetReason(), func(d config.Document) (config.Change, error) {
-		account, err := entry[config.Account](d, config.KindAccount, name)
+		account, err := decodeEntry[config.Account](d, config.KindAccount, name)
 		if err != nil {
 			return config.Change{}, err
 		}
 		id = nextKeyID(account)
 		account.Keys = append(account.Keys, config.Key{ID: id, SHA256: config.HashKey(key)})
-		return change(config.KindAccount, name, account)
+		return newChange(config.KindAccount, name, account)
 	})
 	if err != nil {
 		return nil, err
@@ -62,16 +62,16 @@
 func (a api) RevokeKey(ctx context.Context, req *connect.Request[adminv1.RevokeKeyRequest]) (*connect.Response[adminv1.SubmitResponse], error) {
 	name := req.Msg.GetAccount()
 	v, err := a.edit(ctx, req.Msg.GetReason(), func(d config.Document) (config.Change, error) {
-		account, err := entry[config.Account](d, config.KindAccount, name)
+		account, err := decodeEntry[config.Account](d, config.KindAccount, name)
 		if err != nil {
 			return config.Change{}, err
 		}
 		i := slices.IndexFunc(account.Keys, func(k config.Key) bool { return k.ID == req.Msg.GetId() })
 		if i < 0 {
-			return config.Change{}, refused(connect.CodeNotFound, "Account %q has no key %q.", name, req.Msg.GetId())
+			return config.Change{}, errorf(connect.CodeNotFound, "Account %q has no key %q.", name, req.Msg.GetId())
 		}
 		account.Keys[i].Revoked = true
-		return change(config.KindAccount, name, account)
+		return newChange(config.KindAccount, name, account)
 	})
 	if err != nil {
 		return nil, err
--- a/internal/admin/service.go
+++ b/internal/admin/service.go
@@ -49,48 +49,48 @@
 var _ adminv1connect.AdminHandler = api{}
 
 // fault turns an error of the store into one that says what to do.
-func fault(err error, winner int64) error {
+func storeError(err error, accepted int64) error {
 	switch {
 	case eris.Is(err, version.ErrConflict):
-		return refused(connect.CodeAborted, "Version %d was accepted first. Get it, make your change again and submit against it.", winner)
+		return errorf(connect.CodeAborted, "Version %d was accepted first. Get it, make your change again and submit against it.", accepted)
 	case eris.Is(err, version.ErrInvalid):
-		return refused(connect.CodeInvalidArgument, "%s", err.Error())
+		return errorf(connect.CodeInvalidArgument, "%s", err.Error())
 	case eris.Is(err, version.ErrNotAccepted):
-		return refused(connect.CodeUnavailable, "The table service did not take it; nothing was and nothing will be changed. Try again later.")
+		return errorf(connect.CodeUnavailable, "The table service did not take it; nothing was and nothing will be changed. Try again later.")
 	case eris.Is(err, version.ErrUnknownOutcome):
-		return refused(connect.CodeUnknown, "The table service did not say whether it was accepted. Submit again with the same id.")
+		return errorf(connect.CodeUnknown, "The table service did not say whether it was accepted. Submit again with the same id.")
 	case eris.Is(err, version.ErrNoVersion):
-		return refused(connect.CodeNotFound, "There is no such version.")
+		return errorf(connect.CodeNotFound, "There is no such version.")
 	case barleystep.FaultOf(err) == barleystep.FaultUnavailable:
-		return refused(connect.CodeUnavailable, "The table service can't be reached. Try again later.")
+		return errorf(connect.CodeUnavailable, "The table service can't be reached. Try again later.")
 	default:
 		return connect.NewError(connect.CodeInternal, err)
 	}
 }
 
 // current returns the newest version and its document.
-func (s *Service) current(ctx context.Context) (int64, config.Document, error) {
+func (s *Service) latest(ctx context.Context) (int64, config.Document, error) {
 	v, err := s.Store.Head(ctx)
 	if err != nil {
-		return 0, config.Document{}, fault(err, 0)
+		return 0, config.Document{}, storeError(err, 0)
 	}
-	d, err := s.at(ctx, v)
+	d, err := s.documentAt(ctx, v)
 	return v, d, err
 }
 
-func (s *Service) at(ctx context.Context, v int64) (config.Document, error) {
+func (s *Service) documentAt(ctx context.Context, v int64) (config.Document, error) {
 	if view, _ := s.Follower.View(); view != nil && view.Version() == v {
 		return view.Document(), nil
 	}
 	d, err := s.Store.DocumentAt(ctx, v)
 	if err != nil {
-		return config.Document{}, fault(err, 0)
+		return config.Document{}, storeError(err, 0)
 	}
 	return d, nil
 }
 
 // offer is a change that is to become a version.
-type offer struct {
+type submission struct {
 	id     string
 	base   int64
 	before config.Document
@@ -99,12 +99,12 @@
 }
 
 // submit offers the change under the operator's name.
-func (s *Service) submit(ctx context.Context, o offer) (int64, error) {
+func (s *Service) submit(ctx context.Context, o submission) (int64, error) {
 	operator := operatorOf(ctx)
 	if o.reason == "" {
-		return 0, refused(connect.CodeInvalidArgument, "Give a reason for the change.")
+		return 0, errorf(connect.CodeInvalidArgument, "Give a reason for the change.")
 	}
-	if err := allow(operator, o.before, o.after, o.before.Diff(o.after)); err != nil {
+	if err := authorize(operator, o.before, o.after, o.before.Diff(o.after)); err != nil {
 		return 0, err
 	}
 	if o.id == "" {
@@ -118,7 +118,7 @@
 		Reason:   o.reason,
 	})
 	if err != nil {
-		return 0, fault(err, v)
+		return 0, storeError(err, v)
 	}
 	s.Log.Info().Int64("version", v).Str("author", operator.Name).Str("reason", o.reason).Msg(logPrefix + "Version accepted.")
 	return v, nil
@@ -128,9 +128,9 @@
 // when another version wins the race, as the edit is made anew each time.
 func (s *Service) edit(ctx context.Context, reason string, f func(config.Document) (config.Change, error)) (int64, error) {
 	const tries = 5
-	var last error
+	var lastErr error
 	for range tries {
-		v, d, err := s.current(ctx)
+		v, d, err := s.latest(ctx)
 		if err != nil {
 			return 0, err
 		}
@@ -138,42 +138,42 @@
 		if err != nil {
 			return 0, err
 		}
-		v, last = s.submit(ctx, offer{base: v, before: d, after: d.Apply([]config.Change{change}), reason: reason})
-		if connect.CodeOf(last) != connect.CodeAborted || last == nil {
-			return v, last
+		v, lastErr = s.submit(ctx, submission{base: v, before: d, after: d.Apply([]config.Change{change}), reason: reason})
+		if connect.CodeOf(lastErr) != connect.CodeAborted || lastErr == nil {
+			return v, lastErr
 		}
 	}
-	return 0, last
+	return 0, lastErr
 }
 
 // entry decodes an entry of the document.
-func entry[T any](d config.Document, kind config.Kind, name string) (e T, err error) {
+func decodeEntry[T any](d config.Document, kind config.Kind, name string) (e T, err error) {
 	body := d.Entry(kind, name)
 	if body == nil {
-		return e, refused(connect.CodeNotFound, "There is no %s %q.", kind, name)
+		return e, errorf(connect.CodeNotFound, "There is no %s %q.", kind, name)
 	}
 	err = json.Unmarshal(body, &e)
 	return e, err
 }
 
-func change(kind config.Kind, name string, e any) (config.Change, error) {
+func newChange(kind config.Kind, name string, e any) (config.Change, error) {
 	body, err := json.Marshal(e)
 	return config.Change{Kind: kind, Name: name, Body: body}, err
 }
 
 func teamOf(d config.Document, account string) (team string, ok bool) {
-	a, err := entry[config.Account](d, config.KindAccount, account)
+	a, err := decodeEntry[config.Account](d, config.KindAccount, account)
 	return a.Team, err == nil
 }
 
-func parse(text string) (config.Document, error) {
+func parseDocument(text string) (config.Document, error) {
 	f, err := config.ParseFile([]byte(text))
 	if err != nil {
-		return config.Document{}, refused(connect.CodeInvalidArgument, "%s", err.Error())
+		return config.Document{}, errorf(connect.CodeInvalidArgument, "%s", err.Error())
 	}
 	d, err := f.Document()
 	if err != nil {
-		return config.Document{}, refused(connect.CodeInvalidArgument, "%s", err.Error())
+		return config.Document{}, errorf(connect.CodeInvalidArgument, "%s", err.Error())
 	}
 	return d, nil
 }
--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -16,13 +16,13 @@
 func (a api) ExplainPolicy(_ context.Context, req *connect.Request[adminv1.ExplainPolicyRequest]) (*connect.Response[adminv1.ExplainPolicyResponse], error) {
 	v, _ := a.Follower.View()
 	if v == nil {
-		return nil, refused(connect.CodeUnavailable, "There is no configuration yet.")
+		return nil, errorf(connect.CodeUnavailable, "There is no configuration yet.")
 	}
 	if _, ok := v.Account(req.Msg.GetAccount()); !ok {
-		return nil, refused(connect.CodeNotFound, "There is no account %q.", req.Msg.GetAccount())
+		return nil, errorf(connect.CodeNotFound, "There is no account %q.", req.Msg.GetAccount())
 	}
 	if _, ok := v.Class(req.Msg.GetClass()); !ok {
-		return nil, refused(connect.CodeNotFound, "There is no class %q.", req.Msg.GetClass())
+		return nil, errorf(connect.CodeNotFound, "There is no class %q.", req.Msg.GetClass())
 	}
 	s, err := v.Explain(req.Msg.GetAccount(), req.Msg.GetClass())
 	if err != nil {
@@ -41,12 +41,12 @@
 func (a api) Status(ctx context.Context, _ *connect.Request[adminv1.StatusRequest]) (*connect.Response[adminv1.StatusResponse], error) {
 	v, confirmed := a.Follower.View()
 	if v == nil {
-		return nil, refused(connect.CodeUnavailable, "There is no configuration yet.")
+		return nil, errorf(connect.CodeUnavailable, "There is no configuration yet.")
 	}
-	resp := &adminv1.StatusResponse{Version: v.Version(), Confirmed: confirmed, Targets: a.targets(ctx, v)}
+	resp := &adminv1.StatusResponse{Version: v.Version(), Confirmed: confirmed, Targets: a.targetStatuses(ctx, v)}
 	boxes, err := a.Boxes.Boxes(ctx)
 	if err != nil {
-		return nil, fault(err, 0)
+		return nil, storeError(err, 0)
 	}
 	for _, b := range boxes {
 		resp.Boxes = append(resp.Boxes, &adminv1.BoxStatus{Id: string(b.ID()), Hall: string(b.Hall()), Addr: b.Addr(), Leaving: b.Leaving()})
@@ -55,7 +55,7 @@
 }
 
 // targets asks all targets for their load at the same time.
-func (a api) targets(ctx context.Context, v *config.View) []*adminv1.TargetStatus {
+func (a api) targetStatuses(ctx context.Context, v *config.View) []*adminv1.TargetStatus {
 	ctx, cancel := clock.WithDeadline(ctx, a.Clock, a.Clock.Now().Add(statusTimeout))
 	defer cancel()
 	list := v.Targets(func(config.Target) bool { return true })
@@ -63,13 +63,13 @@
 	var wait sync.WaitGroup
 	for i, t := range list {
 		out[i] = &adminv1.TargetStatus{Id: t.ID, Hall: t.Hall, Pool: t.Model + t.Service, Drain: t.Drain}
-		wait.Go(func() { a.ask(ctx, out[i]) })
+		wait.Go(func() { a.queryLoad(ctx, out[i]) })
 	}
 	wait.Wait()
 	return out
 }
 
-func (a api) ask(ctx context.Context, s *adminv1.TargetStatus) {
+func (a api) queryLoad(ctx context.Context, s *adminv1.TargetStatus) {
 	e, ok := a.Engines.Engine(barleystep.TargetID(s.GetId()), false)
 	if !ok {
 		return
--- a/internal/admin/versions.go
+++ b/internal/admin/versions.go
@@ -17,11 +17,11 @@
 	if v == 0 {
 		head, err := a.Store.Head(ctx)
 		if err != nil {
-			return nil, fault(err, 0)
+			return nil, storeError(err, 0)
 		}
 		v = head
 	}
-	d, err := a.at(ctx, v)
+	d, err := a.documentAt(ctx, v)
 	if err != nil {
 		return nil, err
 	}
@@ -38,16 +38,16 @@
 
 // Submit offers a whole configuration as a new version.
 func (a api) Submit(ctx context.Context, req *connect.Request[adminv1.SubmitRequest]) (*connect.Response[adminv1.SubmitResponse], error) {
-	after, err := parse(req.Msg.GetToml())
+	after, err := parseDocument(req.Msg.GetToml())
 	if err != nil {
 		return nil, err
 	}
-	return a.offer(ctx, offer{id: req.Msg.GetId(), base: req.Msg.GetBase(), after: after, reason: req.Msg.GetReason()})
+	return a.submitAgainst(ctx, submission{id: req.Msg.GetId(), base: req.Msg.GetBase(), after: after, reason: req.Msg.GetReason()})
 }
 
-func (a api) offer(ctx context.Context, o offer) (*connect.Response[adminv1.SubmitResponse], error) {
+func (a api) submitAgainst(ctx context.Context, o submission) (*connect.Response[adminv1.SubmitResponse], error) {
 	var err error
-	if o.before, err = a.at(ctx, o.base); err != nil {
+	if o.before, err = a.documentAt(ctx, o.base); err != nil {
 		return nil, err
 	}
 	v, err := a.submit(ctx, o)
@@ -59,12 +59,12 @@
 
 // Check runs the checks of Submit.
 func (a api) Check(_ context.Context, req *connect.Request[adminv1.CheckRequest]) (*connect.Response[adminv1.CheckResponse], error) {
-	d, err := parse(req.Msg.GetToml())
+	d, err := parseDocument(req.Msg.GetToml())
 	if err != nil {
 		return nil, err
 	}
 	if _, err := config.NewView(1, d); err != nil {
-		return nil, refused(connect.CodeInvalidArgument, "%s", err.Error())
+		return nil, errorf(connect.CodeInvalidArgument, "%s", err.Error())
 	}
 	return connect.NewResponse(&adminv1.CheckResponse{}), nil
 }
@@ -77,7 +77,7 @@
 	if req.Msg.GetBefore() == 0 {
 		head, err := a.Store.Head(ctx)
 		if err != nil {
-			return nil, fault(err, 0)
+			return nil, storeError(err, 0)
 		}
 		last = head
 	}
@@ -87,7 +87,7 @@
 	}
 	list, err := a.Store.Increments(ctx, max(1, last-limit+1), last)
 	if err != nil {
-		return nil, fault(err, 0)
+		return nil, storeError(err, 0)
 	}
 	resp := &adminv1.HistoryResponse{}
 	for _, inc := range slices.Backward(list) {
@@ -105,11 +105,11 @@
 
 // Diff lists what differs between two versions.
 func (a api) Diff(ctx context.Context, req *connect.Request[adminv1.DiffRequest]) (*connect.Response[adminv1.DiffResponse], error) {
-	from, err := a.at(ctx, req.Msg.GetFrom())
+	from, err := a.documentAt(ctx, req.Msg.GetFrom())
 	if err != nil {
 		return nil, err
 	}
-	to, err := a.at(ctx, req.Msg.GetTo())
+	to, err := a.documentAt(ctx, req.Msg.GetTo())
 	if err != nil {
 		return nil, err
 	}
@@ -127,15 +127,15 @@
 
 // Restore submits the content of an old version anew.
 func (a api) Restore(ctx context.Context, req *connect.Request[adminv1.RestoreRequest]) (*connect.Response[adminv1.SubmitResponse], error) {
-	after, err := a.at(ctx, req.Msg.GetVersion())
+	after, err := a.documentAt(ctx, req.Msg.GetVersion())
 	if err != nil {
 		return nil, err
 	}
 	base := req.Msg.GetBase()
 	if base == 0 {
 		if base, err = a.Store.Head(ctx); err != nil {
-			return nil, fault(err, 0)
+			return nil, storeError(err, 0)
 		}
 	}
-	return a.offer(ctx, offer{base: base, after: after, reason: req.Msg.GetReason()})
+	return a.submitAgainst(ctx, submission{base: base, after: after, reason: req.Msg.GetReason()})
 }
