--- a/internal/local/configuration.go
+++ b/internal/local/configuration.go
@@ -68,7 +68,7 @@
 			EngineTokens: engineTokens,
 			MaxPrompt:    maxPrompt,
 			MaxOutput:    maxOutput,
-			PrefillRate:  enginePrefill,
+			PrefillRate:  enginePrefillRate,
 		}},
 		Services: []config.Service{{Name: ServiceName}},
 	}
--- a/internal/local/hall.go
+++ b/internal/local/hall.go
@@ -56,15 +56,15 @@
 	engines []*standin.Engine
 	service standin.Service
 	entries []*box.Entry
-	stops   []context.CancelFunc
+	cancels []context.CancelFunc
 	ready   chan struct{}
 }
 
 const (
-	defaultBoxes   = 3
-	defaultEngines = 4
-	engineStep     = 10 * time.Millisecond
-	enginePrefill  = 20_000
+	defaultBoxes      = 3
+	defaultEngines    = 4
+	engineStepTime    = 10 * time.Millisecond
+	enginePrefillRate = 20_000
 )
 
 // Init fills in what was left out. It is called once before Run.
@@ -94,12 +94,12 @@
 			err = eris.Wrap(err, "local: run")
 		}
 	}()
-	back, stopBack := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopBack()
-	if err := h.submit(ctx, h.startTargets(back)); err != nil {
+	backgroundCtx, cancelBackground := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancelBackground()
+	if err := h.submitFirst(ctx, h.startTargets(backgroundCtx)); err != nil {
 		return err
 	}
-	if err := h.startAdmin(back); err != nil {
+	if err := h.startAdmin(backgroundCtx); err != nil {
 		return err
 	}
 	done, err := h.startBoxes(ctx)
@@ -128,7 +128,7 @@
 	}
 	s := settings.Settings{
 		Box:    settings.Box{ID: "admin", Hall: HallName},
-		Listen: settings.Listen{Admin: h.port(AdminPort)},
+		Listen: settings.Listen{Admin: h.loopbackAddr(AdminPort)},
 		Admin:  settings.Admin{Operators: Operators()},
 	}
 	h.admin = &box.Admin{Settings: s, Clock: h.Clock, Table: h.Table, Objects: h.Objects, Boxes: &h.boxlist, Exporter: exporter, Log: h.Log}
@@ -139,7 +139,7 @@
 
 // port returns a loopback address with the port, or with any where ports are
 // not fixed.
-func (h *Hall) port(number int) string {
+func (h *Hall) loopbackAddr(number int) string {
 	if !h.FixedPorts {
 		number = 0
 	}
@@ -150,10 +150,10 @@
 // them.
 func (h *Hall) startTargets(ctx context.Context) config.File {
 	f := Configuration()
-	top := supervisor.New("stand-ins", h.Log, 0)
+	sup := supervisor.New("stand-ins", h.Log, 0)
 	var servers []*web.Server
 	for i := range h.EngineCount {
-		e := &standin.Engine{Clock: h.Clock, Step: engineStep, PrefillRate: enginePrefill, Fault: h.Fault}
+		e := &standin.Engine{Clock: h.Clock, Step: engineStepTime, PrefillRate: enginePrefillRate, Fault: h.Fault}
 		h.engines = append(h.engines, e)
 		servers = append(servers, &web.Server{Name: fmt.Sprintf("engine%d", i+1), Handler: e})
 	}
@@ -162,9 +162,9 @@
 		s.Addr = "127.0.0.1:0"
 		s.Clock = h.Clock
 		s.Log = h.Log
-		top.Add(s)
+		sup.Add(s)
 	}
-	top.ServeBackground(ctx)
+	sup.ServeBackground(ctx)
 	for i, s := range servers {
 		<-s.Ready()
 		t := config.Target{ID: s.Name, Hall: HallName, URL: "http://" + s.ListenAddr(), Model: ModelName}
@@ -176,7 +176,7 @@
 	return f
 }
 
-func (h *Hall) submit(ctx context.Context, f config.File) error {
+func (h *Hall) submitFirst(ctx context.Context, f config.File) error {
 	d, err := f.Document()
 	if err != nil {
 		return err
@@ -211,7 +211,7 @@
 	h.boxlist.SetBoxes(list...)
 	for _, e := range h.entries {
 		ctx, cancel := context.WithCancel(ctx)
-		h.stops = append(h.stops, cancel)
+		h.cancels = append(h.cancels, cancel)
 		if err := e.Build(context.WithoutCancel(ctx)); err != nil {
 			return nil, err
 		}
@@ -231,7 +231,7 @@
 	}
 	s := settings.Settings{
 		Box:    settings.Box{ID: fmt.Sprintf("box%d", i+1), Hall: HallName},
-		Listen: settings.Listen{Callers: h.port(CallersPort + i), Admin: h.port(AdminPort + 1 + i), Peers: peers},
+		Listen: settings.Listen{Callers: h.loopbackAddr(CallersPort + i), Admin: h.loopbackAddr(AdminPort + 1 + i), Peers: peers},
 		Limits: settings.Limits{Notice: settings.Duration(100 * time.Millisecond)},
 	}
 	return &box.Entry{
@@ -268,4 +268,4 @@
 func (h *Hall) Service() *standin.Service { return &h.service }
 
 // Stop makes a planned stop of one box.
-func (h *Hall) StopBox(i int) { h.stops[i]() }
+func (h *Hall) StopBox(i int) { h.cancels[i]() }
--- a/internal/local/hall_test.go
+++ b/internal/local/hall_test.go
@@ -74,9 +74,9 @@
 }
 
 const (
-	chat     = "/v1/chat/completions"
-	question = `{"model":"reader","max_tokens":4,"messages":[{"role":"user","content":"Read this deed."}]}`
-	streamed = `{"model":"reader","stream":true,"max_tokens":4,"messages":[{"role":"user","content":"Read this deed."}]}`
+	chatPath      = "/v1/chat/completions"
+	wholeRequest  = `{"model":"reader","max_tokens":4,"messages":[{"role":"user","content":"Read this deed."}]}`
+	streamRequest = `{"model":"reader","stream":true,"max_tokens":4,"messages":[{"role":"user","content":"Read this deed."}]}`
 )
 
 func TestOpenAIClient(t *testing.T) {
@@ -124,19 +124,19 @@
 		status int
 		reason barleystep.Reason
 	}{
-		"malformed":            {chat, header(), `{"model":`, 400, barleystep.ReasonMalformed},
-		"empty prompt":         {chat, header(), `{"model":"reader","messages":[]}`, 400, barleystep.ReasonEmptyPrompt},
-		"no prompt":            {chat, header(), `{"model":"reader"}`, 400, barleystep.ReasonEmptyPrompt},
-		"unknown model":        {chat, header(), strings.Replace(question, "reader", "writer", 1), 404, barleystep.ReasonUnknownModel},
-		"unknown class":        {chat, header("Barleystep-Class", "golden"), question, 403, barleystep.ReasonUnknownClass},
-		"missing key":          {chat, http.Header{}, question, 401, barleystep.ReasonMissingKey},
-		"stale key":            {chat, header("Authorization", "Bearer old"), question, 401, barleystep.ReasonInvalidKey},
-		"time limit too long":  {chat, header("Barleystep-Time-Limit", "100h"), question, 400, barleystep.ReasonTimeLimitOutOfRange},
-		"time limit unread":    {chat, header("Barleystep-Time-Limit", "soon"), question, 400, barleystep.ReasonTimeLimitOutOfRange},
-		"no idempotency key":   {chat, header("Barleystep-Repeatable", "no"), question, 400, barleystep.ReasonMissingIdempotencyKey},
+		"malformed":            {chatPath, header(), `{"model":`, 400, barleystep.ReasonMalformed},
+		"empty prompt":         {chatPath, header(), `{"model":"reader","messages":[]}`, 400, barleystep.ReasonEmptyPrompt},
+		"no prompt":            {chatPath, header(), `{"model":"reader"}`, 400, barleystep.ReasonEmptyPrompt},
+		"unknown model":        {chatPath, header(), strings.Replace(wholeRequest, "reader", "writer", 1), 404, barleystep.ReasonUnknownModel},
+		"unknown class":        {chatPath, header("Barleystep-Class", "golden"), wholeRequest, 403, barleystep.ReasonUnknownClass},
+		"missing key":          {chatPath, http.Header{}, wholeRequest, 401, barleystep.ReasonMissingKey},
+		"stale key":            {chatPath, header("Authorization", "Bearer old"), wholeRequest, 401, barleystep.ReasonInvalidKey},
+		"time limit too long":  {chatPath, header("Barleystep-Time-Limit", "100h"), wholeRequest, 400, barleystep.ReasonTimeLimitOutOfRange},
+		"time limit unread":    {chatPath, header("Barleystep-Time-Limit", "soon"), wholeRequest, 400, barleystep.ReasonTimeLimitOutOfRange},
+		"no idempotency key":   {chatPath, header("Barleystep-Repeatable", "no"), wholeRequest, 400, barleystep.ReasonMissingIdempotencyKey},
 		"unknown service":      {"/v1/services/none/x", header(), "", 404, barleystep.ReasonUnknownService},
-		"longer than anything": {chat, header(), huge, 400, barleystep.ReasonPromptTooLong},
-		"body over the limit":  {chat, header(), strings.Repeat(" ", 16<<20+1), 413, barleystep.ReasonBodyTooLarge},
+		"longer than anything": {chatPath, header(), huge, 400, barleystep.ReasonPromptTooLong},
+		"body over the limit":  {chatPath, header(), strings.Repeat(" ", 16<<20+1), 413, barleystep.ReasonBodyTooLarge},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -153,7 +153,7 @@
 }
 
 // once makes the first attempt meet the fault and all others go well.
-func once(f standin.Fault) func(string) standin.Fault {
+func faultOnce(f standin.Fault) func(string) standin.Fault {
 	var o sync.Once
 	return func(string) (got standin.Fault) {
 		o.Do(func() { got = f })
@@ -161,13 +161,13 @@
 	}
 }
 
-func always(f standin.Fault) func(string) standin.Fault {
+func faultAlways(f standin.Fault) func(string) standin.Fault {
 	return func(string) standin.Fault { return f }
 }
 
 func TestTargetFaults(t *testing.T) {
 	limit := []string{"Barleystep-Time-Limit", "2s"}
-	strict := []string{"Barleystep-Repeatable", "no", "Idempotency-Key", "k"}
+	nonRepeatable := []string{"Barleystep-Repeatable", "no", "Idempotency-Key", "k"}
 	cases := map[string]struct {
 		fault   func(string) standin.Fault
 		header  http.Header
@@ -175,26 +175,26 @@
 		outcome string
 		runs    int // runs is how many attempts were started in all.
 	}{
-		"refused once, tried elsewhere":         {once(standin.FaultRefuse), header(), question, "done", 1},
-		"silent once, tried elsewhere":          {once(standin.FaultNoAnswer), header(), question, "done", 2},
-		"foreign answer, tried elsewhere":       {once(standin.FaultWrongAttempt), header(), streamed, "done", 2},
-		"torn stream is resumed":                {once(standin.FaultBreakStream), header(), streamed, "done", 1},
-		"crossed chunk is resumed":              {once(standin.FaultForeignEvent), header(), streamed, "done", 1},
-		"gap is resumed":                        {once(standin.FaultSkipEvent), header(), streamed, "done", 1},
-		"repeated chunk is dropped":             {once(standin.FaultRepeatEvent), header(), streamed, "done", 1},
-		"all refuse":                            {always(standin.FaultRefuse), header(limit...), question, "not-run", 0},
-		"hangs until the deadline":              {always(standin.FaultHang), header(limit...), question, "failed", 1},
-		"not repeatable, refused once":          {once(standin.FaultRefuse), header(strict...), question, "done", 1},
-		"not repeatable, silent is resumed":     {once(standin.FaultNoAnswer), header(strict...), question, "done", 1},
-		"not repeatable, foreign answer":        {always(standin.FaultWrongAttempt), header(strict...), question, "done", 1},
-		"not repeatable, hangs to the deadline": {always(standin.FaultHang), header(append(limit, strict...)...), question, "unknown", 1},
+		"refused once, tried elsewhere":         {faultOnce(standin.FaultRefuse), header(), wholeRequest, "done", 1},
+		"silent once, tried elsewhere":          {faultOnce(standin.FaultNoAnswer), header(), wholeRequest, "done", 2},
+		"foreign answer, tried elsewhere":       {faultOnce(standin.FaultWrongAttempt), header(), streamRequest, "done", 2},
+		"torn stream is resumed":                {faultOnce(standin.FaultBreakStream), header(), streamRequest, "done", 1},
+		"crossed chunk is resumed":              {faultOnce(standin.FaultForeignEvent), header(), streamRequest, "done", 1},
+		"gap is resumed":                        {faultOnce(standin.FaultSkipEvent), header(), streamRequest, "done", 1},
+		"repeated chunk is dropped":             {faultOnce(standin.FaultRepeatEvent), header(), streamRequest, "done", 1},
+		"all refuse":                            {faultAlways(standin.FaultRefuse), header(limit...), wholeRequest, "not-run", 0},
+		"hangs until the deadline":              {faultAlways(standin.FaultHang), header(limit...), wholeRequest, "failed", 1},
+		"not repeatable, refused once":          {faultOnce(standin.FaultRefuse), header(nonRepeatable...), wholeRequest, "done", 1},
+		"not repeatable, silent is resumed":     {faultOnce(standin.FaultNoAnswer), header(nonRepeatable...), wholeRequest, "done", 1},
+		"not repeatable, foreign answer":        {faultAlways(standin.FaultWrongAttempt), header(nonRepeatable...), wholeRequest, "done", 1},
+		"not repeatable, hangs to the deadline": {faultAlways(standin.FaultHang), header(append(limit, nonRepeatable...)...), wholeRequest, "unknown", 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			h := &local.Hall{BoxCount: 1, EngineCount: 3, Fault: tc.fault}
 			start(t, h)
-			r := send(t, h.CallersURL(0)+chat, tc.header, tc.body)
+			r := send(t, h.CallersURL(0)+chatPath, tc.header, tc.body)
 			c.Assert(r.err, quicktest.IsNil)
 			c.Check(r.outcome, quicktest.Equals, tc.outcome)
 			runs := 0
@@ -230,27 +230,27 @@
 
 func TestStreamThatFailsHalfWayEndsWithAnError(t *testing.T) {
 	c := quicktest.New(t)
-	h := &local.Hall{BoxCount: 1, EngineCount: 1, Fault: always(standin.FaultBreakStream)}
+	h := &local.Hall{BoxCount: 1, EngineCount: 1, Fault: faultAlways(standin.FaultBreakStream)}
 	start(t, h)
 	h.Engine(0).ForgetOnBreak = true
-	r := send(t, h.CallersURL(0)+chat, header(), streamed)
+	r := send(t, h.CallersURL(0)+chatPath, header(), streamRequest)
 	c.Check(r.outcome, quicktest.Equals, "failed")
 	c.Check(r.body, quicktest.Contains, "event: error\ndata: {\"error\"")
 	c.Check(strings.Contains(r.body, "[DONE]"), quicktest.IsFalse)
 }
 
 func TestClaims(t *testing.T) {
-	strict := header("Barleystep-Repeatable", "no", "Idempotency-Key", "invoice-7")
+	nonRepeatable := header("Barleystep-Repeatable", "no", "Idempotency-Key", "invoice-7")
 	t.Run("retry at another box gets the first answer", func(t *testing.T) {
 		c := quicktest.New(t)
 		h := &local.Hall{BoxCount: 2, EngineCount: 2}
 		start(t, h)
-		first := send(t, h.CallersURL(0)+chat, strict, question)
-		again := send(t, h.CallersURL(1)+chat, strict, question)
+		first := send(t, h.CallersURL(0)+chatPath, nonRepeatable, wholeRequest)
+		again := send(t, h.CallersURL(1)+chatPath, nonRepeatable, wholeRequest)
 		c.Check(first.outcome, quicktest.Equals, "done")
 		c.Check(again.body, quicktest.Equals, first.body)
 		c.Check(len(h.Engine(0).Runs())+len(h.Engine(1).Runs()), quicktest.Equals, 1)
-		other := send(t, h.CallersURL(1)+chat, strict, streamed)
+		other := send(t, h.CallersURL(1)+chatPath, nonRepeatable, streamRequest)
 		c.Check(other.reason, quicktest.Equals, string(barleystep.ReasonIdempotencyKeyReused))
 	})
 	t.Run("with the store down only such requests are refused", func(t *testing.T) {
@@ -259,10 +259,10 @@
 		h := &local.Hall{BoxCount: 1, EngineCount: 1, Table: down}
 		start(t, h)
 		down.SetPlan(func(call table.Call) table.Failure { return table.FailureUnavailable })
-		r := send(t, h.CallersURL(0)+chat, strict, question)
+		r := send(t, h.CallersURL(0)+chatPath, nonRepeatable, wholeRequest)
 		c.Check(r.outcome, quicktest.Equals, "not-run")
 		c.Check(r.reason, quicktest.Equals, string(barleystep.ReasonStoreUnavailable))
-		c.Check(send(t, h.CallersURL(0)+chat, header(), question).outcome, quicktest.Equals, "done")
+		c.Check(send(t, h.CallersURL(0)+chatPath, header(), wholeRequest).outcome, quicktest.Equals, "done")
 		c.Check(h.Engine(0).Runs(), quicktest.HasLen, 1)
 	})
 	t.Run("with the store hung nothing hangs", func(t *testing.T) {
@@ -271,9 +271,9 @@
 		h := &local.Hall{BoxCount: 1, EngineCount: 1, Table: hung}
 		start(t, h)
 		hung.SetPlan(func(table.Call) table.Failure { return table.FailureHang })
-		r := send(t, h.CallersURL(0)+chat, strict, question)
+		r := send(t, h.CallersURL(0)+chatPath, nonRepeatable, wholeRequest)
 		c.Check(r.outcome, quicktest.Equals, "not-run")
-		c.Check(send(t, h.CallersURL(0)+chat, header(), question).outcome, quicktest.Equals, "done")
+		c.Check(send(t, h.CallersURL(0)+chatPath, header(), wholeRequest).outcome, quicktest.Equals, "done")
 		c.Check(h.Engine(0).Runs(), quicktest.HasLen, 1)
 	})
 	t.Run("a lost answer of the table does not lose the claim", func(t *testing.T) {
@@ -287,7 +287,7 @@
 			}
 			return table.FailureNone
 		})
-		c.Check(send(t, h.CallersURL(0)+chat, strict, question).outcome, quicktest.Equals, "done")
+		c.Check(send(t, h.CallersURL(0)+chatPath, nonRepeatable, wholeRequest).outcome, quicktest.Equals, "done")
 		c.Check(h.Engine(0).Runs(), quicktest.HasLen, 1)
 	})
 	t.Run("a service call is not sent twice", func(t *testing.T) {
@@ -295,7 +295,7 @@
 		h := &local.Hall{BoxCount: 2, EngineCount: 1, Objects: &object.Memory{}}
 		start(t, h)
 		for range 3 {
-			r := send(t, h.CallersURL(0)+"/v1/services/portal/topup", strict, "20 lei")
+			r := send(t, h.CallersURL(0)+"/v1/services/portal/topup", nonRepeatable, "20 lei")
 			c.Check(r.outcome, quicktest.Equals, "done")
 		}
 		c.Check(h.Service().Calls(), quicktest.HasLen, 1)
@@ -305,10 +305,10 @@
 // TestCallerGoesAway checks that an abandoned request frees its engine.
 func TestCallerGoesAway(t *testing.T) {
 	c := quicktest.New(t)
-	h := &local.Hall{BoxCount: 1, EngineCount: 1, Fault: always(standin.FaultHang)}
+	h := &local.Hall{BoxCount: 1, EngineCount: 1, Fault: faultAlways(standin.FaultHang)}
 	start(t, h)
 	ctx, cancel := context.WithCancel(t.Context())
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, h.CallersURL(0)+chat, bytes.NewReader([]byte(question)))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, h.CallersURL(0)+chatPath, bytes.NewReader([]byte(wholeRequest)))
 	c.Assert(err, quicktest.IsNil)
 	req.Header = header()
 	done := make(chan struct{})
@@ -330,8 +330,8 @@
 	h := &local.Hall{BoxCount: 2, EngineCount: 1}
 	start(t, h)
 	done := make(chan reply)
-	long := strings.Replace(streamed, `"max_tokens":4`, `"max_tokens":60`, 1)
-	go func() { done <- send(t, h.CallersURL(0)+chat, header(), long) }()
+	long := strings.Replace(streamRequest, `"max_tokens":4`, `"max_tokens":60`, 1)
+	go func() { done <- send(t, h.CallersURL(0)+chatPath, header(), long) }()
 	eventually(t, func() bool { return h.Engine(0).UsedTokens() > 0 })
 	h.StopBox(0)
 	r := <-done
@@ -342,9 +342,9 @@
 // eventually waits for a condition that other goroutines bring about.
 func eventually(t *testing.T, cond func() bool) {
 	t.Helper()
-	const patience = 30 * time.Second
+	const timeout = 30 * time.Second
 	clk := clock.System{}
-	for until := clk.Now().Add(patience); clk.Now().Before(until); {
+	for until := clk.Now().Add(timeout); clk.Now().Before(until); {
 		if cond() {
 			return
 		}
