--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -9,29 +9,29 @@
 )
 
 // check looks for entries that contradict each other.
-func (v *View) check() error {
+func (v *View) validate() error {
 	if len(v.classes) == 0 {
 		return eris.New("there is no class")
 	}
 	for _, name := range sortedNames(v.accounts) {
-		if err := v.checkAccount(v.accounts[name]); err != nil {
+		if err := v.validateAccount(v.accounts[name]); err != nil {
 			return eris.Wrapf(err, "account %q", name)
 		}
 	}
 	for _, name := range sortedNames(v.models) {
-		if err := checkModel(v.models[name]); err != nil {
+		if err := validateModel(v.models[name]); err != nil {
 			return eris.Wrapf(err, "model %q", name)
 		}
 	}
 	for _, id := range sortedNames(v.targets) {
-		if err := v.checkTarget(v.targets[id]); err != nil {
+		if err := v.validateTarget(v.targets[id]); err != nil {
 			return eris.Wrapf(err, "target %q", id)
 		}
 	}
 	return nil
 }
 
-func (v *View) checkAccount(a Account) error {
+func (v *View) validateAccount(a Account) error {
 	if a.Weight < 0 || a.Rate < 0 {
 		return eris.New("weight and rate must not be negative")
 	}
@@ -47,15 +47,15 @@
 		if k.Revoked {
 			continue
 		}
-		if other, ok := v.keys[k.SHA256]; ok {
+		if other, ok := v.accountByKey[k.SHA256]; ok {
 			return eris.Errorf("key %q is also a key of account %q", k.ID, other)
 		}
-		v.keys[k.SHA256] = a.Name
+		v.accountByKey[k.SHA256] = a.Name
 	}
 	return nil
 }
 
-func checkModel(m Model) error {
+func validateModel(m Model) error {
 	if strings.Contains(m.Name, ":") {
 		return eris.New("the name must not hold a colon")
 	}
@@ -68,7 +68,7 @@
 	return nil
 }
 
-func (v *View) checkTarget(t Target) error {
+func (v *View) validateTarget(t Target) error {
 	if (t.Model == "") == (t.Service == "") {
 		return eris.New("exactly one of model and service must be set")
 	}
--- a/internal/config/view.go
+++ b/internal/config/view.go
@@ -21,41 +21,41 @@
 // View is one version of the configuration, checked and indexed for reading.
 // It is immutable and safe for concurrent use.
 type View struct {
-	version  int64
-	document Document
-	accounts map[string]Account
-	keys     map[string]string
-	classes  map[string]Class
-	policies map[string]Policy
-	models   map[string]Model
-	targets  map[string]Target
-	services map[string]Service
-	shares   map[shareKey]Share
+	version      int64
+	document     Document
+	accounts     map[string]Account
+	accountByKey map[string]string
+	classes      map[string]Class
+	policies     map[string]Policy
+	models       map[string]Model
+	targets      map[string]Target
+	services     map[string]Service
+	shares       map[shareKey]Share
 }
 
 // NewView checks the document and indexes it. The error names the entry at
 // fault.
 func NewView(version int64, d Document) (v *View, err error) {
 	v = &View{
-		version:  version,
-		document: d,
-		accounts: make(map[string]Account),
-		keys:     make(map[string]string),
-		classes:  make(map[string]Class),
-		policies: make(map[string]Policy),
-		models:   make(map[string]Model),
-		targets:  make(map[string]Target),
-		services: make(map[string]Service),
+		version:      version,
+		document:     d,
+		accounts:     make(map[string]Account),
+		accountByKey: make(map[string]string),
+		classes:      make(map[string]Class),
+		policies:     make(map[string]Policy),
+		models:       make(map[string]Model),
+		targets:      make(map[string]Target),
+		services:     make(map[string]Service),
 	}
 	for k, body := range d.entries {
 		if err = v.decode(k, body); err != nil {
 			return nil, eris.Wrapf(err, "config: %s %q", k.kind, k.name)
 		}
 	}
-	if err = v.check(); err != nil {
+	if err = v.validate(); err != nil {
 		return nil, eris.Wrap(err, "config: check")
 	}
-	if v.shares, err = evaluate(v); err != nil {
+	if v.shares, err = evaluateShares(v); err != nil {
 		return nil, eris.Wrap(err, "config: evaluate policy")
 	}
 	return v, nil
@@ -100,7 +100,7 @@
 
 // AccountOfKey returns the account to which a bearer key belongs.
 func (v *View) AccountOfKey(key string) (a Account, ok bool) {
-	name, ok := v.keys[HashKey(key)]
+	name, ok := v.accountByKey[HashKey(key)]
 	if !ok {
 		return Account{}, false
 	}
@@ -133,8 +133,8 @@
 func (v *View) DefaultClass() string {
 	name := ""
 	for n, c := range v.classes {
-		worst := v.classes[name]
-		if name == "" || c.Rank > worst.Rank || (c.Rank == worst.Rank && n < name) {
+		lowest := v.classes[name]
+		if name == "" || c.Rank > lowest.Rank || (c.Rank == lowest.Rank && n < name) {
 			name = n
 		}
 	}
