--- a/internal/admin/service.go
+++ b/internal/admin/service.go
@@ -90,7 +90,7 @@
 }
 
 // offer is a change that is to become a version.
-type submission struct {
+type commit struct {
 	id     string
 	base   int64
 	before config.Document
@@ -99,7 +99,7 @@
 }
 
 // submit offers the change under the operator's name.
-func (s *Service) submit(ctx context.Context, o submission) (int64, error) {
+func (s *Service) submit(ctx context.Context, o commit) (int64, error) {
 	operator := operatorOf(ctx)
 	if o.reason == "" {
 		return 0, errorf(connect.CodeInvalidArgument, "Give a reason for the change.")
@@ -138,7 +138,7 @@
 		if err != nil {
 			return 0, err
 		}
-		v, lastErr = s.submit(ctx, submission{base: v, before: d, after: d.Apply([]config.Change{change}), reason: reason})
+		v, lastErr = s.submit(ctx, commit{base: v, before: d, after: d.Apply([]config.Change{change}), reason: reason})
 		if connect.CodeOf(lastErr) != connect.CodeAborted || lastErr == nil {
 			return v, lastErr
 		}
--- a/internal/admin/versions.go
+++ b/internal/admin/versions.go
@@ -42,10 +42,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return a.submitAgainst(ctx, submission{id: req.Msg.GetId(), base: req.Msg.GetBase(), after: after, reason: req.Msg.GetReason()})
+	return a.commit(ctx, commit{id: req.Msg.GetId(), base: req.Msg.GetBase(), after: after, reason: req.Msg.GetReason()})
 }
 
-func (a api) submitAgainst(ctx context.Context, o submission) (*connect.Response[adminv1.SubmitResponse], error) {
+func (a api) commit(ctx context.Context, o commit) (*connect.Response[adminv1.SubmitResponse], error) {
 	var err error
 	if o.before, err = a.documentAt(ctx, o.base); err != nil {
 		return nil, err
@@ -137,5 +137,5 @@
 			return nil, storeError(err, 0)
 		}
 	}
-	return a.submitAgainst(ctx, submission{base: base, after: after, reason: req.Msg.GetReason()})
+	return a.commit(ctx, commit{base: base, after: after, reason: req.Msg.GetReason()})
 }
--- a/internal/config/share.go
+++ b/internal/config/share.go
@@ -13,7 +13,7 @@
 // evaluate runs the policy once for each account and class, so that no request
 // has to.
 func evaluateShares(v *View) (shares map[shareKey]Share, err error) {
-	program, err := v.compilePolicy()
+	program, err := v.program()
 	if err != nil {
 		return nil, err
 	}
@@ -31,7 +31,7 @@
 }
 
 // program compiles the active policy: the one that sorts first by name.
-func (v *View) compilePolicy() (*policy.Program, error) {
+func (v *View) program() (*policy.Program, error) {
 	names := sortedNames(v.policies)
 	if len(names) == 0 {
 		return policy.Default(), nil
@@ -65,7 +65,7 @@
 
 // Explain runs the policy anew for one account and class.
 func (v *View) Explain(account, class string) (s Share, err error) {
-	program, err := v.compilePolicy()
+	program, err := v.program()
 	if err != nil {
 		return Share{}, err
 	}
--- a/internal/trial/baseline.go
+++ b/internal/trial/baseline.go
@@ -122,6 +122,6 @@
 	b.dispatchQueued()
 }
 
-func (b *baseline) recordLoad(id barleystep.TargetID, l barleystep.Load) { b.loads[id] = l }
+func (b *baseline) loadReport(id barleystep.TargetID, l barleystep.Load) { b.loads[id] = l }
 
 func (b *baseline) boxCrashed(box int) { b.crashedBoxes[box] = true }
--- a/internal/trial/capacity.go
+++ b/internal/trial/capacity.go
@@ -33,7 +33,7 @@
 		granted:      make(map[barleystep.AttemptID]bool),
 		crashedBoxes: make(map[int]bool),
 	}
-	for i := range boxCount {
+	for i := range boxes {
 		o.holders = append(o.holders, capacity.NewHolder(boxName(i)))
 	}
 	o.startDispenser()
@@ -139,7 +139,7 @@
 	o.tick()
 }
 
-func (o *capacityDispatcher) recordLoad(id barleystep.TargetID, l barleystep.Load) {
+func (o *capacityDispatcher) loadReport(id barleystep.TargetID, l barleystep.Load) {
 	if !o.down {
 		o.dispenser.UpdateLoad(id, l)
 	}
@@ -166,7 +166,7 @@
 		return
 	}
 	o.down = true
-	o.dispenserBox = (box + 1) % boxCount
+	o.dispenserBox = (box + 1) % boxes
 	lost := o.waiting
 	o.waiting = make(map[barleystep.AttemptID]*request)
 	o.fleet.sim.After(takeoverDelay, func() {
--- a/internal/trial/engine.go
+++ b/internal/trial/engine.go
@@ -42,8 +42,8 @@
 	priority     int
 	arrival      int // order is the arrival at the engine.
 	conversation uint64
-	prefillLeft  int // unread is the prompt tokens left to read.
-	decodeLeft   int // left is the tokens left to generate; a member's part has none.
+	toPrefill    int // unread is the prompt tokens left to read.
+	toDecode     int // left is the tokens left to generate; a member's part has none.
 	kvTokens     int // tokens is the memory that the job takes.
 	onFirstToken func(now time.Duration)
 	onDone       func(now time.Duration)
@@ -59,7 +59,7 @@
 	waiting      []*job
 	running      []*job
 	usedTokens   int // memory is what running jobs take.
-	arrivals     int
+	arrival      int
 	busy         bool
 	dead         bool
 	hung         bool
@@ -74,8 +74,8 @@
 		e.sim.After(0, func() { j.onFailed(e.sim.Elapsed()) })
 		return
 	}
-	e.arrivals++
-	j.arrival = e.arrivals
+	e.arrival++
+	j.arrival = e.arrival
 	e.waiting = append(e.waiting, j)
 	sort.SliceStable(e.waiting, func(a, b int) bool { return before(e.waiting[a], e.waiting[b]) })
 	e.startStep()
@@ -97,13 +97,13 @@
 		return
 	}
 	e.busy = true
-	duration, apply := e.planStep()
+	duration, finishStep := e.planStep()
 	e.sim.After(duration, func() {
 		e.busy = false
 		if e.dead || e.hung {
 			return
 		}
-		apply()
+		finishStep()
 		e.startStep()
 	})
 }
@@ -117,10 +117,10 @@
 		}
 		e.waiting = e.waiting[1:]
 		e.usedTokens += j.kvTokens
-		hit := min(e.cache.take(j.conversation), j.prefillLeft)
+		hit := min(e.cache.take(j.conversation), j.toPrefill)
 		e.cachedTokens += hit
-		e.promptTokens += j.prefillLeft
-		j.prefillLeft = max(j.prefillLeft-hit, 1)
+		e.promptTokens += j.toPrefill
+		j.toPrefill = max(j.toPrefill-hit, 1)
 		e.cache.shrink(e.speed.KVTokens - e.usedTokens)
 		e.running = append(e.running, j)
 		sort.SliceStable(e.running, func(a, b int) bool { return before(e.running[a], e.running[b]) })
@@ -129,18 +129,18 @@
 
 // plan decides one step: every sequence that generates gets a token, and the
 // chunk is read for the others in order of priority.
-func (e *simEngine) planStep() (d time.Duration, apply func()) {
+func (e *simEngine) planStep() (d time.Duration, finishStep func()) {
 	d = e.speed.StepTime
 	budget := e.speed.ChunkTokens
 	chunks := make(map[*job]int)
 	var decoding []*job
 	for _, j := range e.running {
-		if j.prefillLeft == 0 {
+		if j.toPrefill == 0 {
 			decoding = append(decoding, j)
 			d += e.speed.TimePerSequence
 			continue
 		}
-		n := min(j.prefillLeft, budget)
+		n := min(j.toPrefill, budget)
 		if n > 0 {
 			chunks[j] = n
 			budget -= n
@@ -152,17 +152,17 @@
 
 func (e *simEngine) finishStep(chunks map[*job]int, decoding []*job) {
 	for _, j := range decoding {
-		j.decodeLeft--
+		j.toDecode--
 	}
 	for _, j := range append([]*job(nil), e.running...) {
 		if n, ok := chunks[j]; ok {
-			j.prefillLeft -= n
-			if j.prefillLeft == 0 {
-				j.decodeLeft--
+			j.toPrefill -= n
+			if j.toPrefill == 0 {
+				j.toDecode--
 				j.onFirstToken(e.sim.Elapsed())
 			}
 		}
-		if j.prefillLeft == 0 && j.decodeLeft <= 0 {
+		if j.toPrefill == 0 && j.toDecode <= 0 {
 			e.finish(j)
 		}
 	}
--- a/internal/trial/fleet.go
+++ b/internal/trial/fleet.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	boxCount    = 3
-	engineCount = 8
+	boxes   = 3
+	engines = 8
 	// hop is the way of a message within a hall.
 	hopDelay = 300 * time.Microsecond
 	// stall is after how long without a token a box gives an attempt up, beyond
@@ -30,7 +30,7 @@
 	firstToken(a *attempt)
 	ended(a *attempt, ok bool)
 	// load brings a load report.
-	recordLoad(id barleystep.TargetID, l barleystep.Load)
+	loadReport(id barleystep.TargetID, l barleystep.Load)
 	// boxDied tells that a box is gone; its requests were already dropped.
 	boxCrashed(box int)
 }
@@ -49,18 +49,18 @@
 
 // attempt is one try of a request at one engine, or at several together.
 type attempt struct {
-	id           barleystep.AttemptID
-	request      *request
-	targets      []barleystep.TargetID
-	jobs         []*job
-	pendingParts int // unread counts the parts that are still being read.
-	started      bool
-	ended        bool
+	id        barleystep.AttemptID
+	request   *request
+	targets   []barleystep.TargetID
+	jobs      []*job
+	toPrefill int // unread counts the parts that are still being read.
+	started   bool
+	finished  bool
 }
 
 func newFleet(s *timeline.Timeline, speed EngineSpeed) *fleet {
 	f := &fleet{sim: s, speed: speed, byID: make(map[barleystep.TargetID]*simEngine), reportDelay: loadInterval / 2, live: make(map[*attempt]bool)}
-	for i := range engineCount {
+	for i := range engines {
 		e := &simEngine{id: barleystep.TargetID(fmt.Sprintf("e%02d", i)), speed: speed, sim: s}
 		f.engines = append(f.engines, e)
 		f.byID[e.id] = e
@@ -78,7 +78,7 @@
 		id := e.id
 		f.sim.After(f.reportDelay, func() {
 			l.At = f.sim.Now()
-			f.dispatch.recordLoad(id, l)
+			f.dispatch.loadReport(id, l)
 		})
 	}
 }
@@ -92,7 +92,7 @@
 // send starts an attempt at the targets. Together they read and hold a part of
 // the prompt each; the first of them generates.
 func (f *fleet) send(r *request, id barleystep.AttemptID, targets []barleystep.TargetID, priority int) {
-	a := &attempt{id: id, request: r, targets: targets, pendingParts: len(targets)}
+	a := &attempt{id: id, request: r, targets: targets, toPrefill: len(targets)}
 	r.tries++
 	f.live[a] = true
 	n := len(targets)
@@ -102,11 +102,11 @@
 			attempt:      id,
 			priority:     priority,
 			conversation: r.conversation,
-			prefillLeft:  (r.prompt + n - 1) / n,
+			toPrefill:    (r.prompt + n - 1) / n,
 			kvTokens:     (r.prompt + r.output + n - 1) / n,
 			// Every part is held as long as the whole generates.
-			decodeLeft: r.output,
-			onFailed:   func(time.Duration) { f.fail(a) },
+			toDecode: r.output,
+			onFailed: func(time.Duration) { f.fail(a) },
 		}
 		j.onFirstToken = func(time.Duration) { f.partPrefilled(a) }
 		j.onDone = func(time.Duration) { f.partDone(a) }
@@ -126,15 +126,15 @@
 	const slack = 8
 	prefillTime := time.Duration(float64(a.request.prompt) / f.speed.PrefillRate * slack * float64(time.Second))
 	f.sim.After(stallTimeout+prefillTime, func() {
-		if !a.ended && !a.started {
+		if !a.finished && !a.started {
 			f.fail(a)
 		}
 	})
 }
 
 func (f *fleet) partPrefilled(a *attempt) {
-	a.pendingParts--
-	if a.pendingParts > 0 || a.ended {
+	a.toPrefill--
+	if a.toPrefill > 0 || a.finished {
 		return
 	}
 	a.started = true
@@ -142,7 +142,7 @@
 		a.request.firstToken = f.sim.Elapsed()
 	}
 	f.sim.After(hopDelay, func() {
-		if !a.ended {
+		if !a.finished {
 			f.dispatch.firstToken(a)
 		}
 	})
@@ -150,10 +150,10 @@
 
 // partDone ends the attempt when its first part has generated all.
 func (f *fleet) partDone(a *attempt) {
-	if a.ended || a.pendingParts > 0 {
+	if a.finished || a.toPrefill > 0 {
 		return
 	}
-	a.ended = true
+	a.finished = true
 	delete(f.live, a)
 	f.releaseParts(a)
 	a.request.ended = true
@@ -170,10 +170,10 @@
 // fail ends an attempt without an answer; the request is tried elsewhere unless
 // the caller has seen a part of the answer.
 func (f *fleet) fail(a *attempt) {
-	if a.ended {
+	if a.finished {
 		return
 	}
-	a.ended = true
+	a.finished = true
 	delete(f.live, a)
 	f.releaseParts(a)
 	for _, t := range a.targets {
@@ -196,7 +196,7 @@
 		if a.request.box != box {
 			continue
 		}
-		a.ended = true
+		a.finished = true
 		a.request.refused = true
 		delete(f.live, a)
 		f.sim.After(cleanupDelay, func() { f.releaseParts(a) })
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -118,7 +118,7 @@
 }
 
 func (l Workload) draw(rng *rand.Rand, id int, convs []*request) *request {
-	r := &request{id: id, conversation: uint64(id) + 1, box: rng.IntN(boxCount)}
+	r := &request{id: id, conversation: uint64(id) + 1, box: rng.IntN(boxes)}
 	r.account = drawAccount(rng)
 	r.prompt = l.drawPrompt(rng)
 	r.output = int(min(rng.ExpFloat64()*meanOutputTokens+8, 2_000))
@@ -189,7 +189,7 @@
 			output:       meanOutputTokens,
 			conversation: uint64(id+i) + 1,
 			timeLimit:    time.Hour,
-			box:          rng.IntN(boxCount),
+			box:          rng.IntN(boxes),
 			measured:     true,
 		})
 	}
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -42,10 +42,10 @@
 	{"barleystep", capacityStrategy(capacity.Settings{}, true)},
 }
 
-func baselineStrategy(pick func(*baseline) []*simEngine, central bool) func(*fleet, uint64) dispatcher {
+func baselineStrategy(pick func(*baseline) []*simEngine, centralQueue bool) func(*fleet, uint64) dispatcher {
 	return func(f *fleet, seed uint64) dispatcher {
 		b := newBaseline(f, seed, pick)
-		b.centralQueue = central
+		b.centralQueue = centralQueue
 		return b
 	}
 }
@@ -99,7 +99,7 @@
 	s := &timeline.Timeline{}
 	f := newFleet(s, c.EngineSpeed)
 	f.dispatch = c.Strategy.build(f, c.Seed)
-	list := c.Workload.requests(c.Seed, c.EngineSpeed, engineCount, c.Utilization, arrivalSpan, warmup, !c.ShortOnly)
+	list := c.Workload.requests(c.Seed, c.EngineSpeed, engines, c.Utilization, arrivalSpan, warmup, !c.ShortOnly)
 	for _, r := range list {
 		s.After(r.at, func() { f.dispatch.submit(r) })
 	}
@@ -149,12 +149,12 @@
 		}
 	}
 	res.Fairness = jain(requested, served)
-	hits, read := 0, 0
+	cachedTokens, promptTokens := 0, 0
 	for _, e := range f.engines {
-		hits += e.cachedTokens
-		read += e.promptTokens
+		cachedTokens += e.cachedTokens
+		promptTokens += e.promptTokens
 	}
-	res.CachedShare = float64(hits) / float64(max(read, 1))
+	res.CachedShare = float64(cachedTokens) / float64(max(promptTokens, 1))
 	return res
 }
 
