--- a/internal/trial/baseline.go
+++ b/internal/trial/baseline.go
@@ -9,17 +9,17 @@
 	"github.com/barleystep/barleystep"
 )
 
-// baseline is a dispatcher that decides by one simple rule and sends at once.
+// baseline is a dispatcher that follows one simple rule.
 type baseline struct {
 	fleet    *fleet
 	rng      *rand.Rand
 	loads    map[barleystep.TargetID]barleystep.Load
-	inFlight map[barleystep.TargetID]int // sent counts attempts sent and not ended.
+	inFlight map[barleystep.TargetID]int // inFlight counts the attempts at each engine that have not ended.
 	next     int
-	// pick orders the engines, best first.
+	// pick returns the engines ordered by preference, best first.
 	pick func(b *baseline) []*simEngine
-	// central makes requests wait in one queue, first come, first served, until
-	// an engine has nothing waiting.
+	// centralQueue makes requests wait in one queue, first come, first served, until
+	// an engine has fewer than maxPerEngine attempts.
 	centralQueue bool
 	queue        []*request
 	crashedBoxes map[int]bool
@@ -52,7 +52,8 @@
 	return list
 }
 
-// pickLeastLoaded takes the engine with the fewest requests by its last report.
+// pickLeastLoaded prefers the engine with the fewest requests in its last load
+// report.
 func pickLeastLoaded(b *baseline) []*simEngine {
 	list := pickRandom(b)
 	sort.SliceStable(list, func(i, j int) bool {
@@ -62,7 +63,7 @@
 	return list
 }
 
-// pickFewestSent takes the engine with the fewest attempts of our own.
+// pickFewestInFlight prefers the engine with the fewest attempts in flight.
 func pickFewestInFlight(b *baseline) []*simEngine {
 	list := slices.Clone(b.fleet.engines)
 	sort.SliceStable(list, func(i, j int) bool { return b.inFlight[list[i].id] < b.inFlight[list[j].id] })
@@ -82,9 +83,11 @@
 	b.send(r)
 }
 
-// perEngine is how many attempts the first-come baseline sends to an engine.
+// maxPerEngine is the number of attempts in flight at an engine from which the
+// first-come baseline sends it no more.
 const maxPerEngine = 8
 
+// dispatchQueued sends queued requests while an engine is below maxPerEngine.
 func (b *baseline) dispatchQueued() {
 	for len(b.queue) > 0 && b.inFlight[b.pick(b)[0].id] < maxPerEngine {
 		r := b.queue[0]
@@ -93,6 +96,8 @@
 	}
 }
 
+// send sends the request to as many engines as its tokens need KV cache, with a margin
+// of 5%. If too few engines are left, it tries again in a second with all of them.
 func (b *baseline) send(r *request) {
 	list := b.pick(b)
 	n := (r.prompt+r.output)*21/(20*b.fleet.speed.KVTokens) + 1
--- a/internal/trial/capacity.go
+++ b/internal/trial/capacity.go
@@ -7,21 +7,23 @@
 	"github.com/barleystep/barleystep/internal/capacity"
 )
 
-// ours drives the real Dispenser and one Holder for each box.
+// capacityDispatcher places requests with the production Dispenser and a Holder for
+// each box.
 type capacityDispatcher struct {
 	fleet        *fleet
 	settings     capacity.Settings
-	credits      bool // credits lets short prompts run without asking.
+	credits      bool // credits lets boxes send short prompts without a request to the dispenser.
 	dispenser    *capacity.Dispenser
 	dispenserBox int
 	holders      []*capacity.Holder
 	waiting      map[barleystep.AttemptID]*request
 	granted      map[barleystep.AttemptID]bool
-	down         bool // down is set while the dispenser's box is dead and not replaced.
+	down         bool // down is true between the crash of the dispenser's box and the takeover.
 	crashedBoxes map[int]bool
 }
 
-// takeOver is how long the boxes need to notice that the dispenser's box died.
+// takeoverDelay is how long the boxes take to detect the crash of the dispenser's
+// box.
 const takeoverDelay = 3 * time.Second
 
 func newCapacityDispatcher(f *fleet, s capacity.Settings, credits bool) *capacityDispatcher {
@@ -48,7 +50,7 @@
 
 func boxName(i int) barleystep.BoxID { return barleystep.BoxID(string(rune('0' + i))) }
 
-// found starts a dispenser that knows nothing yet.
+// startDispenser starts a dispenser without any state.
 func (o *capacityDispatcher) startDispenser() {
 	o.dispenser = capacity.NewDispenser(o.settings, o.fleet.sim.Now())
 	var specs []capacity.TargetSpec
@@ -76,6 +78,8 @@
 	o.fleet.sim.After(hopDelay, func() { o.requestGrant(r, id) })
 }
 
+// requestGrant requests a grant from the dispenser. While there is none it tries again
+// after takeoverDelay.
 func (o *capacityDispatcher) requestGrant(r *request, id barleystep.AttemptID) {
 	if o.down {
 		o.fleet.sim.After(takeoverDelay, func() { o.requestGrant(r, id) })
@@ -90,6 +94,7 @@
 	o.tick()
 }
 
+// tick starts the requests that the dispenser grants and ends those that it refuses.
 func (o *capacityDispatcher) tick() {
 	if o.down {
 		return
@@ -145,6 +150,8 @@
 	}
 }
 
+// exchangeReports sends each box's report to the dispenser and returns the credits to
+// the box.
 func (o *capacityDispatcher) exchangeReports() {
 	if o.down {
 		return
@@ -157,8 +164,8 @@
 	}
 }
 
-// boxDied loses the box's dispenser, if it has it: what waited there is asked
-// again at the next one.
+// boxCrashed stops the dispenser if it runs on the box. After takeoverDelay a new
+// one starts on the next box, and the requests that waited are submitted to it again.
 func (o *capacityDispatcher) boxCrashed(box int) {
 	o.crashedBoxes[box] = true
 	if box != o.dispenserBox {
--- a/internal/trial/engine.go
+++ b/internal/trial/engine.go
@@ -1,6 +1,6 @@
-// Package trial measures the decisions: it drives the real Dispenser and Holder,
-// and simple baselines, over small fake engines in simulated time. A run is
-// deterministic: the same seed gives the same figures.
+// Package trial measures request placement in simulated time. It drives the
+// production code of package capacity, and simple baselines, over small simulated
+// engines. A run is deterministic: the same seed gives the same results.
 package trial
 
 import (
@@ -12,63 +12,65 @@
 	"github.com/barleystep/barleystep/internal/timeline"
 )
 
-// Speed is how fast the engines of a run are. The users' engines are not
-// settled, so several sets are tried.
+// EngineSpeed describes the engines of a run. The users have not chosen their
+// engines yet, so runs cover several sets.
 type EngineSpeed struct {
 	Name string
-	// Rate is the reading speed in tokens per second.
+	// PrefillRate is the prefill rate in tokens per second.
 	PrefillRate float64
-	// Step is the time of a step that reads nothing.
+	// StepTime is the duration of a step without prefill and without decoding.
 	StepTime time.Duration
-	// Sequence is what each sequence that generates adds to a step.
+	// TimePerSequence is what each decoding sequence adds to a step.
 	TimePerSequence time.Duration
-	// Chunk is how many prompt tokens one step reads at most.
+	// ChunkTokens is the maximum number of prompt tokens that one step prefills.
 	ChunkTokens int
-	// Tokens is the KV memory.
+	// KVTokens is the size of the KV cache in tokens.
 	KVTokens int
 }
 
-// Speeds are the sets of engine speeds that are tried.
+// EngineSpeeds lists the sets of engine speeds that runs cover.
 var EngineSpeeds = []EngineSpeed{
 	{Name: "slow", PrefillRate: 3_000, StepTime: 40 * time.Millisecond, TimePerSequence: 400 * time.Microsecond, ChunkTokens: 1024, KVTokens: 400_000},
 	{Name: "middle", PrefillRate: 8_000, StepTime: 25 * time.Millisecond, TimePerSequence: 200 * time.Microsecond, ChunkTokens: 2048, KVTokens: 400_000},
 	{Name: "fast", PrefillRate: 20_000, StepTime: 15 * time.Millisecond, TimePerSequence: 100 * time.Microsecond, ChunkTokens: 4096, KVTokens: 400_000},
 }
 
-// job is one attempt, or a member's part of one, at an engine.
+// job is an attempt at an engine, or one engine's part of an attempt that several
+// engines share.
 type job struct {
 	request      *request
 	attempt      barleystep.AttemptID
 	priority     int
-	arrival      int // order is the arrival at the engine.
+	arrival      int // arrival is the position in the engine's order of arrival.
 	conversation uint64
-	toPrefill    int // unread is the prompt tokens left to read.
-	toDecode     int // left is the tokens left to generate; a member's part has none.
-	kvTokens     int // tokens is the memory that the job takes.
+	toPrefill    int // toPrefill is the number of prompt tokens left to prefill.
+	toDecode     int // toDecode is the number of tokens left to generate.
+	kvTokens     int // kvTokens is the KV cache that the job occupies, in tokens.
 	onFirstToken func(now time.Duration)
 	onDone       func(now time.Duration)
 	onFailed     func(now time.Duration)
 }
 
-// fakeEngine batches continuously, reads prompts in chunks by priority, and
-// keeps the prefixes of ended conversations in what memory is left.
+// simEngine simulates an engine with continuous batching and chunked prefill in
+// order of priority. It caches the prefixes of finished conversations in the KV
+// cache that running jobs leave free.
 type simEngine struct {
 	id           barleystep.TargetID
 	speed        EngineSpeed
 	sim          *timeline.Timeline
 	waiting      []*job
 	running      []*job
-	usedTokens   int // memory is what running jobs take.
+	usedTokens   int // usedTokens is the KV cache that running jobs occupy, in tokens.
 	arrival      int
 	busy         bool
 	dead         bool
 	hung         bool
 	cache        prefixCache
-	cachedTokens int // hits and read count prompt tokens from cache and in all.
+	cachedTokens int // cachedTokens and promptTokens count admitted prompt tokens: those found in the cache, and all.
 	promptTokens int
 }
 
-// add queues a job.
+// add queues a job. A crashed engine fails it.
 func (e *simEngine) add(j *job) {
 	if e.dead {
 		e.sim.After(0, func() { j.onFailed(e.sim.Elapsed()) })
@@ -88,6 +90,8 @@
 	return a.arrival < b.arrival
 }
 
+// startStep admits waiting jobs and schedules the next step, unless one is in
+// progress, nothing runs, or the engine has crashed or hangs.
 func (e *simEngine) startStep() {
 	if e.busy || e.hung || e.dead {
 		return
@@ -108,7 +112,7 @@
 	})
 }
 
-// admit starts waiting jobs in order of priority while there is memory.
+// admit starts waiting jobs in order of priority while the KV cache has space.
 func (e *simEngine) admit() {
 	for len(e.waiting) > 0 {
 		j := e.waiting[0]
@@ -127,8 +131,9 @@
 	}
 }
 
-// plan decides one step: every sequence that generates gets a token, and the
-// chunk is read for the others in order of priority.
+// planStep returns the duration of the next step and a function that applies its
+// results. Each decoding sequence gets one token; the chunk is shared among the
+// other jobs in order of priority.
 func (e *simEngine) planStep() (d time.Duration, finishStep func()) {
 	d = e.speed.StepTime
 	budget := e.speed.ChunkTokens
@@ -150,6 +155,7 @@
 	return d, func() { e.finishStep(chunks, decoding) }
 }
 
+// finishStep applies the results of a step to the running jobs.
 func (e *simEngine) finishStep(chunks map[*job]int, decoding []*job) {
 	for _, j := range decoding {
 		j.toDecode--
@@ -168,7 +174,7 @@
 	}
 }
 
-// finish ends a job. A member's part stays in memory until the whole has ended.
+// finish ends a job and moves its tokens to the prefix cache.
 func (e *simEngine) finish(j *job) {
 	if !e.remove(j) {
 		return
@@ -189,7 +195,7 @@
 	return false
 }
 
-// cancel drops a job wherever it stands.
+// cancel removes a running or waiting job.
 func (e *simEngine) cancel(j *job) {
 	if e.remove(j) {
 		e.usedTokens -= j.kvTokens
@@ -203,7 +209,7 @@
 	}
 }
 
-// kill ends the engine; its jobs fail.
+// crash stops the engine and fails its jobs. Its prefix cache is lost.
 func (e *simEngine) crash() {
 	e.dead = true
 	jobs := append(append([]*job(nil), e.running...), e.waiting...)
@@ -214,13 +220,13 @@
 	}
 }
 
-// revive starts the engine anew, or lets it go on after a hang.
+// restore restarts the engine after a crash or resumes it after a hang.
 func (e *simEngine) restore() {
 	e.dead, e.hung = false, false
 	e.startStep()
 }
 
-// load is the engine's report. A hung engine still reports.
+// loadReport returns the engine's load report. A hung engine still reports.
 func (e *simEngine) loadReport() barleystep.Load {
 	return barleystep.Load{
 		At:          e.sim.Now(),
@@ -231,7 +237,7 @@
 	}
 }
 
-// prefixCache keeps the prompts of conversations, the latest used longest.
+// prefixCache is an LRU cache of the prompts of conversations.
 type prefixCache struct {
 	order          list.List
 	byConversation map[uint64]*list.Element
@@ -243,8 +249,8 @@
 	tokens       int
 }
 
-// take returns how many tokens of the conversation are cached, and removes them:
-// the running job holds them now.
+// take removes the conversation and returns how many of its tokens were cached:
+// from now on they belong to the running job.
 func (c *prefixCache) take(conversation uint64) int {
 	el, ok := c.byConversation[conversation]
 	if !ok {
@@ -264,7 +270,7 @@
 	c.tokens += tokens
 }
 
-// shrink evicts until the cache fits the room.
+// shrink evicts entries until the cache holds at most capacity tokens.
 func (c *prefixCache) shrink(capacity int) {
 	for c.tokens > capacity && c.order.Len() > 0 {
 		c.drop(c.order.Back())
--- a/internal/trial/fleet.go
+++ b/internal/trial/fleet.go
@@ -12,48 +12,49 @@
 const (
 	boxes   = 3
 	engines = 8
-	// hop is the way of a message within a hall.
+	// hopDelay is the delay of a message within a hall.
 	hopDelay = 300 * time.Microsecond
-	// stall is after how long without a token a box gives an attempt up, beyond
-	// the reading time.
+	// stallTimeout is how long a box waits for the first token, beyond the time for
+	// the prefill, before it gives up the attempt.
 	stallTimeout = 20 * time.Second
-	// retryPause is the wait before a failed request is tried again.
+	// retryDelay is the delay before a failed request is retried.
 	retryDelay   = 20 * time.Millisecond
 	loadInterval = time.Second
 )
 
-// dispatcher decides where and when requests run.
+// dispatcher decides when and at which engines requests run.
 type dispatcher interface {
-	// submit takes a request that has arrived or comes back.
+	// submit accepts a new request or one to be retried.
 	submit(r *request)
-	// first and ended tell what became of an attempt. Full is false.
+	// firstToken and ended report the progress of an attempt; ok is false for a
+	// failed one.
 	firstToken(a *attempt)
 	ended(a *attempt, ok bool)
-	// load brings a load report.
+	// loadReport receives an engine's load report.
 	loadReport(id barleystep.TargetID, l barleystep.Load)
-	// boxDied tells that a box is gone; its requests were already dropped.
+	// boxCrashed reports that a box has crashed; its requests are already dropped.
 	boxCrashed(box int)
 }
 
-// fleet is the engines of a run and the attempts at them.
+// fleet holds the engines of a run and the attempts in progress.
 type fleet struct {
 	sim         *timeline.Timeline
 	speed       EngineSpeed
 	engines     []*simEngine
 	byID        map[barleystep.TargetID]*simEngine
-	reportDelay time.Duration // lag is how late load reports come.
+	reportDelay time.Duration // reportDelay is the delay of load reports.
 	dispatch    dispatcher
 	lastSerial  uint64
 	live        map[*attempt]bool
 }
 
-// attempt is one try of a request at one engine, or at several together.
+// attempt is one try of a request, at one engine or at several together.
 type attempt struct {
 	id        barleystep.AttemptID
 	request   *request
 	targets   []barleystep.TargetID
 	jobs      []*job
-	toPrefill int // unread counts the parts that are still being read.
+	toPrefill int // toPrefill counts the parts whose prefill has not finished.
 	started   bool
 	finished  bool
 }
@@ -69,6 +70,7 @@
 	return f
 }
 
+// report sends the load reports of all engines that have not crashed.
 func (f *fleet) report() {
 	for _, e := range f.engines {
 		if e.dead {
@@ -83,14 +85,14 @@
 	}
 }
 
-// nextID returns an attempt id.
+// nextID returns a new attempt id of the box.
 func (f *fleet) nextID(box int) barleystep.AttemptID {
 	f.lastSerial++
 	return barleystep.NewAttemptID(barleystep.BoxID(fmt.Sprintf("b%d", box)), 1, f.lastSerial)
 }
 
-// send starts an attempt at the targets. Together they read and hold a part of
-// the prompt each; the first of them generates.
+// send starts an attempt at the targets. Each of several targets prefills and
+// keeps an equal part of the prompt.
 func (f *fleet) send(r *request, id barleystep.AttemptID, targets []barleystep.TargetID, priority int) {
 	a := &attempt{id: id, request: r, targets: targets, toPrefill: len(targets)}
 	r.tries++
@@ -104,7 +106,7 @@
 			conversation: r.conversation,
 			toPrefill:    (r.prompt + n - 1) / n,
 			kvTokens:     (r.prompt + r.output + n - 1) / n,
-			// Every part is held as long as the whole generates.
+			// Each part occupies its KV cache until the whole output is generated.
 			toDecode: r.output,
 			onFailed: func(time.Duration) { f.fail(a) },
 		}
@@ -120,8 +122,8 @@
 	f.startStallTimer(a)
 }
 
-// watch gives up an attempt that has got no token for too long, as an entry box
-// does.
+// startStallTimer fails the attempt if its first token does not come in time, as an
+// entry box does. The limit is stallTimeout plus slack times the nominal prefill time.
 func (f *fleet) startStallTimer(a *attempt) {
 	const slack = 8
 	prefillTime := time.Duration(float64(a.request.prompt) / f.speed.PrefillRate * slack * float64(time.Second))
@@ -132,6 +134,8 @@
 	})
 }
 
+// partPrefilled records that one part of the prompt has been prefilled; the last
+// part yields the first token.
 func (f *fleet) partPrefilled(a *attempt) {
 	a.toPrefill--
 	if a.toPrefill > 0 || a.finished {
@@ -148,7 +152,7 @@
 	})
 }
 
-// partDone ends the attempt when its first part has generated all.
+// partDone ends the attempt when the first of its parts has finished decoding.
 func (f *fleet) partDone(a *attempt) {
 	if a.finished || a.toPrefill > 0 {
 		return
@@ -160,15 +164,15 @@
 	f.sim.After(hopDelay, func() { f.dispatch.ended(a, true) })
 }
 
-// drop frees what the attempt holds anywhere.
+// releaseParts cancels the attempt's jobs at all of its engines.
 func (f *fleet) releaseParts(a *attempt) {
 	for i, t := range a.targets {
 		f.byID[t].cancel(a.jobs[i])
 	}
 }
 
-// fail ends an attempt without an answer; the request is tried elsewhere unless
-// the caller has seen a part of the answer.
+// fail ends an attempt without a complete answer. The request is retried at another
+// engine unless the caller has already received a part of the answer.
 func (f *fleet) fail(a *attempt) {
 	if a.finished {
 		return
@@ -189,8 +193,8 @@
 	f.sim.After(retryDelay, func() { f.dispatch.submit(r) })
 }
 
-// killBox drops the requests of a box that has died. Its clean-up frees the
-// engines a few seconds later.
+// killBox drops the requests of a crashed box. The clean-up frees the engines
+// after cleanupDelay.
 func (f *fleet) killBox(box int) {
 	for _, a := range f.attempts() {
 		if a.request.box != box {
@@ -203,7 +207,7 @@
 	}
 }
 
-// attempts returns the live attempts in the order of their ids.
+// attempts returns the attempts in progress, ordered by id.
 func (f *fleet) attempts() []*attempt {
 	list := make([]*attempt, 0, len(f.live))
 	for a := range f.live {
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -9,7 +9,7 @@
 	"github.com/barleystep/barleystep/internal/timeline"
 )
 
-// request is one request of the load.
+// request is one request of a workload.
 type request struct {
 	id           int
 	at           time.Duration
@@ -21,19 +21,20 @@
 	conversation uint64
 	timeLimit    time.Duration
 	box          int
-	measured     bool // warmedUp is set for requests that are measured.
+	measured     bool // measured is false for requests of the warm-up.
 
-	firstToken    time.Duration // first is the time of the first token, zero if there was none.
+	firstToken    time.Duration // firstToken is when the first token came, zero if none did.
 	ended         bool
 	refused       bool
 	failedTargets []barleystep.TargetID
 	tries         int
 }
 
-// band returns the request's band of prompt length.
+// band returns the band of the request's prompt length.
 func (r *request) band() barleystep.Band { return barleystep.BandOf(r.prompt) }
 
-// prefixes returns the hashes that an entry box would make of the prompt.
+// prefixes returns the prefix hashes that an entry box would compute from the
+// prompt: one for 1024 tokens and for each doubling of that.
 func (r *request) prefixes() []uint64 {
 	const firstTokens = 1024
 	var hashes []uint64
@@ -43,33 +44,34 @@
 	return hashes
 }
 
-// prefixMix keeps the hashes of conversations apart.
+// prefixMultiplier separates the prefix hashes of different conversations.
 const prefixMultiplier = 0x9E3779B97F4A7C15
 
-// Load describes the requests of a run.
+// Workload describes the requests of a run.
 type Workload struct {
 	Name string
-	// Bands is the part of each band of prompt length.
+	// BandShares is the fraction of requests in each band of prompt length.
 	BandShares [len(barleystep.Bands)]float64
-	// Growing is the part of requests that go on with a conversation.
+	// ContinuedShare is the fraction of requests that continue a conversation.
 	ContinuedShare float64
-	// Province is how many long bulk prompts arrive at once in the midst of a
-	// run.
+	// BulkBurst is the number of long bulk prompts that arrive together halfway
+	// through a run.
 	BulkBurst int
-	// UrgentLong is the part of long prompts that are urgent.
+	// UrgentLongShare is the fraction of long prompts that are urgent.
 	UrgentLongShare float64
 }
 
-// Loads are the loads of the two users. One prompt in fifty is over 100,000
-// tokens.
+// Workloads lists the workloads of the two users. One prompt in fifty is longer
+// than 100,000 tokens.
 var Workloads = []Workload{
 	{Name: "Conversia", BandShares: [...]float64{0.42, 0.36, 0.20, 0.02}, ContinuedShare: 0.2, UrgentLongShare: 0.4},
 	{Name: "Chaiyaphruek", BandShares: [...]float64{0.60, 0.28, 0.10, 0.02}, ContinuedShare: 0.4, BulkBurst: 40, UrgentLongShare: 0.1},
 }
 
+// bandRanges is the shortest and the longest prompt of each band, in tokens.
 var bandRanges = [...][2]float64{{1_000, 4_000}, {4_000, 16_000}, {16_000, 100_000}, {100_000, 1_000_000}}
 
-// mean returns the mean prompt length of the load in tokens.
+// meanPromptTokens returns the mean prompt length of the workload in tokens.
 func (l Workload) meanPromptTokens() float64 {
 	sum := 0.0
 	for i, part := range l.BandShares {
@@ -85,9 +87,9 @@
 	turnTokens       = 1_500
 )
 
-// requests draws the requests of a run. Level is the part of the fleet's
-// reading speed that they take; without long ones, the short ones stay as they
-// are.
+// requests draws the requests of a run. utilization is the fraction of the fleet's
+// prefill rate that they use. Without withLong the long requests are left out and
+// the short ones stay the same.
 func (l Workload) requests(seed uint64, speed EngineSpeed, engines int, utilization float64, span, warmup time.Duration, withLong bool) []*request {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	rate := utilization * speed.PrefillRate * float64(engines) / l.meanPromptTokens()
@@ -117,6 +119,7 @@
 	return short
 }
 
+// draw draws one request, which may continue one of the earlier ones in convs.
 func (l Workload) draw(rng *rand.Rand, id int, convs []*request) *request {
 	r := &request{id: id, conversation: uint64(id) + 1, box: rng.IntN(boxes)}
 	r.account = drawAccount(rng)
@@ -132,7 +135,7 @@
 	return r
 }
 
-// recentConvs is how far back a conversation may be that goes on.
+// recentConversations is how many requests back a continued conversation may be.
 const recentConversations = 40
 
 func (l Workload) drawPrompt(rng *rand.Rand) int {
@@ -147,7 +150,7 @@
 	return 0
 }
 
-// drawAccount makes the first two accounts large: together half of all.
+// drawAccount draws an account. The first two accounts send half of all requests.
 func drawAccount(rng *rand.Rand) string {
 	if rng.Float64() < 0.5 {
 		return string(rune('a' + rng.IntN(2)))
@@ -155,7 +158,8 @@
 	return string(rune('a' + 2 + rng.IntN(accountCount-2)))
 }
 
-// weightOf is the account's weight: the two large accounts pay for their part.
+// weightOf returns the weight of an account. The two large accounts have four
+// times the weight of the others.
 func weightOf(account string) float64 {
 	if account < "c" {
 		return 4
@@ -163,6 +167,7 @@
 	return 1
 }
 
+// classify sets the request's class, rank and time limit.
 func (l Workload) classify(r *request, urgent float64) {
 	switch {
 	case !r.band().Long():
@@ -174,7 +179,7 @@
 	}
 }
 
-// province is the monthly burst of long bulk prompts of one account.
+// burst returns the monthly burst of long bulk prompts of one account.
 func (l Workload) burst(rng *rand.Rand, id int, at time.Duration) []*request {
 	var list []*request
 	for i := range l.BulkBurst {
@@ -196,7 +201,7 @@
 	return list
 }
 
-// demand returns the request as the decision packages take it.
+// demand returns the request in the form that the placement packages use.
 func (r *request) demand(id barleystep.AttemptID) barleystep.Demand {
 	return barleystep.Demand{
 		Attempt:         id,
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -11,10 +11,10 @@
 	"github.com/barleystep/barleystep/internal/timeline"
 )
 
-// Fault is what fails in the midst of a run.
+// Fault is a fault that is injected into a run.
 type Fault string
 
-// The faults of runs.
+// The faults that a run can have.
 const (
 	FaultNone        Fault = "none"
 	FaultEngineCrash Fault = "engine dies"
@@ -26,13 +26,14 @@
 // Faults lists all faults.
 var Faults = []Fault{FaultNone, FaultEngineCrash, FaultEngineHang, FaultBoxCrash, FaultLateReports}
 
-// Variant is one way to decide.
+// Strategy is one way to place requests.
 type Strategy struct {
 	Name  string
 	build func(f *fleet, seed uint64) dispatcher
 }
 
-// Variants are the baselines and our own versions, the present one last.
+// Strategies lists the baselines and then barleystep's own versions, the current
+// one last.
 var Strategies = []Strategy{
 	{"random", baselineStrategy(pickRandom, false)},
 	{"round robin", baselineStrategy(pickRoundRobin, false)},
@@ -54,47 +55,48 @@
 	return func(f *fleet, _ uint64) dispatcher { return newCapacityDispatcher(f, s, credits) }
 }
 
-// Case is one run.
+// Case describes one run.
 type Case struct {
 	Strategy    Strategy
 	Workload    Workload
 	EngineSpeed EngineSpeed
 	Utilization float64
 	Fault       Fault
-	// Short leaves the long prompts out.
+	// ShortOnly leaves out the long prompts.
 	ShortOnly bool
 	Seed      uint64
 }
 
-// Result is what a run measured.
+// Result holds the measurements of a run.
 type Result struct {
 	Case Case
-	// First holds the times to first token in microseconds, by band.
+	// TTFT holds the times to first token in microseconds, by band.
 	TTFT [len(barleystep.Bands)]*hdrhistogram.Histogram
-	// ShortFirst holds those of both short bands.
+	// ShortTTFT holds the times to first token of all short requests.
 	ShortTTFT *hdrhistogram.Histogram
-	// Requests counts what was measured; Good was answered within the time
-	// limit, Refused was told at once, Starved got nothing by its limit.
+	// Requests counts the measured requests: InTime got their first token within
+	// their time limit, Refused were rejected, Starved got no token in time.
 	Requests int
 	InTime   int
 	Refused  int
 	Starved  int
-	// Fairness is Jain's index of the accounts' answered part.
+	// Fairness is Jain's fairness index over the fraction of each account's prompt
+	// tokens that was served.
 	Fairness float64
-	// Cached is the part of prompt tokens that came from cache.
+	// CachedShare is the fraction of prompt tokens found in engines' prefix caches.
 	CachedShare float64
 }
 
 const (
 	arrivalSpan     = 20 * time.Minute
 	warmup          = 2 * time.Minute
-	drainTime       = 30 * time.Minute // tail is how long after the last arrival a run goes on.
+	drainTime       = 30 * time.Minute // drainTime is how long a run continues after the last arrival.
 	faultStart      = 8 * time.Minute
 	faultEnd        = 11 * time.Minute
 	lateReportDelay = 5 * time.Second
 )
 
-// Run carries out one case.
+// Run simulates one case.
 func Run(c Case) Result {
 	s := &timeline.Timeline{}
 	f := newFleet(s, c.EngineSpeed)
@@ -108,6 +110,7 @@
 	return measure(c, f, list)
 }
 
+// scheduleFault schedules the case's fault and its end.
 func (c Case) scheduleFault(s *timeline.Timeline, f *fleet) {
 	e := f.engines[3]
 	switch c.Fault {
@@ -132,6 +135,8 @@
 	significantDigits = 3
 )
 
+// measure sums up the requests after the warm-up. With a box crash the requests of
+// box 0 are left out, since the crash drops them.
 func measure(c Case, f *fleet, list []*request) Result {
 	res := Result{Case: c, ShortTTFT: hdrhistogram.New(1, maxMicros, significantDigits)}
 	for i := range res.TTFT {
@@ -178,7 +183,7 @@
 	}
 }
 
-// add takes in another run of the same case.
+// merge adds the measurements of another run of the same case.
 func (res *Result) merge(other Result) {
 	n, m := float64(res.Requests), float64(other.Requests)
 	res.Fairness = (n*res.Fairness + m*other.Fairness) / (n + m)
@@ -193,8 +198,8 @@
 	res.ShortTTFT.Merge(other.ShortTTFT)
 }
 
-// jain returns Jain's fairness index of the served parts, 1 when all accounts
-// got the same part of what they asked for.
+// jain returns Jain's fairness index. It is 1 when all accounts were served the same
+// fraction of what they requested.
 func jain(requested, served map[string]float64) float64 {
 	sum, squares, n := 0.0, 0.0, 0.0
 	names := make([]string, 0, len(requested))
--- a/internal/trial/run_test.go
+++ b/internal/trial/run_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestNoRequestStarves holds the decisions to the goals of the brief: in no
-// run does an admitted request go without its first token until its limit.
+// TestNoRequestStarves checks for each fault that every admitted request gets its
+// first token within its time limit.
 func TestNoRequestStarves(t *testing.T) {
 	for _, fault := range trial.Faults {
 		t.Run(string(fault), func(t *testing.T) {
--- a/internal/trial/table.go
+++ b/internal/trial/table.go
@@ -12,26 +12,27 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Plan says what to run.
+// Plan describes which cases to run.
 type Plan struct {
-	// Seeds is how many loads are drawn for each case.
+	// Seeds is the number of runs of each case, each with its own random workload.
 	Seeds   int
 	Workers int
-	// Quick runs only the middle engines, without faults.
+	// Quick runs only the engines of middle speed and leaves out the faults.
 	Quick bool
 }
 
-// Level is how much of the fleet's reading speed a load takes.
+// Level is the utilization of the fleet's prefill rate by a workload.
 type Level struct {
 	Name        string
 	Utilization float64
 }
 
-// Levels are the levels that are tried. Full is what leaves an engine time for
-// the steps that generate.
+// Levels lists the utilizations that the tables cover. "full" leaves an engine time
+// for decoding.
 var Levels = []Level{{"light", 0.3}, {"full", 0.8}, {"1.3 x full", 1.04}}
 
-// cell is a case together with the same case without long prompts.
+// cell is a case with its result and the result of the same case without long
+// prompts.
 type cell struct {
 	level     Level
 	mixed     Case
@@ -93,7 +94,8 @@
 	return writeMarkdown(w, title, "fault", cells, func(c *cell) string { return string(c.mixed.Fault) })
 }
 
-// run runs all cells, several at a time. Each run is deterministic by itself.
+// runCells runs all cells, up to Workers at a time. Each run is deterministic
+// whatever runs beside it.
 func (p Plan) runCells(cells []*cell) {
 	var wait sync.WaitGroup
 	slots := make(chan struct{}, max(p.Workers, 1))
@@ -111,7 +113,7 @@
 	wait.Wait()
 }
 
-// runSeeds runs the case with several loads and adds up what they measured.
+// runSeeds runs the case once for each seed and merges the results.
 func (p Plan) runSeeds(c Case) Result {
 	c.Seed = 1
 	sum := Run(c)
@@ -144,7 +146,8 @@
 	return strings.Join(names, " | ")
 }
 
-// bandCells gives p50, p95 and p99 of the time to first token in seconds.
+// bandCells returns the p50, p95 and p99 of the time to first token of each band,
+// in seconds.
 func bandCells(r Result) string {
 	cells := make([]string, len(r.TTFT))
 	for i, h := range r.TTFT {
@@ -158,7 +161,8 @@
 	return fmt.Sprintf("%.2f", d.Seconds())
 }
 
-// slowdown is the ratio of the short prompts' p95 with and without long ones.
+// slowdown returns the p95 time to first token of short prompts with long prompts
+// beside them, as a multiple of the p95 without.
 func slowdown(c *cell) float64 {
 	return float64(c.result.ShortTTFT.ValueAtQuantile(95)) / float64(c.shortOnly.ShortTTFT.ValueAtQuantile(95))
 }
