--- a/internal/admin/auth.go
+++ b/internal/admin/auth.go
@@ -1,6 +1,6 @@
-// Package admin serves the administration API: teams submit, compare and
-// restore versions of the configuration, drain targets, make keys, and see how
-// the system stands. They do not steer single requests.
+// Package admin serves the administration API. Operators submit, compare and
+// restore versions of the configuration, drain targets, create keys, and query the
+// status of boxes and targets. The API does not control individual requests.
 package admin
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/barleystep/barleystep/internal/settings"
 )
 
-// Roles of operators.
+// The roles of operators.
 const (
 	RoleViewer = "viewer"
 	RoleTeam   = "team"
@@ -23,7 +23,8 @@
 
 type operatorKey struct{}
 
-// auth finds the operator of a call's bearer token.
+// auth authenticates calls by bearer token. operators is indexed by the SHA-256 hash
+// of the token.
 type auth struct{ operators map[string]settings.Operator }
 
 func newAuth(list []settings.Operator) auth {
@@ -34,7 +35,7 @@
 	return a
 }
 
-// WrapUnary refuses calls without a known token.
+// WrapUnary rejects calls without a known token and adds the operator to the context.
 func (a auth) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 		token, ok := strings.CutPrefix(req.Header().Get("Authorization"), "Bearer ")
@@ -46,17 +47,17 @@
 	}
 }
 
-// WrapStreamingClient changes nothing: the API has no streams.
+// WrapStreamingClient returns next, since the API has no streams.
 func (a auth) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
 	return next
 }
 
-// WrapStreamingHandler changes nothing: the API has no streams.
+// WrapStreamingHandler returns next, since the API has no streams.
 func (a auth) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
 	return next
 }
 
-// message is an error text for operators.
+// message is an error whose text is sent to operators.
 type message string
 
 // Error returns the text.
@@ -71,8 +72,8 @@
 	return o
 }
 
-// allow refuses changes that the operator's role does not cover: a team changes
-// its own accounts and nothing else.
+// authorize returns an error unless the operator's role permits all the changes. A
+// team may change only its own accounts, and may not take over those of another.
 func authorize(o settings.Operator, base, next config.Document, changes []config.Change) error {
 	if o.Role == RoleAdmin {
 		return nil
--- a/internal/admin/edits.go
+++ b/internal/admin/edits.go
@@ -12,7 +12,7 @@
 	"github.com/barleystep/barleystep/internal/config"
 )
 
-// Drain keeps new work from a target, or lets it back.
+// Drain stops new work from being sent to a target, or allows it again.
 func (a api) Drain(ctx context.Context, req *connect.Request[adminv1.DrainRequest]) (*connect.Response[adminv1.SubmitResponse], error) {
 	name := req.Msg.GetTarget()
 	v, err := a.edit(ctx, req.Msg.GetReason(), func(d config.Document) (config.Change, error) {
@@ -29,7 +29,7 @@
 	return connect.NewResponse(&adminv1.SubmitResponse{Version: v}), nil
 }
 
-// MakeKey makes a key for an account. Only its hash is kept.
+// MakeKey creates a key for an account. Only its hash is stored.
 func (a api) MakeKey(ctx context.Context, req *connect.Request[adminv1.MakeKeyRequest]) (*connect.Response[adminv1.MakeKeyResponse], error) {
 	name := req.Msg.GetAccount()
 	key := "bs-" + rand.Text()
@@ -49,6 +49,8 @@
 	return connect.NewResponse(&adminv1.MakeKeyResponse{Version: v, Id: id, Key: key}), nil
 }
 
+// nextKeyID returns the lowest number above the count of keys that no key has as its
+// id.
 func nextKeyID(a config.Account) string {
 	for n := len(a.Keys) + 1; ; n++ {
 		id := strconv.Itoa(n)
--- a/internal/admin/service.go
+++ b/internal/admin/service.go
@@ -18,14 +18,14 @@
 	"github.com/barleystep/barleystep/internal/version"
 )
 
-// Targets finds the adapters of targets.
+// EngineSource looks up the engine adapters of targets.
 type EngineSource interface {
-	// Engine returns the adapter of a configured target.
+	// Engine returns the adapter of a configured target; ok is false if there is none.
 	Engine(id barleystep.TargetID, fresh bool) (e barleystep.Engine, ok bool)
 }
 
-// Service is the administration API. Its exported fields are set before
-// Handler.
+// Service is the administration API. Its exported fields are set before Handler is
+// called.
 type Service struct {
 	Clock     barleystep.Clock
 	Store     *version.Store
@@ -38,17 +38,18 @@
 
 const logPrefix = "admin: "
 
-// Handler returns the path of the API and its handler.
+// Handler returns the API's handler and the path to mount it at.
 func (s *Service) Handler() (path string, h http.Handler) {
 	return adminv1connect.NewAdminHandler(api{s}, connect.WithInterceptors(newAuth(s.Operators)))
 }
 
-// api carries the methods of the API.
+// api implements the API's RPC methods.
 type api struct{ *Service }
 
 var _ adminv1connect.AdminHandler = api{}
 
-// fault turns an error of the store into one that says what to do.
+// storeError converts an error of the version store to one that tells the operator
+// what to do. accepted is the version that a conflicting submission got.
 func storeError(err error, accepted int64) error {
 	switch {
 	case eris.Is(err, version.ErrConflict):
@@ -68,7 +69,7 @@
 	}
 }
 
-// current returns the newest version and its document.
+// latest returns the newest version and its document.
 func (s *Service) latest(ctx context.Context) (int64, config.Document, error) {
 	v, err := s.Store.Head(ctx)
 	if err != nil {
@@ -78,6 +79,7 @@
 	return v, d, err
 }
 
+// documentAt returns the document of a version, from the follower if it has it.
 func (s *Service) documentAt(ctx context.Context, v int64) (config.Document, error) {
 	if view, _ := s.Follower.View(); view != nil && view.Version() == v {
 		return view.Document(), nil
@@ -89,7 +91,8 @@
 	return d, nil
 }
 
-// offer is a change that is to become a version.
+// commit is a configuration to be submitted as a new version. before is the document
+// of the base version.
 type commit struct {
 	id     string
 	base   int64
@@ -98,7 +101,8 @@
 	reason string
 }
 
-// submit offers the change under the operator's name.
+// submit checks the operator's permissions and submits the configuration in the
+// operator's name. It returns the number of the new version.
 func (s *Service) submit(ctx context.Context, o commit) (int64, error) {
 	operator := operatorOf(ctx)
 	if o.reason == "" {
@@ -124,8 +128,8 @@
 	return v, nil
 }
 
-// edit changes the newest version by f and submits the result. It tries again
-// when another version wins the race, as the edit is made anew each time.
+// edit applies f to the newest version and submits the result. If another version is
+// accepted first, it applies f to that one, at most five times in all.
 func (s *Service) edit(ctx context.Context, reason string, f func(config.Document) (config.Change, error)) (int64, error) {
 	const tries = 5
 	var lastErr error
@@ -146,7 +150,7 @@
 	return 0, lastErr
 }
 
-// entry decodes an entry of the document.
+// decodeEntry decodes an entry of the document.
 func decodeEntry[T any](d config.Document, kind config.Kind, name string) (e T, err error) {
 	body := d.Entry(kind, name)
 	if body == nil {
@@ -178,5 +182,5 @@
 	return d, nil
 }
 
-// statusTimeout bounds a question to one target.
+// statusTimeout limits the time for all targets to report their load.
 const statusTimeout = 2 * time.Second
--- a/internal/admin/service_test.go
+++ b/internal/admin/service_test.go
@@ -47,7 +47,7 @@
 url = "http://127.0.0.1:1"
 `
 
-// server is the API over a table that can fail.
+// server is the API over a table with injectable failures.
 type server struct {
 	url   string
 	table *table.Faulty
@@ -156,7 +156,8 @@
 	}
 }
 
-// TestLostAnswerIsSettled sends a submission again whose answer was lost.
+// TestLostAnswerIsSettled checks that submitting again with the same id, as an operator
+// does after a lost answer, returns the accepted version and creates no other.
 func TestLostAnswerIsSettled(t *testing.T) {
 	c := quicktest.New(t)
 	s := newServer(t)
--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -12,7 +12,7 @@
 	"github.com/barleystep/barleystep/internal/config"
 )
 
-// ExplainPolicy runs the policy in force for one account and class.
+// ExplainPolicy evaluates the current policy for one account and class.
 func (a api) ExplainPolicy(_ context.Context, req *connect.Request[adminv1.ExplainPolicyRequest]) (*connect.Response[adminv1.ExplainPolicyResponse], error) {
 	v, _ := a.Follower.View()
 	if v == nil {
@@ -37,7 +37,7 @@
 	}), nil
 }
 
-// Status tells the state of boxes and targets.
+// Status returns the status of boxes and targets.
 func (a api) Status(ctx context.Context, _ *connect.Request[adminv1.StatusRequest]) (*connect.Response[adminv1.StatusResponse], error) {
 	v, confirmed := a.Follower.View()
 	if v == nil {
@@ -54,7 +54,7 @@
 	return connect.NewResponse(resp), nil
 }
 
-// targets asks all targets for their load at the same time.
+// targetStatuses queries all targets concurrently for their load.
 func (a api) targetStatuses(ctx context.Context, v *config.View) []*adminv1.TargetStatus {
 	ctx, cancel := clock.WithDeadline(ctx, a.Clock, a.Clock.Now().Add(statusTimeout))
 	defer cancel()
@@ -69,6 +69,7 @@
 	return out
 }
 
+// queryLoad fills in the load of a target, or leaves Answers false on an error.
 func (a api) queryLoad(ctx context.Context, s *adminv1.TargetStatus) {
 	e, ok := a.Engines.Engine(barleystep.TargetID(s.GetId()), false)
 	if !ok {
--- a/internal/admin/versions.go
+++ b/internal/admin/versions.go
@@ -36,7 +36,7 @@
 	return connect.NewResponse(&adminv1.GetResponse{Version: v, Toml: string(text)}), nil
 }
 
-// Submit offers a whole configuration as a new version.
+// Submit submits a complete configuration as a new version.
 func (a api) Submit(ctx context.Context, req *connect.Request[adminv1.SubmitRequest]) (*connect.Response[adminv1.SubmitResponse], error) {
 	after, err := parseDocument(req.Msg.GetToml())
 	if err != nil {
@@ -45,6 +45,7 @@
 	return a.commit(ctx, commit{id: req.Msg.GetId(), base: req.Msg.GetBase(), after: after, reason: req.Msg.GetReason()})
 }
 
+// commit fills in the base document of the configuration and submits it.
 func (a api) commit(ctx context.Context, o commit) (*connect.Response[adminv1.SubmitResponse], error) {
 	var err error
 	if o.before, err = a.documentAt(ctx, o.base); err != nil {
@@ -57,7 +58,7 @@
 	return connect.NewResponse(&adminv1.SubmitResponse{Version: v}), nil
 }
 
-// Check runs the checks of Submit.
+// Check validates a configuration as Submit does, without submitting it.
 func (a api) Check(_ context.Context, req *connect.Request[adminv1.CheckRequest]) (*connect.Response[adminv1.CheckResponse], error) {
 	d, err := parseDocument(req.Msg.GetToml())
 	if err != nil {
@@ -69,6 +70,7 @@
 	return connect.NewResponse(&adminv1.CheckResponse{}), nil
 }
 
+// defaultHistory is the number of versions that History lists by default.
 const defaultHistory = 20
 
 // History lists versions, newest first.
@@ -103,7 +105,7 @@
 	return connect.NewResponse(resp), nil
 }
 
-// Diff lists what differs between two versions.
+// Diff lists the entries that differ between two versions.
 func (a api) Diff(ctx context.Context, req *connect.Request[adminv1.DiffRequest]) (*connect.Response[adminv1.DiffResponse], error) {
 	from, err := a.documentAt(ctx, req.Msg.GetFrom())
 	if err != nil {
@@ -125,7 +127,7 @@
 	return connect.NewResponse(resp), nil
 }
 
-// Restore submits the content of an old version anew.
+// Restore submits the content of an old version as a new version.
 func (a api) Restore(ctx context.Context, req *connect.Request[adminv1.RestoreRequest]) (*connect.Response[adminv1.SubmitResponse], error) {
 	after, err := a.documentAt(ctx, req.Msg.GetVersion())
 	if err != nil {
