--- a/internal/local/bench_test.go
+++ b/internal/local/bench_test.go
@@ -15,9 +15,8 @@
 	"github.com/barleystep/barleystep/internal/version"
 )
 
-// BenchmarkCapacitySpread measures how long a change of the configuration takes
-// to come into force on all boxes of a hall, with the programs' own parts and
-// loopback between them.
+// BenchmarkCapacitySpread measures how long a change of the configuration takes to be
+// applied by all boxes of a hall that run the production components over loopback.
 func BenchmarkCapacitySpread(b *testing.B) {
 	for _, boxes := range []int{3, 9, 35} {
 		b.Run(fmt.Sprintf("boxes=%d", boxes), func(b *testing.B) {
--- a/internal/local/configuration.go
+++ b/internal/local/configuration.go
@@ -16,7 +16,7 @@
 	KeyChaiyaphruek = "dev-chaiyaphruek"
 )
 
-// Tokens of the operators of the local hall.
+// The tokens of the operators of the local hall.
 const (
 	TokenAdmin  = "dev-admin"
 	TokenTeam   = "dev-team"
@@ -32,14 +32,15 @@
 	}
 }
 
-// The model of the local hall: prompts of a million tokens need three engines.
+// The limits of the local hall's model. A prompt of a million tokens needs three
+// engines.
 const (
 	engineTokens = 400_000
 	maxPrompt    = 1_100_000
 	maxOutput    = 256
 )
 
-// Configuration returns the configuration of the local hall without targets.
+// Configuration returns the configuration of the local hall, without targets.
 func Configuration() config.File {
 	return config.File{
 		Accounts: []config.Account{
--- a/internal/local/hall.go
+++ b/internal/local/hall.go
@@ -1,6 +1,6 @@
 // Package local runs a small hall in one process: several entry boxes, stand-in
-// engines, a plain service and the platform in memory. The boxes are composed
-// of the very parts that the programs run.
+// engines, a plain service and in-memory stores in place of the platform. The boxes
+// are built from the same components as in the programs.
 package local
 
 import (
@@ -25,11 +25,12 @@
 	"github.com/barleystep/barleystep/internal/web"
 )
 
-// Name is the name of the hall.
+// HallName is the name of the hall.
 const HallName = "local"
 
-// The ports of the first box's listener for callers and of the administration;
-// the other boxes' follow on both.
+// CallersPort is the port for callers of the first box; the other boxes have the next
+// ones. AdminPort is the port of the administration API; the boxes' administration
+// listeners have the next ones.
 const (
 	CallersPort = 8080
 	AdminPort   = 8090
@@ -39,16 +40,18 @@
 type Hall struct {
 	Clock barleystep.Clock
 	Log   *log.Logger
-	// Boxes and Engines count them; the defaults are 3 and 4.
+	// BoxCount and EngineCount default to 3 and 4.
 	BoxCount    int
 	EngineCount int
-	// FixedPorts puts the first box's listeners on CallersPort and AdminPort.
+	// FixedPorts makes the listeners use the ports from CallersPort and AdminPort on
+	// instead of free ones.
 	FixedPorts bool
-	// Table and Objects replace the platform's stores; the defaults keep all in
-	// memory.
+	// Table and Objects stand in for the platform's stores; by default they are kept
+	// in memory.
 	Table   barleystep.Table
 	Objects barleystep.ObjectStore
-	// Fault is asked for each attempt that an engine starts; nil means no fault.
+	// Fault returns the fault to inject into an attempt that an engine starts; nil
+	// means none.
 	Fault func(attempt string) standin.Fault
 
 	boxlist standin.BoxList
@@ -67,7 +70,7 @@
 	enginePrefillRate = 20_000
 )
 
-// Init fills in what was left out. It is called once before Run.
+// Init sets the defaults. It is called once before Run.
 func (h *Hall) Init() {
 	if h.BoxCount == 0 {
 		h.BoxCount = defaultBoxes
@@ -84,10 +87,10 @@
 	h.ready = make(chan struct{})
 }
 
-// Ready returns a channel that is closed when all boxes serve.
+// Ready returns a channel that is closed once all boxes accept requests.
 func (h *Hall) Ready() <-chan struct{} { return h.ready }
 
-// Run runs the hall until ctx ends and running requests have finished.
+// Run runs the hall until ctx is done and the requests in progress have finished.
 func (h *Hall) Run(ctx context.Context) (err error) {
 	defer func() {
 		if err != nil {
@@ -120,7 +123,7 @@
 	return err
 }
 
-// startAdmin starts the administration API, which outlives the boxes.
+// startAdmin starts the administration API. ctx outlives the boxes.
 func (h *Hall) startAdmin(ctx context.Context) error {
 	exporter, err := metric.NewExporter()
 	if err != nil {
@@ -133,12 +136,12 @@
 	}
 	h.admin = &box.Admin{Settings: s, Clock: h.Clock, Table: h.Table, Objects: h.Objects, Boxes: &h.boxlist, Exporter: exporter, Log: h.Log}
 	h.admin.Build()
-	go func() { _ = h.admin.Run(ctx) }() // It ends with ctx.
+	go func() { _ = h.admin.Run(ctx) }() // Run returns when ctx is done.
 	return nil
 }
 
-// port returns a loopback address with the port, or with any where ports are
-// not fixed.
+// loopbackAddr returns a loopback address with the port, or with port 0 (any free
+// one) unless FixedPorts is set.
 func (h *Hall) loopbackAddr(number int) string {
 	if !h.FixedPorts {
 		number = 0
@@ -146,7 +149,7 @@
 	return fmt.Sprintf("127.0.0.1:%d", number)
 }
 
-// startTargets starts the stand-ins and returns the configuration that names
+// startTargets starts the stand-in targets and returns a configuration that lists
 // them.
 func (h *Hall) startTargets(ctx context.Context) config.File {
 	f := Configuration()
@@ -176,6 +179,7 @@
 	return f
 }
 
+// submitFirst submits the first version of the configuration.
 func (h *Hall) submitFirst(ctx context.Context, f config.File) error {
 	d, err := f.Document()
 	if err != nil {
@@ -190,12 +194,12 @@
 	return err
 }
 
-// Store returns the hall's store of versions.
+// VersionStore returns the hall's store of configuration versions.
 func (h *Hall) VersionStore() *version.Store {
 	return &version.Store{Table: h.Table, Objects: h.Objects, Clock: h.Clock, Meter: metric.Discard()}
 }
 
-// startBoxes starts all boxes. Each sends on done when it has ended.
+// startBoxes starts all boxes. done receives the result of each box's Run.
 func (h *Hall) startBoxes(ctx context.Context) (done <-chan error, err error) {
 	ended := make(chan error, h.BoxCount)
 	var list []barleystep.Box
@@ -245,8 +249,8 @@
 	}, nil
 }
 
-// freePort finds a port that a peer listener can take; peers have to know it
-// before it listens.
+// freePort returns a loopback address with a free port for a peer listener. Peers need
+// the address before the listener starts.
 func freePort() (string, error) {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -255,17 +259,17 @@
 	return l.Addr().String(), l.Close()
 }
 
-// URL returns the address of a box's listener for callers.
+// CallersURL returns the URL of the listener for callers of box i.
 func (h *Hall) CallersURL(i int) string { return "http://" + h.entries[i].CallersAddr() }
 
-// Entry returns a box.
+// Entry returns box i.
 func (h *Hall) Entry(i int) *box.Entry { return h.entries[i] }
 
-// Engine returns a stand-in engine.
+// Engine returns stand-in engine i.
 func (h *Hall) Engine(i int) *standin.Engine { return h.engines[i] }
 
 // Service returns the stand-in service.
 func (h *Hall) Service() *standin.Service { return &h.service }
 
-// Stop makes a planned stop of one box.
+// StopBox starts the planned stop of box i.
 func (h *Hall) StopBox(i int) { h.cancels[i]() }
--- a/internal/local/hall_test.go
+++ b/internal/local/hall_test.go
@@ -24,7 +24,7 @@
 	"github.com/barleystep/barleystep/internal/table"
 )
 
-// start runs a hall until the test ends.
+// start runs a hall until the test ends and waits until it is ready.
 func start(t *testing.T, h *local.Hall) {
 	h.Clock = clock.System{}
 	h.Log = &log.Logger{Level: log.PanicLevel}
@@ -39,7 +39,7 @@
 	<-h.Ready()
 }
 
-// reply is what a caller got.
+// reply is the response that a caller received.
 type reply struct {
 	status  int
 	outcome string
@@ -130,12 +130,12 @@
 		"unknown model":        {chatPath, header(), strings.Replace(wholeRequest, "reader", "writer", 1), 404, barleystep.ReasonUnknownModel},
 		"unknown class":        {chatPath, header("Barleystep-Class", "golden"), wholeRequest, 403, barleystep.ReasonUnknownClass},
 		"missing key":          {chatPath, http.Header{}, wholeRequest, 401, barleystep.ReasonMissingKey},
-		"stale key":            {chatPath, header("Authorization", "Bearer old"), wholeRequest, 401, barleystep.ReasonInvalidKey},
+		"unknown key":          {chatPath, header("Authorization", "Bearer old"), wholeRequest, 401, barleystep.ReasonInvalidKey},
 		"time limit too long":  {chatPath, header("Barleystep-Time-Limit", "100h"), wholeRequest, 400, barleystep.ReasonTimeLimitOutOfRange},
-		"time limit unread":    {chatPath, header("Barleystep-Time-Limit", "soon"), wholeRequest, 400, barleystep.ReasonTimeLimitOutOfRange},
+		"malformed time limit": {chatPath, header("Barleystep-Time-Limit", "soon"), wholeRequest, 400, barleystep.ReasonTimeLimitOutOfRange},
 		"no idempotency key":   {chatPath, header("Barleystep-Repeatable", "no"), wholeRequest, 400, barleystep.ReasonMissingIdempotencyKey},
 		"unknown service":      {"/v1/services/none/x", header(), "", 404, barleystep.ReasonUnknownService},
-		"longer than anything": {chatPath, header(), huge, 400, barleystep.ReasonPromptTooLong},
+		"prompt too long":      {chatPath, header(), huge, 400, barleystep.ReasonPromptTooLong},
 		"body over the limit":  {chatPath, header(), strings.Repeat(" ", 16<<20+1), 413, barleystep.ReasonBodyTooLarge},
 	}
 	for name, tc := range cases {
@@ -152,7 +152,7 @@
 	quicktest.Check(t, h.Engine(0).Runs(), quicktest.HasLen, 0)
 }
 
-// once makes the first attempt meet the fault and all others go well.
+// faultOnce injects the fault into the first attempt only.
 func faultOnce(f standin.Fault) func(string) standin.Fault {
 	var o sync.Once
 	return func(string) (got standin.Fault) {
@@ -161,6 +161,7 @@
 	}
 }
 
+// faultAlways injects the fault into every attempt.
 func faultAlways(f standin.Fault) func(string) standin.Fault {
 	return func(string) standin.Fault { return f }
 }
@@ -173,21 +174,21 @@
 		header  http.Header
 		body    string
 		outcome string
-		runs    int // runs is how many attempts were started in all.
+		runs    int // runs is the total number of attempts that engines started.
 	}{
-		"refused once, tried elsewhere":         {faultOnce(standin.FaultRefuse), header(), wholeRequest, "done", 1},
-		"silent once, tried elsewhere":          {faultOnce(standin.FaultNoAnswer), header(), wholeRequest, "done", 2},
-		"foreign answer, tried elsewhere":       {faultOnce(standin.FaultWrongAttempt), header(), streamRequest, "done", 2},
-		"torn stream is resumed":                {faultOnce(standin.FaultBreakStream), header(), streamRequest, "done", 1},
-		"crossed chunk is resumed":              {faultOnce(standin.FaultForeignEvent), header(), streamRequest, "done", 1},
-		"gap is resumed":                        {faultOnce(standin.FaultSkipEvent), header(), streamRequest, "done", 1},
-		"repeated chunk is dropped":             {faultOnce(standin.FaultRepeatEvent), header(), streamRequest, "done", 1},
-		"all refuse":                            {faultAlways(standin.FaultRefuse), header(limit...), wholeRequest, "not-run", 0},
-		"hangs until the deadline":              {faultAlways(standin.FaultHang), header(limit...), wholeRequest, "failed", 1},
-		"not repeatable, refused once":          {faultOnce(standin.FaultRefuse), header(nonRepeatable...), wholeRequest, "done", 1},
-		"not repeatable, silent is resumed":     {faultOnce(standin.FaultNoAnswer), header(nonRepeatable...), wholeRequest, "done", 1},
-		"not repeatable, foreign answer":        {faultAlways(standin.FaultWrongAttempt), header(nonRepeatable...), wholeRequest, "done", 1},
-		"not repeatable, hangs to the deadline": {faultAlways(standin.FaultHang), header(append(limit, nonRepeatable...)...), wholeRequest, "unknown", 1},
+		"refused once, retried at another engine":              {faultOnce(standin.FaultRefuse), header(), wholeRequest, "done", 1},
+		"no answer once, retried at another engine":            {faultOnce(standin.FaultNoAnswer), header(), wholeRequest, "done", 2},
+		"answer of another attempt, retried at another engine": {faultOnce(standin.FaultWrongAttempt), header(), streamRequest, "done", 2},
+		"broken stream is resumed":                             {faultOnce(standin.FaultBreakStream), header(), streamRequest, "done", 1},
+		"chunk of another attempt, resumed":                    {faultOnce(standin.FaultForeignEvent), header(), streamRequest, "done", 1},
+		"missing chunk, resumed":                               {faultOnce(standin.FaultSkipEvent), header(), streamRequest, "done", 1},
+		"repeated chunk is dropped":                            {faultOnce(standin.FaultRepeatEvent), header(), streamRequest, "done", 1},
+		"all engines refuse":                                   {faultAlways(standin.FaultRefuse), header(limit...), wholeRequest, "not-run", 0},
+		"hangs until the deadline":                             {faultAlways(standin.FaultHang), header(limit...), wholeRequest, "failed", 1},
+		"not repeatable, refused once":                         {faultOnce(standin.FaultRefuse), header(nonRepeatable...), wholeRequest, "done", 1},
+		"not repeatable, no answer, resumed":                   {faultOnce(standin.FaultNoAnswer), header(nonRepeatable...), wholeRequest, "done", 1},
+		"not repeatable, answer of another attempt":            {faultAlways(standin.FaultWrongAttempt), header(nonRepeatable...), wholeRequest, "done", 1},
+		"not repeatable, hangs until the deadline":             {faultAlways(standin.FaultHang), header(append(limit, nonRepeatable...)...), wholeRequest, "unknown", 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -212,8 +213,8 @@
 	}
 }
 
-// checkWhole checks that the answer holds each of its four parts once, all of
-// one attempt.
+// checkWhole checks that the answer contains each of its four parts exactly once, in
+// order and from a single attempt.
 func checkWhole(c *quicktest.C, body string) {
 	var parts []string
 	for _, line := range strings.Split(body, "\n") {
@@ -253,7 +254,7 @@
 		other := send(t, h.CallersURL(1)+chatPath, nonRepeatable, streamRequest)
 		c.Check(other.reason, quicktest.Equals, string(barleystep.ReasonIdempotencyKeyReused))
 	})
-	t.Run("with the store down only such requests are refused", func(t *testing.T) {
+	t.Run("an unavailable store refuses only non-repeatable requests", func(t *testing.T) {
 		c := quicktest.New(t)
 		down := &table.Faulty{Table: &table.Memory{}}
 		h := &local.Hall{BoxCount: 1, EngineCount: 1, Table: down}
@@ -265,7 +266,7 @@
 		c.Check(send(t, h.CallersURL(0)+chatPath, header(), wholeRequest).outcome, quicktest.Equals, "done")
 		c.Check(h.Engine(0).Runs(), quicktest.HasLen, 1)
 	})
-	t.Run("with the store hung nothing hangs", func(t *testing.T) {
+	t.Run("a hung store delays no request forever", func(t *testing.T) {
 		c := quicktest.New(t)
 		hung := &table.Faulty{Table: &table.Memory{}}
 		h := &local.Hall{BoxCount: 1, EngineCount: 1, Table: hung}
@@ -302,7 +303,8 @@
 	})
 }
 
-// TestCallerGoesAway checks that an abandoned request frees its engine.
+// TestCallerGoesAway checks that the engine's KV cache is freed when the caller
+// disconnects.
 func TestCallerGoesAway(t *testing.T) {
 	c := quicktest.New(t)
 	h := &local.Hall{BoxCount: 1, EngineCount: 1, Fault: faultAlways(standin.FaultHang)}
@@ -324,7 +326,7 @@
 	eventually(t, func() bool { return h.Engine(0).UsedTokens() == 0 })
 }
 
-// TestPlannedStop checks that a stop cuts no request short.
+// TestPlannedStop checks that a planned stop lets a running stream finish.
 func TestPlannedStop(t *testing.T) {
 	c := quicktest.New(t)
 	h := &local.Hall{BoxCount: 2, EngineCount: 1}
@@ -339,7 +341,7 @@
 	c.Check(strings.Count(r.body, "data: "), quicktest.Equals, 62)
 }
 
-// eventually waits for a condition that other goroutines bring about.
+// eventually polls cond until it is true and fails the test after 30 seconds.
 func eventually(t *testing.T, cond func() bool) {
 	t.Helper()
 	const timeout = 30 * time.Second
@@ -350,5 +352,5 @@
 		}
 		clock.Sleep(t.Context(), clk, time.Millisecond)
 	}
-	t.Fatal("the condition did not come about")
+	t.Fatal("condition not met in time")
 }
