--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -8,7 +8,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// check looks for entries that contradict each other.
+// validate checks the entries and the references between them, and indexes the
+// accounts by key.
 func (v *View) validate() error {
 	if len(v.classes) == 0 {
 		return eris.New("there is no class")
@@ -57,7 +58,7 @@
 
 func validateModel(m Model) error {
 	if strings.Contains(m.Name, ":") {
-		return eris.New("the name must not hold a colon")
+		return eris.New("the name must not contain a colon")
 	}
 	if m.EngineTokens <= 0 {
 		return eris.Errorf("engine_tokens is %d; it must be above 0", m.EngineTokens)
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -9,7 +9,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Kind is the sort of thing that an entry configures.
+// Kind is the kind of object that an entry configures.
 type Kind string
 
 // The kinds of entries.
@@ -22,7 +22,8 @@
 	KindService Kind = "service"
 )
 
-// Change sets or removes one entry. It is the unit of increments.
+// Change sets or removes one entry. The increment between two versions is a list of
+// changes.
 type Change struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
@@ -35,13 +36,14 @@
 	name string
 }
 
-// Document is one immutable content of the configuration. The zero value is
-// empty.
+// Document is the immutable content of one version of the configuration. The zero
+// value is empty.
 type Document struct {
 	entries map[entryKey]json.RawMessage
 }
 
-// Document turns the file into entries. Two entries of one name are refused.
+// Document converts the file to a document. Two entries of the same kind and name are
+// an error.
 func (f File) Document() (d Document, err error) {
 	defer func() {
 		if err != nil {
@@ -78,7 +80,7 @@
 func (b *documentBuilder) add(kind Kind, name string, entry any) {
 	key := entryKey{kind, name}
 	if _, ok := b.entries[key]; ok && b.err == nil {
-		b.err = eris.Errorf("%s %q is there twice", kind, name)
+		b.err = eris.Errorf("%s %q is defined twice", kind, name)
 	}
 	body, err := json.Marshal(entry)
 	if err != nil && b.err == nil {
@@ -87,7 +89,7 @@
 	b.entries[key] = body
 }
 
-// Apply returns the document with the changes made.
+// Apply returns a copy of the document with the changes applied.
 func (d Document) Apply(changes []Change) Document {
 	entries := make(map[entryKey]json.RawMessage, len(d.entries)+len(changes))
 	for k, v := range d.entries {
@@ -104,7 +106,7 @@
 	return Document{entries: entries}
 }
 
-// Changes returns what turns d into next, ordered by kind and name.
+// Diff returns the changes that turn d into next, ordered by kind and name.
 func (d Document) Diff(next Document) []Change {
 	var changes []Change
 	for k, body := range next.entries {
@@ -121,15 +123,16 @@
 	return changes
 }
 
-// Entries returns the whole document as changes to an empty one.
+// Entries returns the whole document as changes to an empty document.
 func (d Document) Entries() []Change { return Document{}.Diff(d) }
 
-// Digest returns a hash of the content, equal for equal documents.
+// Digest returns the SHA-256 hash of the content in hexadecimal. Equal documents have
+// equal digests.
 func (d Document) Digest() string {
 	h := sha256.New()
 	enc := json.NewEncoder(h)
 	for _, c := range d.Entries() {
-		_ = enc.Encode(c) // A hash never fails to write, and changes always encode.
+		_ = enc.Encode(c) // Writing to a hash never fails, and changes can always be encoded.
 	}
 	return hex.EncodeToString(h.Sum(nil))
 }
--- a/internal/config/render.go
+++ b/internal/config/render.go
@@ -7,7 +7,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// File returns the document as a file, entries in the order of their names.
+// File converts the document to a file, with the entries in the order of their names.
 func (d Document) File() (f File, err error) {
 	for _, c := range d.Entries() {
 		if err = f.add(c); err != nil {
@@ -45,13 +45,13 @@
 	return nil
 }
 
-// TOML returns the file as operators write it.
+// TOML encodes the file in the format that ParseFile parses.
 func (f File) TOML() (text []byte, err error) {
 	text, err = toml.Marshal(f)
 	return text, eris.Wrap(err, "config: write file")
 }
 
-// Entry returns the JSON of an entry, nil if there is none.
+// Entry returns the JSON of an entry, or nil if it does not exist.
 func (d Document) Entry(kind Kind, name string) json.RawMessage {
 	return d.entries[entryKey{kind, name}]
 }
--- a/internal/config/share.go
+++ b/internal/config/share.go
@@ -2,7 +2,7 @@
 
 import "github.com/barleystep/barleystep/internal/policy"
 
-// Share is what the policy gives to one account in one class.
+// Share is the result of the policy for one account and class.
 type Share = policy.Share
 
 type shareKey struct {
@@ -10,8 +10,8 @@
 	class   string
 }
 
-// evaluate runs the policy once for each account and class, so that no request
-// has to.
+// evaluateShares evaluates the policy for every account and class in advance, so that
+// requests need not.
 func evaluateShares(v *View) (shares map[shareKey]Share, err error) {
 	program, err := v.program()
 	if err != nil {
@@ -30,7 +30,8 @@
 	return shares, nil
 }
 
-// program compiles the active policy: the one that sorts first by name.
+// program compiles the active policy: the first one by name, or the default
+// policy if there is none.
 func (v *View) program() (*policy.Program, error) {
 	names := sortedNames(v.policies)
 	if len(names) == 0 {
@@ -39,7 +40,7 @@
 	return policy.Compile(names[0], v.policies[names[0]].Program)
 }
 
-// PolicyName returns the name of the active policy, "default" if there is none.
+// PolicyName returns the name of the active policy, or "default" if there is none.
 func (v *View) PolicyName() string {
 	names := sortedNames(v.policies)
 	if len(names) == 0 {
@@ -48,8 +49,8 @@
 	return names[0]
 }
 
-// Weighing returns the active policy's balance between short and long prompts,
-// from 0 (short first) to 1 (all alike).
+// Weighing returns the Weighing of the active policy, from 0 (short prompts first) to
+// 1 (all alike).
 func (v *View) Weighing() float64 {
 	names := sortedNames(v.policies)
 	if len(names) == 0 {
@@ -58,12 +59,13 @@
 	return v.policies[names[0]].Weighing
 }
 
-// Share returns what the policy gives to the account in the class.
+// Share returns the result of the policy for the account and class, evaluated when the
+// view was created.
 func (v *View) Share(account, class string) Share {
 	return v.shares[shareKey{account, class}]
 }
 
-// Explain runs the policy anew for one account and class.
+// Explain evaluates the policy again for one account and class.
 func (v *View) Explain(account, class string) (s Share, err error) {
 	program, err := v.program()
 	if err != nil {
--- a/internal/config/view.go
+++ b/internal/config/view.go
@@ -10,7 +10,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Defaults for what a file leaves out.
+// The defaults for settings that a file leaves out.
 const (
 	DefaultTimeLimit   = 10 * time.Minute
 	DefaultWeight      = 1.0
@@ -18,8 +18,8 @@
 	DefaultPrefillRate = 8000.0
 )
 
-// View is one version of the configuration, checked and indexed for reading.
-// It is immutable and safe for concurrent use.
+// View is a validated version of the configuration, indexed for lookups. It is
+// immutable and safe for concurrent use.
 type View struct {
 	version      int64
 	document     Document
@@ -33,8 +33,7 @@
 	shares       map[shareKey]Share
 }
 
-// NewView checks the document and indexes it. The error names the entry at
-// fault.
+// NewView validates and indexes the document. The error names the invalid entry.
 func NewView(version int64, d Document) (v *View, err error) {
 	v = &View{
 		version:      version,
@@ -92,13 +91,14 @@
 	return nil
 }
 
-// Version returns the number of the version, from 1.
+// Version returns the version number; the first version is 1.
 func (v *View) Version() int64 { return v.version }
 
-// Document returns the content from which the view was made.
+// Document returns the content of the version.
 func (v *View) Document() Document { return v.document }
 
-// AccountOfKey returns the account to which a bearer key belongs.
+// AccountOfKey returns the account of a bearer key; ok is false if the key is unknown
+// or revoked.
 func (v *View) AccountOfKey(key string) (a Account, ok bool) {
 	name, ok := v.accountByKey[HashKey(key)]
 	if !ok {
@@ -107,7 +107,7 @@
 	return v.accounts[name], true
 }
 
-// HashKey returns the form in which a key is kept.
+// HashKey returns the SHA-256 hash of a key in hexadecimal, as it is stored.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
@@ -119,7 +119,7 @@
 	return a, ok
 }
 
-// Class returns the class with the name.
+// Class returns the class with the name, with the default time limit filled in.
 func (v *View) Class(name string) (c Class, ok bool) {
 	c, ok = v.classes[name]
 	if ok && c.Limit == 0 {
@@ -128,8 +128,8 @@
 	return c, ok
 }
 
-// DefaultClass returns the class with the lowest priority, which requests get
-// that name none.
+// DefaultClass returns the class of requests that name none: the one with the lowest
+// priority, and the first by name among equals.
 func (v *View) DefaultClass() string {
 	name := ""
 	for n, c := range v.classes {
@@ -162,19 +162,19 @@
 // Classes returns the names of all classes, sorted.
 func (v *View) Classes() []string { return sortedNames(v.classes) }
 
-// Service reports whether the service exists.
+// Service returns the service with the name.
 func (v *View) Service(name string) (s Service, ok bool) {
 	s, ok = v.services[name]
 	return s, ok
 }
 
-// Target returns the target with the name.
+// Target returns the target with the id.
 func (v *View) Target(id string) (t Target, ok bool) {
 	t, ok = v.targets[id]
 	return t, ok
 }
 
-// Targets returns all targets for which keep returns true, sorted by name.
+// Targets returns the targets for which keep returns true, sorted by id.
 func (v *View) Targets(keep func(Target) bool) []Target {
 	var list []Target
 	for _, id := range sortedNames(v.targets) {
