--- a/deploy/days/draw/main.go
+++ b/deploy/days/draw/main.go
@@ -1,6 +1,7 @@
-// Command draw writes days of trouble between boxes and targets, drawn from a seed:
-// spoilt, repeated, late and lost answers while targets fail, hang, crash and have
-// their connections reset, on all services at once and all day long.
+// Command draw generates random bench days with faults between boxes and targets:
+// corrupted, repeated, late and lost answers while targets fail, hang, crash and have
+// their connections reset, on all services at once and throughout the day. The same
+// seed gives the same days.
 //
 //	go run ./deploy/days/draw --service cititor-model --service portal-coop --count 12 DIR
 package main
@@ -16,7 +17,7 @@
 	"github.com/spf13/cobra"
 )
 
-// draw holds the command's settings.
+// generator holds the command's settings.
 type generator struct {
 	services []string
 	count    int
@@ -24,16 +25,16 @@
 }
 
 const (
-	// dayLength is how long callers send, in seconds.
+	// daySeconds is how long callers send requests, in seconds.
 	daySeconds = 44
-	// period is how often each service gets new troubles, in seconds.
+	// faultPeriodSeconds is the interval between new faults of a service, in seconds.
 	faultPeriodSeconds = 4
-	// lastStart is after when no new troubles begin, in seconds, so that they end
-	// with the day.
+	// lastStartSeconds is the time before which faults are started, in seconds, so that
+	// they end with the day.
 	lastStartSeconds = 40
 )
 
-// The variants of the bench's page of kinds.
+// The variants ("how") of the kinds of faults that the bench knows.
 var (
 	answerFaults    = []string{"", "extra", "extra late", "unframed", "early", "unframed extra", "rot"}
 	targetFaults    = []string{"errors", "shed", "busy", "hang", "reset", "mute", "slow"}
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// day returns one day as the bench reads it.
+// dayTOML returns one day in the bench's TOML format.
 func (d *generator) dayTOML(name string, r *rand.Rand) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = %q\nslot = \"trouble\"\nseed = %d\nlength_s = %d\n", name, r.IntN(1_000_000), daySeconds)
@@ -86,7 +87,7 @@
 	return b.String()
 }
 
-// troubles returns what befalls a service from about the time on.
+// serviceFaults draws the faults of a service, which start at most 3 seconds after at.
 func serviceFaults(r *rand.Rand, service string, at float64) []string {
 	entry := func(kind string, share, x, length float64, how string) string {
 		return fmt.Sprintf("{ at = %.1f, kind = %q, service = %q, share = %.2f, x = %.3f, for_s = %.1f, how = %q },",
