--- a/internal/trial/engine.go
+++ b/internal/trial/engine.go
@@ -63,7 +63,7 @@
 	usedTokens   int // usedTokens is the KV cache that running jobs occupy, in tokens.
 	arrival      int
 	busy         bool
-	dead         bool
+	crashed      bool
 	hung         bool
 	cache        prefixCache
 	cachedTokens int // cachedTokens and promptTokens count admitted prompt tokens: those found in the cache, and all.
@@ -72,7 +72,7 @@
 
 // add queues a job. A crashed engine fails it.
 func (e *simEngine) add(j *job) {
-	if e.dead {
+	if e.crashed {
 		e.sim.After(0, func() { j.onFailed(e.sim.Elapsed()) })
 		return
 	}
@@ -93,7 +93,7 @@
 // startStep admits waiting jobs and schedules the next step, unless one is in
 // progress, nothing runs, or the engine has crashed or hangs.
 func (e *simEngine) startStep() {
-	if e.busy || e.hung || e.dead {
+	if e.busy || e.hung || e.crashed {
 		return
 	}
 	e.admit()
@@ -104,7 +104,7 @@
 	duration, finishStep := e.planStep()
 	e.sim.After(duration, func() {
 		e.busy = false
-		if e.dead || e.hung {
+		if e.crashed || e.hung {
 			return
 		}
 		finishStep()
@@ -211,7 +211,7 @@
 
 // crash stops the engine and fails its jobs. Its prefix cache is lost.
 func (e *simEngine) crash() {
-	e.dead = true
+	e.crashed = true
 	jobs := append(append([]*job(nil), e.running...), e.waiting...)
 	e.running, e.waiting, e.usedTokens = nil, nil, 0
 	e.cache = prefixCache{}
@@ -222,7 +222,7 @@
 
 // restore restarts the engine after a crash or resumes it after a hang.
 func (e *simEngine) restore() {
-	e.dead, e.hung = false, false
+	e.crashed, e.hung = false, false
 	e.startStep()
 }
 
--- a/internal/trial/fleet.go
+++ b/internal/trial/fleet.go
@@ -45,7 +45,7 @@
 	reportDelay time.Duration // reportDelay is the delay of load reports.
 	dispatch    dispatcher
 	lastSerial  uint64
-	live        map[*attempt]bool
+	inProgress  map[*attempt]bool
 }
 
 // attempt is one try of a request, at one engine or at several together.
@@ -60,7 +60,7 @@
 }
 
 func newFleet(s *timeline.Timeline, speed EngineSpeed) *fleet {
-	f := &fleet{sim: s, speed: speed, byID: make(map[barleystep.TargetID]*simEngine), reportDelay: loadInterval / 2, live: make(map[*attempt]bool)}
+	f := &fleet{sim: s, speed: speed, byID: make(map[barleystep.TargetID]*simEngine), reportDelay: loadInterval / 2, inProgress: make(map[*attempt]bool)}
 	for i := range engines {
 		e := &simEngine{id: barleystep.TargetID(fmt.Sprintf("e%02d", i)), speed: speed, sim: s}
 		f.engines = append(f.engines, e)
@@ -73,7 +73,7 @@
 // report sends the load reports of all engines that have not crashed.
 func (f *fleet) report() {
 	for _, e := range f.engines {
-		if e.dead {
+		if e.crashed {
 			continue
 		}
 		l := e.loadReport()
@@ -96,7 +96,7 @@
 func (f *fleet) send(r *request, id barleystep.AttemptID, targets []barleystep.TargetID, priority int) {
 	a := &attempt{id: id, request: r, targets: targets, toPrefill: len(targets)}
 	r.tries++
-	f.live[a] = true
+	f.inProgress[a] = true
 	n := len(targets)
 	for range targets {
 		j := &job{
@@ -158,7 +158,7 @@
 		return
 	}
 	a.finished = true
-	delete(f.live, a)
+	delete(f.inProgress, a)
 	f.releaseParts(a)
 	a.request.ended = true
 	f.sim.After(hopDelay, func() { f.dispatch.ended(a, true) })
@@ -178,7 +178,7 @@
 		return
 	}
 	a.finished = true
-	delete(f.live, a)
+	delete(f.inProgress, a)
 	f.releaseParts(a)
 	for _, t := range a.targets {
 		f.byID[t].startStep()
@@ -193,24 +193,24 @@
 	f.sim.After(retryDelay, func() { f.dispatch.submit(r) })
 }
 
-// killBox drops the requests of a crashed box. The clean-up frees the engines
+// crashBox drops the requests of a crashed box. The clean-up frees the engines
 // after cleanupDelay.
-func (f *fleet) killBox(box int) {
+func (f *fleet) crashBox(box int) {
 	for _, a := range f.attempts() {
 		if a.request.box != box {
 			continue
 		}
 		a.finished = true
 		a.request.refused = true
-		delete(f.live, a)
+		delete(f.inProgress, a)
 		f.sim.After(cleanupDelay, func() { f.releaseParts(a) })
 	}
 }
 
 // attempts returns the attempts in progress, ordered by id.
 func (f *fleet) attempts() []*attempt {
-	list := make([]*attempt, 0, len(f.live))
-	for a := range f.live {
+	list := make([]*attempt, 0, len(f.inProgress))
+	for a := range f.inProgress {
 		list = append(list, a)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].id.Number() < list[j].id.Number() })
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -122,7 +122,7 @@
 		s.After(faultEnd, e.restore)
 	case FaultBoxCrash:
 		s.After(faultStart, func() {
-			f.killBox(0)
+			f.crashBox(0)
 			f.dispatch.boxCrashed(0)
 		})
 	case FaultLateReports:
