--- a/internal/admin/auth.go
+++ b/internal/admin/auth.go
@@ -1,6 +1,6 @@
-// Package admin serves the administration API: teams submit, compare and
-// restore versions of the configuration, drain targets, make keys, and see how
-// the system stands. They do not steer single requests.
+// Package admin serves the administration API. Operators submit, compare and
+// restore versions of the configuration, drain targets, create keys, and query the
+// status of boxes and targets. The API does not control individual requests.
 package admin
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/barleystep/barleystep/internal/settings"
 )
 
-// Roles of operators.
+// The roles of operators.
 const (
 	RoleViewer = "viewer"
 	RoleTeam   = "team"
@@ -23,7 +23,8 @@
 
 type operatorKey struct{}
 
-// auth finds the operator of a call's bearer token.
+// auth authenticates calls by bearer token. operators is indexed by the SHA-256 hash
+// of the token.
 type auth struct{ operators map[string]settings.Operator }
 
 func newAuth(list []settings.Operator) auth {
@@ -34,35 +35,35 @@
 	return a
 }
 
-// WrapUnary refuses calls without a known token.
+// WrapUnary rejects calls without a known token and adds the operator to the context.
 func (a auth) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 		token, ok := strings.CutPrefix(req.Header().Get("Authorization"), "Bearer ")
 		operator, known := a.operators[config.HashKey(token)]
 		if !ok || !known {
-			return nil, refused(connect.CodeUnauthenticated, "Send a valid token as: Authorization: Bearer TOKEN.")
+			return nil, errorf(connect.CodeUnauthenticated, "Send a valid token as: Authorization: Bearer TOKEN.")
 		}
 		return next(context.WithValue(ctx, operatorKey{}, operator), req)
 	}
 }
 
-// WrapStreamingClient changes nothing: the API has no streams.
+// WrapStreamingClient returns next, since the API has no streams.
 func (a auth) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
 	return next
 }
 
-// WrapStreamingHandler changes nothing: the API has no streams.
+// WrapStreamingHandler returns next, since the API has no streams.
 func (a auth) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
 	return next
 }
 
-// message is an error text for operators.
+// message is an error whose text is sent to operators.
 type message string
 
 // Error returns the text.
 func (m message) Error() string { return string(m) }
 
-func refused(code connect.Code, format string, args ...any) error {
+func errorf(code connect.Code, format string, args ...any) error {
 	return connect.NewError(code, message(fmt.Sprintf(format, args...)))
 }
 
@@ -71,22 +72,22 @@
 	return o
 }
 
-// allow refuses changes that the operator's role does not cover: a team changes
-// its own accounts and nothing else.
-func allow(o settings.Operator, base, next config.Document, changes []config.Change) error {
+// authorize returns an error unless the operator's role permits all the changes. A
+// team may change only its own accounts, and may not take over those of another.
+func authorize(o settings.Operator, base, next config.Document, changes []config.Change) error {
 	if o.Role == RoleAdmin {
 		return nil
 	}
 	if o.Role != RoleTeam {
-		return refused(connect.CodePermissionDenied, "Operator %s may look, not change.", o.Name)
+		return errorf(connect.CodePermissionDenied, "Operator %s may look, not change.", o.Name)
 	}
 	for _, c := range changes {
 		if c.Kind != config.KindAccount {
-			return refused(connect.CodePermissionDenied, "Team %s may change its accounts; %s %q is not one.", o.Team, c.Kind, c.Name)
+			return errorf(connect.CodePermissionDenied, "Team %s may change its accounts; %s %q is not one.", o.Team, c.Kind, c.Name)
 		}
 		for _, d := range []config.Document{base, next} {
 			if team, ok := teamOf(d, c.Name); ok && team != o.Team {
-				return refused(connect.CodePermissionDenied, "Account %q belongs to team %q, not %q.", c.Name, team, o.Team)
+				return errorf(connect.CodePermissionDenied, "Account %q belongs to team %q, not %q.", c.Name, team, o.Team)
 			}
 		}
 	}
--- a/internal/admin/edits.go
+++ b/internal/admin/edits.go
@@ -12,16 +12,16 @@
 	"github.com/barleystep/barleystep/internal/config"
 )
 
-// Drain keeps new work from a target, or lets it back.
+// Drain stops new work from being sent to a target, or allows it again.
 func (a api) Drain(ctx context.Context, req *connect.Request[adminv1.DrainRequest]) (*connect.Response[adminv1.SubmitResponse], error) {
 	name := req.Msg.GetTarget()
 	v, err := a.edit(ctx, req.Msg.GetReason(), func(d config.Document) (config.Change, error) {
-		t, err := entry[config.Target](d, config.KindTarget, name)
+		t, err := decodeEntry[config.Target](d, config.KindTarget, name)
 		if err != nil {
 			return config.Change{}, err
 		}
 		t.Drain = req.Msg.GetDrain()
-		return change(config.KindTarget, name, t)
+		return newChange(config.KindTarget, name, t)
 	})
 	if err != nil {
 		return nil, err
@@ -29,19 +29,19 @@
 	return connect.NewResponse(&adminv1.SubmitResponse{Version: v}), nil
 }
 
-// MakeKey makes a key for an account. Only its hash is kept.
+// MakeKey creates a key for an account. Only its hash is stored.
 func (a api) MakeKey(ctx context.Context, req *connect.Request[adminv1.MakeKeyRequest]) (*connect.Response[adminv1.MakeKeyResponse], error) {
 	name := req.Msg.GetAccount()
 	key := "bs-" + rand.Text()
 	id := ""
 	v, err := a.edit(ctx, req.Msg.GetReason(), func(d config.Document) (config.Change, error) {
-		account, err := entry[config.Account](d, config.KindAccount, name)
+		account, err := decodeEntry[config.Account](d, config.KindAccount, name)
 		if err != nil {
 			return config.Change{}, err
 		}
 		id = nextKeyID(account)
 		account.Keys = append(account.Keys, config.Key{ID: id, SHA256: config.HashKey(key)})
-		return change(config.KindAccount, name, account)
+		return newChange(config.KindAccount, name, account)
 	})
 	if err != nil {
 		return nil, err
@@ -49,6 +49,8 @@
 	return connect.NewResponse(&adminv1.MakeKeyResponse{Version: v, Id: id, Key: key}), nil
 }
 
+// nextKeyID returns the lowest number above the count of keys that no key has as its
+// id.
 func nextKeyID(a config.Account) string {
 	for n := len(a.Keys) + 1; ; n++ {
 		id := strconv.Itoa(n)
@@ -62,16 +64,16 @@
 func (a api) RevokeKey(ctx context.Context, req *connect.Request[adminv1.RevokeKeyRequest]) (*connect.Response[adminv1.SubmitResponse], error) {
 	name := req.Msg.GetAccount()
 	v, err := a.edit(ctx, req.Msg.GetReason(), func(d config.Document) (config.Change, error) {
-		account, err := entry[config.Account](d, config.KindAccount, name)
+		account, err := decodeEntry[config.Account](d, config.KindAccount, name)
 		if err != nil {
 			return config.Change{}, err
 		}
 		i := slices.IndexFunc(account.Keys, func(k config.Key) bool { return k.ID == req.Msg.GetId() })
 		if i < 0 {
-			return config.Change{}, refused(connect.CodeNotFound, "Account %q has no key %q.", name, req.Msg.GetId())
+			return config.Change{}, errorf(connect.CodeNotFound, "Account %q has no key %q.", name, req.Msg.GetId())
 		}
 		account.Keys[i].Revoked = true
-		return change(config.KindAccount, name, account)
+		return newChange(config.KindAccount, name, account)
 	})
 	if err != nil {
 		return nil, err
--- a/internal/admin/versions.go
+++ b/internal/admin/versions.go
@@ -17,11 +17,11 @@
 	if v == 0 {
 		head, err := a.Store.Head(ctx)
 		if err != nil {
-			return nil, fault(err, 0)
+			return nil, storeError(err, 0)
 		}
 		v = head
 	}
-	d, err := a.at(ctx, v)
+	d, err := a.documentAt(ctx, v)
 	if err != nil {
 		return nil, err
 	}
@@ -36,18 +36,19 @@
 	return connect.NewResponse(&adminv1.GetResponse{Version: v, Toml: string(text)}), nil
 }
 
-// Submit offers a whole configuration as a new version.
+// Submit submits a complete configuration as a new version.
 func (a api) Submit(ctx context.Context, req *connect.Request[adminv1.SubmitRequest]) (*connect.Response[adminv1.SubmitResponse], error) {
-	after, err := parse(req.Msg.GetToml())
+	after, err := parseDocument(req.Msg.GetToml())
 	if err != nil {
 		return nil, err
 	}
-	return a.offer(ctx, offer{id: req.Msg.GetId(), base: req.Msg.GetBase(), after: after, reason: req.Msg.GetReason()})
+	return a.commit(ctx, commit{id: req.Msg.GetId(), base: req.Msg.GetBase(), after: after, reason: req.Msg.GetReason()})
 }
 
-func (a api) offer(ctx context.Context, o offer) (*connect.Response[adminv1.SubmitResponse], error) {
+// commit fills in the base document of the configuration and submits it.
+func (a api) commit(ctx context.Context, o commit) (*connect.Response[adminv1.SubmitResponse], error) {
 	var err error
-	if o.before, err = a.at(ctx, o.base); err != nil {
+	if o.before, err = a.documentAt(ctx, o.base); err != nil {
 		return nil, err
 	}
 	v, err := a.submit(ctx, o)
@@ -57,18 +58,19 @@
 	return connect.NewResponse(&adminv1.SubmitResponse{Version: v}), nil
 }
 
-// Check runs the checks of Submit.
+// Check validates a configuration as Submit does, without submitting it.
 func (a api) Check(_ context.Context, req *connect.Request[adminv1.CheckRequest]) (*connect.Response[adminv1.CheckResponse], error) {
-	d, err := parse(req.Msg.GetToml())
+	d, err := parseDocument(req.Msg.GetToml())
 	if err != nil {
 		return nil, err
 	}
 	if _, err := config.NewView(1, d); err != nil {
-		return nil, refused(connect.CodeInvalidArgument, "%s", err.Error())
+		return nil, errorf(connect.CodeInvalidArgument, "%s", err.Error())
 	}
 	return connect.NewResponse(&adminv1.CheckResponse{}), nil
 }
 
+// defaultHistory is the number of versions that History lists by default.
 const defaultHistory = 20
 
 // History lists versions, newest first.
@@ -77,7 +79,7 @@
 	if req.Msg.GetBefore() == 0 {
 		head, err := a.Store.Head(ctx)
 		if err != nil {
-			return nil, fault(err, 0)
+			return nil, storeError(err, 0)
 		}
 		last = head
 	}
@@ -87,7 +89,7 @@
 	}
 	list, err := a.Store.Increments(ctx, max(1, last-limit+1), last)
 	if err != nil {
-		return nil, fault(err, 0)
+		return nil, storeError(err, 0)
 	}
 	resp := &adminv1.HistoryResponse{}
 	for _, inc := range slices.Backward(list) {
@@ -103,13 +105,13 @@
 	return connect.NewResponse(resp), nil
 }
 
-// Diff lists what differs between two versions.
+// Diff lists the entries that differ between two versions.
 func (a api) Diff(ctx context.Context, req *connect.Request[adminv1.DiffRequest]) (*connect.Response[adminv1.DiffResponse], error) {
-	from, err := a.at(ctx, req.Msg.GetFrom())
+	from, err := a.documentAt(ctx, req.Msg.GetFrom())
 	if err != nil {
 		return nil, err
 	}
-	to, err := a.at(ctx, req.Msg.GetTo())
+	to, err := a.documentAt(ctx, req.Msg.GetTo())
 	if err != nil {
 		return nil, err
 	}
@@ -125,17 +127,17 @@
 	return connect.NewResponse(resp), nil
 }
 
-// Restore submits the content of an old version anew.
+// Restore submits the content of an old version as a new version.
 func (a api) Restore(ctx context.Context, req *connect.Request[adminv1.RestoreRequest]) (*connect.Response[adminv1.SubmitResponse], error) {
-	after, err := a.at(ctx, req.Msg.GetVersion())
+	after, err := a.documentAt(ctx, req.Msg.GetVersion())
 	if err != nil {
 		return nil, err
 	}
 	base := req.Msg.GetBase()
 	if base == 0 {
 		if base, err = a.Store.Head(ctx); err != nil {
-			return nil, fault(err, 0)
+			return nil, storeError(err, 0)
 		}
 	}
-	return a.offer(ctx, offer{base: base, after: after, reason: req.Msg.GetReason()})
+	return a.commit(ctx, commit{base: base, after: after, reason: req.Msg.GetReason()})
 }
--- a/internal/trial/engine.go
+++ b/internal/trial/engine.go
@@ -1,6 +1,6 @@
-// Package trial measures the decisions: it drives the real Dispenser and Holder,
-// and simple baselines, over small fake engines in simulated time. A run is
-// deterministic: the same seed gives the same figures.
+// Package trial measures request placement in simulated time. It drives the
+// production code of package capacity, and simple baselines, over small simulated
+// engines. A run is deterministic: the same seed gives the same results.
 package trial
 
 import (
@@ -12,84 +12,88 @@
 	"github.com/barleystep/barleystep/internal/timeline"
 )
 
-// Speed is how fast the engines of a run are. The users' engines are not
-// settled, so several sets are tried.
+// EngineSpeed describes the engines of a run. The users have not chosen their
+// engines yet, so runs cover several sets.
 type EngineSpeed struct {
 	Name string
-	// Rate is the reading speed in tokens per second.
+	// PrefillRate is the prefill rate in tokens per second.
 	PrefillRate float64
-	// Step is the time of a step that reads nothing.
+	// StepTime is the duration of a step without prefill and without decoding.
 	StepTime time.Duration
-	// Sequence is what each sequence that generates adds to a step.
+	// TimePerSequence is what each decoding sequence adds to a step.
 	TimePerSequence time.Duration
-	// Chunk is how many prompt tokens one step reads at most.
+	// ChunkTokens is the maximum number of prompt tokens that one step prefills.
 	ChunkTokens int
-	// Tokens is the KV memory.
+	// KVTokens is the size of the KV cache in tokens.
 	KVTokens int
 }
 
-// Speeds are the sets of engine speeds that are tried.
+// EngineSpeeds lists the sets of engine speeds that runs cover.
 var EngineSpeeds = []EngineSpeed{
 	{Name: "slow", PrefillRate: 3_000, StepTime: 40 * time.Millisecond, TimePerSequence: 400 * time.Microsecond, ChunkTokens: 1024, KVTokens: 400_000},
 	{Name: "middle", PrefillRate: 8_000, StepTime: 25 * time.Millisecond, TimePerSequence: 200 * time.Microsecond, ChunkTokens: 2048, KVTokens: 400_000},
 	{Name: "fast", PrefillRate: 20_000, StepTime: 15 * time.Millisecond, TimePerSequence: 100 * time.Microsecond, ChunkTokens: 4096, KVTokens: 400_000},
 }
 
-// job is one attempt, or a member's part of one, at an engine.
+// job is an attempt at an engine, or one engine's part of an attempt that several
+// engines share.
 type job struct {
-	request  *request
-	attempt  barleystep.AttemptID
-	priority int
-	order    int // order is the arrival at the engine.
-	conv     uint64
-	unread   int // unread is the prompt tokens left to read.
-	left     int // left is the tokens left to generate; a member's part has none.
-	tokens   int // tokens is the memory that the job takes.
-	first    func(now time.Duration)
-	done     func(now time.Duration)
-	failed   func(now time.Duration)
+	request      *request
+	attempt      barleystep.AttemptID
+	priority     int
+	arrival      int // arrival is the position in the engine's order of arrival.
+	conversation uint64
+	toPrefill    int // toPrefill is the number of prompt tokens left to prefill.
+	toDecode     int // toDecode is the number of tokens left to generate.
+	kvTokens     int // kvTokens is the KV cache that the job occupies, in tokens.
+	onFirstToken func(now time.Duration)
+	onDone       func(now time.Duration)
+	onFailed     func(now time.Duration)
 }
 
-// fakeEngine batches continuously, reads prompts in chunks by priority, and
-// keeps the prefixes of ended conversations in what memory is left.
-type fakeEngine struct {
-	id      barleystep.TargetID
-	speed   EngineSpeed
-	sim     *timeline.Timeline
-	waiting []*job
-	running []*job
-	memory  int // memory is what running jobs take.
-	order   int
-	busy    bool
-	dead    bool
-	hung    bool
-	cache   prefixCache
-	hits    int // hits and read count prompt tokens from cache and in all.
-	read    int
+// simEngine simulates an engine with continuous batching and chunked prefill in
+// order of priority. It caches the prefixes of finished conversations in the KV
+// cache that running jobs leave free.
+type simEngine struct {
+	id           barleystep.TargetID
+	speed        EngineSpeed
+	sim          *timeline.Timeline
+	waiting      []*job
+	running      []*job
+	usedTokens   int // usedTokens is the KV cache that running jobs occupy, in tokens.
+	arrival      int
+	busy         bool
+	crashed      bool
+	hung         bool
+	cache        prefixCache
+	cachedTokens int // cachedTokens and promptTokens count admitted prompt tokens: those found in the cache, and all.
+	promptTokens int
 }
 
-// add queues a job.
-func (e *fakeEngine) add(j *job) {
-	if e.dead {
-		e.sim.After(0, func() { j.failed(e.sim.Elapsed()) })
+// add queues a job. A crashed engine fails it.
+func (e *simEngine) add(j *job) {
+	if e.crashed {
+		e.sim.After(0, func() { j.onFailed(e.sim.Elapsed()) })
 		return
 	}
-	e.order++
-	j.order = e.order
+	e.arrival++
+	j.arrival = e.arrival
 	e.waiting = append(e.waiting, j)
 	sort.SliceStable(e.waiting, func(a, b int) bool { return before(e.waiting[a], e.waiting[b]) })
-	e.wake()
+	e.startStep()
 }
 
 func before(a, b *job) bool {
 	if a.priority != b.priority {
 		return a.priority < b.priority
 	}
-	return a.order < b.order
+	return a.arrival < b.arrival
 }
 
-func (e *fakeEngine) wake() {
-	if e.busy || e.hung || e.dead {
+// startStep admits waiting jobs and schedules the next step, unless one is in
+// progress, nothing runs, or the engine has crashed or hangs.
+func (e *simEngine) startStep() {
+	if e.busy || e.hung || e.crashed {
 		return
 	}
 	e.admit()
@@ -97,89 +101,91 @@
 		return
 	}
 	e.busy = true
-	duration, apply := e.plan()
+	duration, finishStep := e.planStep()
 	e.sim.After(duration, func() {
 		e.busy = false
-		if e.dead || e.hung {
+		if e.crashed || e.hung {
 			return
 		}
-		apply()
-		e.wake()
+		finishStep()
+		e.startStep()
 	})
 }
 
-// admit starts waiting jobs in order of priority while there is memory.
-func (e *fakeEngine) admit() {
+// admit starts waiting jobs in order of priority while the KV cache has space.
+func (e *simEngine) admit() {
 	for len(e.waiting) > 0 {
 		j := e.waiting[0]
-		if e.memory+j.tokens > e.speed.KVTokens {
+		if e.usedTokens+j.kvTokens > e.speed.KVTokens {
 			return
 		}
 		e.waiting = e.waiting[1:]
-		e.memory += j.tokens
-		hit := min(e.cache.take(j.conv), j.unread)
-		e.hits += hit
-		e.read += j.unread
-		j.unread = max(j.unread-hit, 1)
-		e.cache.shrink(e.speed.KVTokens - e.memory)
+		e.usedTokens += j.kvTokens
+		hit := min(e.cache.take(j.conversation), j.toPrefill)
+		e.cachedTokens += hit
+		e.promptTokens += j.toPrefill
+		j.toPrefill = max(j.toPrefill-hit, 1)
+		e.cache.shrink(e.speed.KVTokens - e.usedTokens)
 		e.running = append(e.running, j)
 		sort.SliceStable(e.running, func(a, b int) bool { return before(e.running[a], e.running[b]) })
 	}
 }
 
-// plan decides one step: every sequence that generates gets a token, and the
-// chunk is read for the others in order of priority.
-func (e *fakeEngine) plan() (d time.Duration, apply func()) {
+// planStep returns the duration of the next step and a function that applies its
+// results. Each decoding sequence gets one token; the chunk is shared among the
+// other jobs in order of priority.
+func (e *simEngine) planStep() (d time.Duration, finishStep func()) {
 	d = e.speed.StepTime
 	budget := e.speed.ChunkTokens
 	chunks := make(map[*job]int)
-	var generating []*job
+	var decoding []*job
 	for _, j := range e.running {
-		if j.unread == 0 {
-			generating = append(generating, j)
+		if j.toPrefill == 0 {
+			decoding = append(decoding, j)
 			d += e.speed.TimePerSequence
 			continue
 		}
-		n := min(j.unread, budget)
+		n := min(j.toPrefill, budget)
 		if n > 0 {
 			chunks[j] = n
 			budget -= n
 		}
 	}
 	d += time.Duration(float64(e.speed.ChunkTokens-budget) / e.speed.PrefillRate * float64(time.Second))
-	return d, func() { e.apply(chunks, generating) }
+	return d, func() { e.finishStep(chunks, decoding) }
 }
 
-func (e *fakeEngine) apply(chunks map[*job]int, generating []*job) {
-	for _, j := range generating {
-		j.left--
+// finishStep applies the results of a step to the running jobs.
+func (e *simEngine) finishStep(chunks map[*job]int, decoding []*job) {
+	for _, j := range decoding {
+		j.toDecode--
 	}
 	for _, j := range append([]*job(nil), e.running...) {
 		if n, ok := chunks[j]; ok {
-			j.unread -= n
-			if j.unread == 0 {
-				j.left--
-				j.first(e.sim.Elapsed())
+			j.toPrefill -= n
+			if j.toPrefill == 0 {
+				j.toDecode--
+				j.onFirstToken(e.sim.Elapsed())
 			}
 		}
-		if j.unread == 0 && j.left <= 0 {
+		if j.toPrefill == 0 && j.toDecode <= 0 {
 			e.finish(j)
 		}
 	}
 }
 
-// finish ends a job. A member's part stays in memory until the whole has ended.
-func (e *fakeEngine) finish(j *job) {
+// finish ends a job and moves its tokens to the prefix cache.
+func (e *simEngine) finish(j *job) {
 	if !e.remove(j) {
 		return
 	}
-	e.memory -= j.tokens
-	e.cache.put(j.conv, j.tokens)
-	e.cache.shrink(e.speed.KVTokens - e.memory)
-	j.done(e.sim.Elapsed())
+	e.usedTokens -= j.kvTokens
+	e.cache.put(j.conversation, j.kvTokens)
+	e.cache.shrink(e.speed.KVTokens - e.usedTokens)
+	j.onDone(e.sim.Elapsed())
 }
 
-func (e *fakeEngine) remove(j *job) bool {
+func (e *simEngine) remove(j *job) bool {
 	for i, other := range e.running {
 		if other == j {
 			e.running = append(e.running[:i], e.running[i+1:]...)
@@ -189,10 +195,10 @@
 	return false
 }
 
-// cancel drops a job wherever it stands.
-func (e *fakeEngine) cancel(j *job) {
+// cancel removes a running or waiting job.
+func (e *simEngine) cancel(j *job) {
 	if e.remove(j) {
-		e.memory -= j.tokens
+		e.usedTokens -= j.kvTokens
 		return
 	}
 	for i, other := range e.waiting {
@@ -203,77 +209,77 @@
 	}
 }
 
-// kill ends the engine; its jobs fail.
-func (e *fakeEngine) kill() {
-	e.dead = true
+// crash stops the engine and fails its jobs. Its prefix cache is lost.
+func (e *simEngine) crash() {
+	e.crashed = true
 	jobs := append(append([]*job(nil), e.running...), e.waiting...)
-	e.running, e.waiting, e.memory = nil, nil, 0
+	e.running, e.waiting, e.usedTokens = nil, nil, 0
 	e.cache = prefixCache{}
 	for _, j := range jobs {
-		j.failed(e.sim.Elapsed())
+		j.onFailed(e.sim.Elapsed())
 	}
 }
 
-// revive starts the engine anew, or lets it go on after a hang.
-func (e *fakeEngine) revive() {
-	e.dead, e.hung = false, false
-	e.wake()
+// restore restarts the engine after a crash or resumes it after a hang.
+func (e *simEngine) restore() {
+	e.crashed, e.hung = false, false
+	e.startStep()
 }
 
-// load is the engine's report. A hung engine still reports.
-func (e *fakeEngine) load() barleystep.Load {
+// loadReport returns the engine's load report. A hung engine still reports.
+func (e *simEngine) loadReport() barleystep.Load {
 	return barleystep.Load{
 		At:          e.sim.Now(),
 		Running:     len(e.running),
 		Waiting:     len(e.waiting),
-		FreeTokens:  e.speed.KVTokens - e.memory,
+		FreeTokens:  e.speed.KVTokens - e.usedTokens,
 		TotalTokens: e.speed.KVTokens,
 	}
 }
 
-// prefixCache keeps the prompts of conversations, the latest used longest.
+// prefixCache is an LRU cache of the prompts of conversations.
 type prefixCache struct {
-	order  list.List
-	byConv map[uint64]*list.Element
-	tokens int
+	order          list.List
+	byConversation map[uint64]*list.Element
+	tokens         int
 }
 
-type cached struct {
-	conv   uint64
-	tokens int
+type cacheEntry struct {
+	conversation uint64
+	tokens       int
 }
 
-// take returns how many tokens of the conversation are cached, and removes them:
-// the running job holds them now.
-func (c *prefixCache) take(conv uint64) int {
-	el, ok := c.byConv[conv]
+// take removes the conversation and returns how many of its tokens were cached:
+// from now on they belong to the running job.
+func (c *prefixCache) take(conversation uint64) int {
+	el, ok := c.byConversation[conversation]
 	if !ok {
 		return 0
 	}
-	n := el.Value.(cached).tokens
+	n := el.Value.(cacheEntry).tokens
 	c.drop(el)
 	return n
 }
 
-func (c *prefixCache) put(conv uint64, tokens int) {
-	c.take(conv)
-	if c.byConv == nil {
-		c.byConv = make(map[uint64]*list.Element)
+func (c *prefixCache) put(conversation uint64, tokens int) {
+	c.take(conversation)
+	if c.byConversation == nil {
+		c.byConversation = make(map[uint64]*list.Element)
 	}
-	c.byConv[conv] = c.order.PushFront(cached{conv, tokens})
+	c.byConversation[conversation] = c.order.PushFront(cacheEntry{conversation, tokens})
 	c.tokens += tokens
 }
 
-// shrink evicts until the cache fits the room.
-func (c *prefixCache) shrink(room int) {
-	for c.tokens > room && c.order.Len() > 0 {
+// shrink evicts entries until the cache holds at most capacity tokens.
+func (c *prefixCache) shrink(capacity int) {
+	for c.tokens > capacity && c.order.Len() > 0 {
 		c.drop(c.order.Back())
 	}
 }
 
 func (c *prefixCache) drop(el *list.Element) {
-	entry := el.Value.(cached)
+	entry := el.Value.(cacheEntry)
 	c.order.Remove(el)
-	delete(c.byConv, entry.conv)
+	delete(c.byConversation, entry.conversation)
 	c.tokens -= entry.tokens
 }
--- a/internal/trial/table.go
+++ b/internal/trial/table.go
@@ -12,38 +12,39 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Plan says what to run.
+// Plan describes which cases to run.
 type Plan struct {
-	// Seeds is how many loads are drawn for each case.
+	// Seeds is the number of runs of each case, each with its own random workload.
 	Seeds   int
 	Workers int
-	// Quick runs only the middle engines, without faults.
+	// Quick runs only the engines of middle speed and leaves out the faults.
 	Quick bool
 }
 
-// Level is how much of the fleet's reading speed a load takes.
+// Level is the utilization of the fleet's prefill rate by a workload.
 type Level struct {
 	Name        string
 	Utilization float64
 }
 
-// Levels are the levels that are tried. Full is what leaves an engine time for
-// the steps that generate.
+// Levels lists the utilizations that the tables cover. "full" leaves an engine time
+// for decoding.
 var Levels = []Level{{"light", 0.3}, {"full", 0.8}, {"1.3 x full", 1.04}}
 
-// cell is a case together with the same case without long prompts.
+// cell is a case with its result and the result of the same case without long
+// prompts.
 type cell struct {
-	level   Level
-	mixed   Case
-	result  Result
-	without Result
+	level     Level
+	mixed     Case
+	result    Result
+	shortOnly Result
 }
 
 // WriteTables runs the plan and writes its tables as Markdown.
 func WriteTables(w io.Writer, p Plan) error {
 	for _, load := range Workloads {
 		for _, speed := range p.speeds() {
-			if err := p.table(w, load, speed); err != nil {
+			if err := p.writeTable(w, load, speed); err != nil {
 				return err
 			}
 		}
@@ -52,7 +53,7 @@
 		return nil
 	}
 	for _, load := range Workloads {
-		if err := p.faults(w, load); err != nil {
+		if err := p.writeFaultTable(w, load); err != nil {
 			return err
 		}
 	}
@@ -66,7 +67,7 @@
 	return EngineSpeeds
 }
 
-func (p Plan) table(w io.Writer, load Workload, speed EngineSpeed) error {
+func (p Plan) writeTable(w io.Writer, load Workload, speed EngineSpeed) error {
 	var cells []*cell
 	for _, level := range Levels {
 		for _, v := range Strategies {
@@ -75,26 +76,27 @@
 			}})
 		}
 	}
-	p.run(cells)
+	p.runCells(cells)
 	title := fmt.Sprintf("%s, %s engines (%.0f tokens/s)", load.Name, speed.Name, speed.PrefillRate)
-	return write(w, title, "load", cells, func(c *cell) string { return c.level.Name })
+	return writeMarkdown(w, title, "load", cells, func(c *cell) string { return c.level.Name })
 }
 
-func (p Plan) faults(w io.Writer, load Workload) error {
+func (p Plan) writeFaultTable(w io.Writer, load Workload) error {
 	var cells []*cell
-	ours := Strategies[len(Strategies)-1]
+	current := Strategies[len(Strategies)-1]
 	for _, f := range Faults {
 		cells = append(cells, &cell{level: Levels[1], mixed: Case{
-			Strategy: ours, Workload: load, EngineSpeed: EngineSpeeds[1], Utilization: Levels[1].Utilization, Fault: f,
+			Strategy: current, Workload: load, EngineSpeed: EngineSpeeds[1], Utilization: Levels[1].Utilization, Fault: f,
 		}})
 	}
-	p.run(cells)
+	p.runCells(cells)
 	title := fmt.Sprintf("%s, middle engines, full load, with faults", load.Name)
-	return write(w, title, "fault", cells, func(c *cell) string { return string(c.mixed.Fault) })
+	return writeMarkdown(w, title, "fault", cells, func(c *cell) string { return string(c.mixed.Fault) })
 }
 
-// run runs all cells, several at a time. Each run is deterministic by itself.
-func (p Plan) run(cells []*cell) {
+// runCells runs all cells, up to Workers at a time. Each run is deterministic
+// whatever runs beside it.
+func (p Plan) runCells(cells []*cell) {
 	var wait sync.WaitGroup
 	slots := make(chan struct{}, max(p.Workers, 1))
 	for _, c := range cells {
@@ -104,25 +106,25 @@
 			short := c.mixed
 			short.ShortOnly = true
 			short.Fault = FaultNone
-			c.without = p.runSeeds(short)
+			c.shortOnly = p.runSeeds(short)
 			<-slots
 		})
 	}
 	wait.Wait()
 }
 
-// runSeeds runs the case with several loads and adds up what they measured.
+// runSeeds runs the case once for each seed and merges the results.
 func (p Plan) runSeeds(c Case) Result {
 	c.Seed = 1
 	sum := Run(c)
 	for seed := 2; seed <= p.Seeds; seed++ {
 		c.Seed = uint64(seed)
-		sum.add(Run(c))
+		sum.merge(Run(c))
 	}
 	return sum
 }
 
-func write(w io.Writer, title, first string, cells []*cell, label func(*cell) string) error {
+func writeMarkdown(w io.Writer, title, first string, cells []*cell, label func(*cell) string) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "\n### %s\n\n", title)
 	fmt.Fprintf(&b, "| %s | decided by | %s | slowdown of short, p95 | good | refused | starved | fairness | cached |\n", first, bandTitles())
@@ -144,7 +146,8 @@
 	return strings.Join(names, " | ")
 }
 
-// bandCells gives p50, p95 and p99 of the time to first token in seconds.
+// bandCells returns the p50, p95 and p99 of the time to first token of each band,
+// in seconds.
 func bandCells(r Result) string {
 	cells := make([]string, len(r.TTFT))
 	for i, h := range r.TTFT {
@@ -158,7 +161,8 @@
 	return fmt.Sprintf("%.2f", d.Seconds())
 }
 
-// slowdown is the ratio of the short prompts' p95 with and without long ones.
+// slowdown returns the p95 time to first token of short prompts with long prompts
+// beside them, as a multiple of the p95 without.
 func slowdown(c *cell) float64 {
-	return float64(c.result.ShortTTFT.ValueAtQuantile(95)) / float64(c.without.ShortTTFT.ValueAtQuantile(95))
+	return float64(c.result.ShortTTFT.ValueAtQuantile(95)) / float64(c.shortOnly.ShortTTFT.ValueAtQuantile(95))
 }
