--- a/internal/capacity/allocator.go
+++ b/internal/capacity/allocator.go
@@ -30,27 +30,27 @@
 	Meter    *metric.Meter
 	Settings Settings
 
-	mu      sync.Mutex
-	pools   map[string]*pool
-	avoided map[barleystep.BoxID]time.Time
+	mu           sync.Mutex
+	pools        map[string]*pool
+	avoidedUntil map[barleystep.BoxID]time.Time
 }
 
 // pool is the box's side of one pool.
 type pool struct {
-	name   string
-	mu     sync.Mutex
-	holder *Holder
-	used   time.Time
+	name     string
+	mu       sync.Mutex
+	holder   *Holder
+	lastUsed time.Time
 }
 
 const (
 	// avoidFor is how long an endpoint that failed is passed over.
 	avoidFor = time.Second
 	// quietLife is how long a pool is reported after its last use.
-	quietLife = 30 * time.Second
+	poolRetention = 30 * time.Second
 	// notice bounds the messages about first tokens and releases, which a report
 	// repeats if they are lost.
-	notice = time.Second
+	noticeTimeout = time.Second
 )
 
 var _ barleystep.Allocator = (*Allocator)(nil)
@@ -58,33 +58,33 @@
 // Acquire waits until the request may run.
 func (a *Allocator) Acquire(ctx context.Context, d barleystep.Demand) (barleystep.Allocation, error) {
 	p := a.pool(d.Model)
-	if target, ok := p.try(a.Clock.Now(), d); ok {
+	if target, ok := p.tryStart(a.Clock.Now(), d); ok {
 		rank := a.share(d).Rank
-		return a.allotment(p, d, []barleystep.TargetID{target}, Priority(a.weighing(), rank, d.PromptTokens), nil), nil
+		return a.allocation(p, d, []barleystep.TargetID{target}, Priority(a.weighing(), rank, d.PromptTokens), nil), nil
 	}
-	return a.ask(ctx, p, d)
+	return a.requestGrant(ctx, p, d)
 }
 
-func (p *pool) try(now time.Time, d barleystep.Demand) (barleystep.TargetID, bool) {
+func (p *pool) tryStart(now time.Time, d barleystep.Demand) (barleystep.TargetID, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.used = now
+	p.lastUsed = now
 	return p.holder.TryStart(now, d)
 }
 
 // ask asks one endpoint after the other until one answers or ctx ends.
-func (a *Allocator) ask(ctx context.Context, p *pool, d barleystep.Demand) (barleystep.Allocation, error) {
+func (a *Allocator) requestGrant(ctx context.Context, p *pool, d barleystep.Demand) (barleystep.Allocation, error) {
 	s := a.share(d)
-	question := GrantRequest{Demand: d, Box: a.Box, Weight: s.Weight, Rank: s.Rank, Limit: s.Limit}
+	req := GrantRequest{Demand: d, Box: a.Box, Weight: s.Weight, Rank: s.Rank, Limit: s.Limit}
 	for {
 		id := a.dispenser(p.name)
 		endpoint := a.endpoint(id)
-		g, err := a.askOne(ctx, id, p.name, endpoint, question)
+		g, err := a.requestFrom(ctx, id, p.name, endpoint, req)
 		if err == nil {
-			p.hold(a.Clock.Now(), d, g.Targets)
-			return a.allotment(p, d, g.Targets, g.Priority, endpoint), nil
+			p.addGrant(a.Clock.Now(), d, g.Targets)
+			return a.allocation(p, d, g.Targets, g.Priority, endpoint), nil
 		}
-		if refused(err) || ctx.Err() != nil {
+		if isRefusal(err) || ctx.Err() != nil {
 			return barleystep.Allocation{}, err
 		}
 		a.Meter.AttemptRetried("dispenser_lost")
@@ -93,13 +93,13 @@
 
 // askOne asks one endpoint. When the pool's dispenser moves meanwhile, the question
 // is withdrawn.
-func (a *Allocator) askOne(ctx context.Context, id barleystep.BoxID, pool string, endpoint Endpoint, q GrantRequest) (Grant, error) {
-	asking, cancel := context.WithCancel(ctx)
+func (a *Allocator) requestFrom(ctx context.Context, id barleystep.BoxID, pool string, endpoint Endpoint, req GrantRequest) (Grant, error) {
+	askCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	moved := a.whenMoved(asking, id, pool, cancel)
-	g, err := endpoint.Ask(asking, pool, q)
+	hasMoved := a.cancelOnMove(askCtx, id, pool, cancel)
+	g, err := endpoint.Ask(askCtx, pool, req)
 	// A caller that went away says nothing of the endpoint.
-	failed := err != nil && !refused(err) && ctx.Err() == nil && !moved()
+	failed := err != nil && !isRefusal(err) && ctx.Err() == nil && !hasMoved()
 	if failed && id != a.Box {
 		a.avoid(id)
 	}
@@ -107,15 +107,15 @@
 }
 
 // whenMoved cancels the question when another box becomes the dispenser.
-func (a *Allocator) whenMoved(ctx context.Context, id barleystep.BoxID, pool string, cancel context.CancelFunc) (moved func() bool) {
+func (a *Allocator) cancelOnMove(ctx context.Context, id barleystep.BoxID, pool string, cancel context.CancelFunc) (hasMoved func() bool) {
 	var mu sync.Mutex
-	gone := false
+	isMoved := false
 	go func() {
 		for {
 			changed := a.Membership.Changed()
 			if a.dispenser(pool) != id {
 				mu.Lock()
-				gone = true
+				isMoved = true
 				mu.Unlock()
 				cancel()
 				return
@@ -130,16 +130,16 @@
 	return func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return gone
+		return isMoved
 	}
 }
 
-func refused(err error) bool {
+func isRefusal(err error) bool {
 	var r *barleystep.Refusal
 	return eris.As(err, &r)
 }
 
-func (p *pool) hold(now time.Time, d barleystep.Demand, targets []barleystep.TargetID) {
+func (p *pool) addGrant(now time.Time, d barleystep.Demand, targets []barleystep.TargetID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.holder.AddGrant(now, d, targets)
@@ -147,11 +147,11 @@
 
 // allotment wires what becomes of an attempt back to the holder, and to the
 // endpoint that granted it.
-func (a *Allocator) allotment(p *pool, d barleystep.Demand, targets []barleystep.TargetID, priority int, endpoint Endpoint) barleystep.Allocation {
+func (a *Allocator) allocation(p *pool, d barleystep.Demand, targets []barleystep.TargetID, priority int, endpoint Endpoint) barleystep.Allocation {
 	id := d.Attempt
 	return barleystep.NewAllocation(targets, priority, barleystep.AllocationHooks{
 		FirstToken: func() {
-			p.first(a.Clock.Now(), id)
+			p.firstToken(a.Clock.Now(), id)
 			if endpoint != nil {
 				a.notify(func(ctx context.Context) error { return endpoint.First(ctx, p.name, id) })
 			}
@@ -165,7 +165,7 @@
 	})
 }
 
-func (p *pool) first(now time.Time, id barleystep.AttemptID) {
+func (p *pool) firstToken(now time.Time, id barleystep.AttemptID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.holder.FirstToken(now, id)
@@ -180,7 +180,7 @@
 // notify sends a message without making the request wait for it.
 func (a *Allocator) notify(send func(context.Context) error) {
 	go func() {
-		ctx, cancel := clock.WithDeadline(context.Background(), a.Clock, a.Clock.Now().Add(notice))
+		ctx, cancel := clock.WithDeadline(context.Background(), a.Clock, a.Clock.Now().Add(noticeTimeout))
 		defer cancel()
 		if send(ctx) != nil {
 			a.Meter.AttemptRetried("notice_lost")
@@ -190,22 +190,22 @@
 
 // Serve reports to the dispensers at intervals until ctx ends.
 func (a *Allocator) Serve(ctx context.Context) error {
-	every := a.Settings.withDefaults().Interval
-	for clock.Sleep(ctx, a.Clock, every) {
-		pools := a.used()
-		every = a.Settings.withDefaults().every(len(pools))
-		var wait sync.WaitGroup
+	interval := a.Settings.withDefaults().Interval
+	for clock.Sleep(ctx, a.Clock, interval) {
+		pools := a.activePools()
+		interval = a.Settings.withDefaults().reportInterval(len(pools))
+		var wg sync.WaitGroup
 		for _, p := range pools {
-			wait.Go(func() { a.report(ctx, p, every) })
+			wg.Go(func() { a.report(ctx, p, interval) })
 		}
-		wait.Wait()
+		wg.Wait()
 	}
 	return ctx.Err()
 }
 
-func (a *Allocator) report(ctx context.Context, p *pool, every time.Duration) {
+func (a *Allocator) report(ctx context.Context, p *pool, interval time.Duration) {
 	now := a.Clock.Now()
-	ctx, cancel := clock.WithDeadline(ctx, a.Clock, now.Add(every))
+	ctx, cancel := clock.WithDeadline(ctx, a.Clock, now.Add(interval))
 	defer cancel()
 	p.mu.Lock()
 	r := p.holder.Report(now)
@@ -218,20 +218,20 @@
 		return
 	}
 	// The dispenser's clock may differ from this box's.
-	c.Until = now.Add(creditLife * every)
+	c.Until = now.Add(creditIntervals * interval)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.holder.SetCredits(c)
 }
 
 // used returns the pools that were lately used, and forgets the others.
-func (a *Allocator) used() []*pool {
+func (a *Allocator) activePools() []*pool {
 	now := a.Clock.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var list []*pool
 	for name, p := range a.pools {
-		if p.quiet(now) {
+		if p.isIdle(now) {
 			delete(a.pools, name)
 			continue
 		}
@@ -240,10 +240,10 @@
 	return list
 }
 
-func (p *pool) quiet(now time.Time) bool {
+func (p *pool) isIdle(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Sub(p.used) > quietLife && len(p.holder.running) == 0
+	return now.Sub(p.lastUsed) > poolRetention && len(p.holder.running) == 0
 }
 
 func (a *Allocator) pool(name string) *pool {
@@ -255,7 +255,7 @@
 	if a.pools == nil {
 		a.pools = make(map[string]*pool)
 	}
-	p := &pool{name: name, holder: NewHolder(a.Box), used: a.Clock.Now()}
+	p := &pool{name: name, holder: NewHolder(a.Box), lastUsed: a.Clock.Now()}
 	a.pools[name] = p
 	return p
 }
@@ -266,7 +266,7 @@
 	now := a.Clock.Now()
 	a.mu.Lock()
 	alive := slices.DeleteFunc(slices.Clone(a.Membership.Alive()), func(id barleystep.BoxID) bool {
-		return now.Before(a.avoided[id])
+		return now.Before(a.avoidedUntil[id])
 	})
 	a.mu.Unlock()
 	if id := place.Owner(pool, alive); id != "" {
@@ -288,10 +288,10 @@
 func (a *Allocator) avoid(id barleystep.BoxID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.avoided == nil {
-		a.avoided = make(map[barleystep.BoxID]time.Time)
+	if a.avoidedUntil == nil {
+		a.avoidedUntil = make(map[barleystep.BoxID]time.Time)
 	}
-	a.avoided[id] = a.Clock.Now().Add(avoidFor)
+	a.avoidedUntil[id] = a.Clock.Now().Add(avoidFor)
 }
 
 func (a *Allocator) share(d barleystep.Demand) config.Share {
--- a/internal/capacity/dispenser.go
+++ b/internal/capacity/dispenser.go
@@ -14,46 +14,46 @@
 // Dispenser hands out the capacity of one model in one hall. It is a state
 // machine: every method is given the time. It is not safe for concurrent use.
 type Dispenser struct {
-	settings Settings
-	born     time.Time
-	targets  map[barleystep.TargetID]*target
-	sorted   []*target
-	boxes    map[barleystep.BoxID]*box
-	holdings map[barleystep.AttemptID]*holding
-	lanes    [laneCount]queue.Fair[*waiter]
-	gangs    []*gang
-	prefixes place.PrefixIndex
-	pace     time.Duration // pace is the smoothed time per generated token.
-	expired  time.Time     // expired is when the queues were last searched for expired requests.
+	settings      Settings
+	startedAt     time.Time
+	targets       map[barleystep.TargetID]*target
+	sortedTargets []*target
+	boxes         map[barleystep.BoxID]*boxState
+	grants        map[barleystep.AttemptID]*activeGrant
+	lanes         [laneCount]queue.Fair[*waiter]
+	reservations  []*reservation
+	prefixes      place.PrefixIndex
+	decodeTime    time.Duration // pace is the smoothed time per generated token.
+	lastExpiry    time.Time     // expired is when the queues were last searched for expired requests.
 }
 
 // box is what the dispenser keeps of a reporting box.
-type box struct {
-	reported time.Time
-	wanted   float64 // wanted is the smoothed short prompt tokens per interval.
+type boxState struct {
+	lastReport      time.Time
+	requestedTokens float64 // wanted is the smoothed short prompt tokens per interval.
 }
 
 // waiter is a request in a queue.
 type waiter struct {
-	ask    GrantRequest
+	req    GrantRequest
 	tokens int
 }
 
 // NewDispenser returns a dispenser that has just taken over its pool.
 func NewDispenser(s Settings, now time.Time) *Dispenser {
 	return &Dispenser{
-		settings: s.withDefaults(),
-		born:     now,
-		targets:  make(map[barleystep.TargetID]*target),
-		boxes:    make(map[barleystep.BoxID]*box),
-		holdings: make(map[barleystep.AttemptID]*holding),
-		pace:     firstPace,
+		settings:   s.withDefaults(),
+		startedAt:  now,
+		targets:    make(map[barleystep.TargetID]*target),
+		boxes:      make(map[barleystep.BoxID]*boxState),
+		grants:     make(map[barleystep.AttemptID]*activeGrant),
+		decodeTime: initialDecodeTime,
 	}
 }
 
 // settling is how long a new dispenser takes a target without a load report for
 // full: the work that an earlier dispenser gave it may not be known yet.
-const settling = 3 * time.Second
+const settlePeriod = 3 * time.Second
 
 // SetWeighing sets the balance between short (0) and long (1) prompts.
 func (d *Dispenser) SetWeighing(w float64) { d.settings.Weighing = w }
@@ -65,19 +65,19 @@
 	for _, s := range specs {
 		t, ok := d.targets[s.ID]
 		if !ok {
-			t = newTarget(s, d.born.Add(settling))
+			t = newTarget(s, d.startedAt.Add(settlePeriod))
 		}
 		t.spec = s
 		keep[s.ID] = t
 	}
 	d.targets = keep
-	d.sorted = d.sorted[:0]
+	d.sortedTargets = d.sortedTargets[:0]
 	for _, t := range keep {
-		d.sorted = append(d.sorted, t)
+		d.sortedTargets = append(d.sortedTargets, t)
 	}
-	sort.Slice(d.sorted, func(i, j int) bool { return d.sorted[i].spec.ID < d.sorted[j].spec.ID })
-	for _, g := range slices.Clone(d.gangs) {
-		if slices.ContainsFunc(g.members, func(t *target) bool { return d.targets[t.spec.ID] != t }) {
+	sort.Slice(d.sortedTargets, func(i, j int) bool { return d.sortedTargets[i].spec.ID < d.sortedTargets[j].spec.ID })
+	for _, g := range slices.Clone(d.reservations) {
+		if slices.ContainsFunc(g.targets, func(t *target) bool { return d.targets[t.spec.ID] != t }) {
 			d.requeue(g)
 		}
 	}
@@ -94,16 +94,16 @@
 // Ask queues a request. The answer comes from Tick. It returns a refusal at
 // once if the request can never be served in time.
 func (d *Dispenser) Enqueue(now time.Time, a GrantRequest) *barleystep.Refusal {
-	if d.allAvoided(a.Demand.FailedTargets) {
+	if d.allFailed(a.Demand.FailedTargets) {
 		// It has been everywhere: it begins anew instead of waiting for nobody.
 		a.Demand.FailedTargets = nil
 	}
-	w := &waiter{ask: a, tokens: a.Demand.Tokens()}
-	lane, refusal := d.lane(w)
+	w := &waiter{req: a, tokens: a.Demand.Tokens()}
+	lane, refusal := d.laneOf(w)
 	if refusal != nil {
 		return refusal
 	}
-	if r := d.hopeless(now, w, lane); r != nil {
+	if r := d.checkDeadline(now, w, lane); r != nil {
 		return r
 	}
 	q := &d.lanes[lane]
@@ -119,8 +119,8 @@
 }
 
 // allAvoided reports whether the list holds all targets.
-func (d *Dispenser) allAvoided(avoid []barleystep.TargetID) bool {
-	return !slices.ContainsFunc(d.sorted, func(t *target) bool { return !slices.Contains(avoid, t.spec.ID) })
+func (d *Dispenser) allFailed(failed []barleystep.TargetID) bool {
+	return !slices.ContainsFunc(d.sortedTargets, func(t *target) bool { return !slices.Contains(failed, t.spec.ID) })
 }
 
 func notRun(reason barleystep.Reason, message string, after time.Duration) *barleystep.Refusal {
@@ -136,7 +136,7 @@
 const classStep = 8
 
 func flowWeight(a GrantRequest) float64 {
-	w := max(a.Weight, minimumWeight)
+	w := max(a.Weight, minWeight)
 	for range min(a.Rank, maxRank) {
 		w /= classStep
 	}
@@ -144,80 +144,80 @@
 }
 
 const (
-	minimumWeight = 1e-3
-	maxRank       = 8
+	minWeight = 1e-3
+	maxRank   = 8
 )
 
 // Withdraw takes a request out of its queue.
 func (d *Dispenser) Withdraw(id barleystep.AttemptID) {
-	mine := func(w *waiter) bool { return w.ask.Demand.Attempt == id }
+	isSame := func(w *waiter) bool { return w.req.Demand.Attempt == id }
 	for i := range d.lanes {
-		d.lanes[i].Remove(mine)
+		d.lanes[i].Remove(isSame)
 	}
-	d.dropGangs(mine)
+	d.dropReservations(isSame)
 }
 
 // First notes that the attempt's first token came. Ratio is the measured over
 // the expected time, zero if nothing was expected.
 func (d *Dispenser) FirstToken(now time.Time, id barleystep.AttemptID, ratio float64) {
-	h, ok := d.holdings[id]
-	if !ok || !h.reading {
+	h, ok := d.grants[id]
+	if !ok || !h.prefilling {
 		return
 	}
-	d.readDone(now, h)
-	for _, t := range d.members(h) {
+	d.prefillDone(now, h)
+	for _, t := range d.targetsOf(h) {
 		if ratio > 0 {
-			t.health.answered(ratio)
+			t.health.noteAnswer(ratio)
 		}
 	}
 }
 
 // readDone notes that a holding's prompt has been read.
-func (d *Dispenser) readDone(now time.Time, h *holding) {
-	for _, t := range d.members(h) {
-		t.sums.read(h, -1)
+func (d *Dispenser) prefillDone(now time.Time, h *activeGrant) {
+	for _, t := range d.targetsOf(h) {
+		t.totals.addPrefill(h, -1)
 	}
-	h.reading = false
-	h.firstAt = now
+	h.prefilling = false
+	h.firstTokenAt = now
 }
 
 // Release takes a grant back.
 func (d *Dispenser) Release(now time.Time, id barleystep.AttemptID, u barleystep.Usage) {
-	h, ok := d.holdings[id]
+	h, ok := d.grants[id]
 	if !ok {
 		return
 	}
-	d.learnPace(now, h, u)
-	d.drop(now, h)
+	d.learnDecodeTime(now, h, u)
+	d.removeGrant(now, h)
 	if u.TargetFailed() {
-		for _, t := range d.members(h) {
-			t.health.failed(now)
+		for _, t := range d.targetsOf(h) {
+			t.health.noteFailure(now)
 		}
 	}
 }
 
 // The time per generated token is learnt from answers that were whole.
 const (
-	firstPace    = 50 * time.Millisecond
-	paceLearning = 0.05
+	initialDecodeTime   = 50 * time.Millisecond
+	decodeTimeSmoothing = 0.05
 )
 
-func (d *Dispenser) learnPace(now time.Time, h *holding, u barleystep.Usage) {
-	if u.Outcome != barleystep.OutcomeDone || h.reading || h.output == 0 {
+func (d *Dispenser) learnDecodeTime(now time.Time, h *activeGrant, u barleystep.Usage) {
+	if u.Outcome != barleystep.OutcomeDone || h.prefilling || h.outputTokens == 0 {
 		return
 	}
-	seen := now.Sub(h.firstAt) / time.Duration(h.output)
-	d.pace += time.Duration(paceLearning * float64(seen-d.pace))
+	measured := now.Sub(h.firstTokenAt) / time.Duration(h.outputTokens)
+	d.decodeTime += time.Duration(decodeTimeSmoothing * float64(measured-d.decodeTime))
 }
 
-func (d *Dispenser) drop(now time.Time, h *holding) {
-	for _, t := range d.members(h) {
+func (d *Dispenser) removeGrant(now time.Time, h *activeGrant) {
+	for _, t := range d.targetsOf(h) {
 		t.remove(h, now)
 	}
-	delete(d.holdings, h.attempt)
+	delete(d.grants, h.attempt)
 }
 
-func (d *Dispenser) members(h *holding) []*target {
+func (d *Dispenser) targetsOf(h *activeGrant) []*target {
 	list := make([]*target, 0, len(h.targets))
 	for _, id := range h.targets {
 		if t, ok := d.targets[id]; ok {
@@ -230,12 +230,12 @@
 // Tick decides all that can be decided now.
 func (d *Dispenser) Schedule(now time.Time) []Grant {
 	grants := d.expire(now)
-	grants = append(grants, d.tickGangs(now)...)
-	grants = append(grants, d.tickLane(now, laneLong)...)
-	return append(grants, d.tickLane(now, laneShort)...)
+	grants = append(grants, d.scheduleReservations(now)...)
+	grants = append(grants, d.scheduleLane(now, laneLong)...)
+	return append(grants, d.scheduleLane(now, laneShort)...)
 }
 
-func (d *Dispenser) tickLane(now time.Time, l lane) []Grant {
+func (d *Dispenser) scheduleLane(now time.Time, l lane) []Grant {
 	var grants []Grant
 	q := &d.lanes[l]
 	for q.Len() > 0 {
@@ -252,36 +252,36 @@
 	return grants
 }
 
-func (d *Dispenser) grant(now time.Time, w *waiter, on []*target, l lane) Grant {
-	ids := make([]barleystep.TargetID, len(on))
-	for i, t := range on {
+func (d *Dispenser) grant(now time.Time, w *waiter, targets []*target, l lane) Grant {
+	ids := make([]barleystep.TargetID, len(targets))
+	for i, t := range targets {
 		ids[i] = t.spec.ID
 	}
-	dem := w.ask.Demand
-	h := &holding{
-		attempt: dem.Attempt,
-		box:     w.ask.Box,
-		account: dem.Account,
-		targets: ids,
-		prompt:  dem.PromptTokens,
-		output:  dem.MaxOutputTokens,
-		since:   now,
-		reading: true,
-		long:    l != laneShort,
+	demand := w.req.Demand
+	h := &activeGrant{
+		attempt:      demand.Attempt,
+		box:          w.req.Box,
+		account:      demand.Account,
+		targets:      ids,
+		promptTokens: demand.PromptTokens,
+		outputTokens: demand.MaxOutputTokens,
+		grantedAt:    now,
+		prefilling:   true,
+		isLong:       l != laneShort,
 	}
-	d.keep(h)
-	d.prefixes.Record(dem.PrefixHashes, ids[0])
+	d.addGrant(h)
+	d.prefixes.Record(demand.PrefixHashes, ids[0])
 	return Grant{
-		Attempt:  dem.Attempt,
-		Box:      w.ask.Box,
+		Attempt:  demand.Attempt,
+		Box:      w.req.Box,
 		Targets:  ids,
-		Priority: Priority(d.settings.Weighing, w.ask.Rank, dem.PromptTokens),
+		Priority: Priority(d.settings.Weighing, w.req.Rank, demand.PromptTokens),
 	}
 }
 
-func (d *Dispenser) keep(h *holding) {
-	d.holdings[h.attempt] = h
-	for _, t := range d.members(h) {
+func (d *Dispenser) addGrant(h *activeGrant) {
+	d.grants[h.attempt] = h
+	for _, t := range d.targetsOf(h) {
 		t.add(h)
 	}
 }
@@ -299,24 +299,24 @@
 
 // expireEvery is the time between searches for expired requests: each caller
 // also keeps its own deadline.
-const expireEvery = time.Second
+const expiryInterval = time.Second
 
 func (d *Dispenser) expire(now time.Time) []Grant {
-	if now.Sub(d.expired) < expireEvery {
+	if now.Sub(d.lastExpiry) < expiryInterval {
 		return nil
 	}
-	d.expired = now
+	d.lastExpiry = now
 	var grants []Grant
-	late := func(w *waiter) bool { return !now.Before(w.ask.Demand.Deadline) }
-	for _, g := range slices.Clone(d.gangs) {
-		if late(g.waiter) {
+	isLate := func(w *waiter) bool { return !now.Before(w.req.Demand.Deadline) }
+	for _, g := range slices.Clone(d.reservations) {
+		if isLate(g.waiter) {
 			d.requeue(g)
 		}
 	}
 	for i := range d.lanes {
-		for _, w := range d.lanes[i].Remove(late) {
+		for _, w := range d.lanes[i].Remove(isLate) {
 			r := notRun(barleystep.ReasonDeadline, "The time limit was reached in the queue.", d.drainTime(lane(i)))
-			grants = append(grants, Grant{Attempt: w.ask.Demand.Attempt, Box: w.ask.Box, Refusal: r})
+			grants = append(grants, Grant{Attempt: w.req.Demand.Attempt, Box: w.req.Box, Refusal: r})
 		}
 	}
 	return grants
@@ -324,6 +324,6 @@
 
 // String describes the dispenser for logs.
 func (d *Dispenser) String() string {
-	return fmt.Sprintf("targets=%d grants=%d short=%d long=%d giant=%d", len(d.targets), len(d.holdings),
-		d.lanes[laneShort].Len(), d.lanes[laneLong].Len(), d.lanes[laneGiant].Len())
+	return fmt.Sprintf("targets=%d grants=%d short=%d long=%d giant=%d", len(d.targets), len(d.grants),
+		d.lanes[laneShort].Len(), d.lanes[laneLong].Len(), d.lanes[laneLarge].Len())
 }
--- a/internal/capacity/endpoint.go
+++ b/internal/capacity/endpoint.go
@@ -38,29 +38,29 @@
 	Meter         *metric.Meter
 	Settings      Settings
 
-	once   sync.Once
-	opened chan string
-	mu     sync.Mutex
-	pools  map[string]*dispensed
+	once     sync.Once
+	newPools chan string
+	mu       sync.Mutex
+	pools    map[string]*localPool
 }
 
 // dispensed is one pool at an endpoint.
-type dispensed struct {
+type localPool struct {
 	name      string
 	mu        sync.Mutex
 	dispenser *Dispenser
 	version   int64
 	waiting   map[barleystep.AttemptID]chan Grant
-	used      time.Time
+	lastUsed  time.Time
 }
 
 var _ Endpoint = (*LocalEndpoint)(nil)
 
 const (
 	// tickEvery is the time between decisions when nothing else causes one.
-	tickEvery = 100 * time.Millisecond
+	scheduleInterval = 100 * time.Millisecond
 	// idleLife is how long a pool stays at an endpoint that nobody uses.
-	idleLife = time.Minute
+	idleTimeout = time.Minute
 )
 
 // Ask waits for a grant of the pool's dispenser.
@@ -68,13 +68,13 @@
 	p := l.pool(pool)
 	answer := make(chan Grant, 1)
 	id := a.Demand.Attempt
-	if refusal := l.enter(p, a, answer); refusal != nil {
+	if refusal := l.enqueue(p, a, answer); refusal != nil {
 		return Grant{}, refusal
 	}
 	select {
 	case g = <-answer:
 	case <-ctx.Done():
-		l.leave(p, id, answer)
+		l.withdraw(p, id, answer)
 		return Grant{}, eris.Wrap(context.Cause(ctx), "capacity: ask")
 	}
 	if g.Refusal != nil {
@@ -83,7 +83,7 @@
 	return g, nil
 }
 
-func (l *LocalEndpoint) enter(p *dispensed, a GrantRequest, answer chan Grant) error {
+func (l *LocalEndpoint) enqueue(p *localPool, a GrantRequest, answer chan Grant) error {
 	now := l.Clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,16 +91,16 @@
 	if r := p.dispenser.Enqueue(now, a); r != nil {
 		return r
 	}
-	p.used = now
+	p.lastUsed = now
 	p.waiting[a.Demand.Attempt] = answer
-	p.tick(now)
+	p.schedule(now)
 	return nil
 }
 
 // leave withdraws a request whose caller has gone. A grant that crossed with
 // it is given back.
-func (l *LocalEndpoint) leave(p *dispensed, id barleystep.AttemptID, answer chan Grant) {
-	l.decide(p, func(d *Dispenser, now time.Time) {
+func (l *LocalEndpoint) withdraw(p *localPool, id barleystep.AttemptID, answer chan Grant) {
+	l.apply(p, func(d *Dispenser, now time.Time) {
 		d.Withdraw(id)
 		delete(p.waiting, id)
 		select {
@@ -113,31 +113,31 @@
 
 // First notes a first token.
 func (l *LocalEndpoint) First(_ context.Context, pool string, id barleystep.AttemptID) error {
-	l.change(pool, func(d *Dispenser, now time.Time) { d.FirstToken(now, id, 0) })
+	l.update(pool, func(d *Dispenser, now time.Time) { d.FirstToken(now, id, 0) })
 	return nil
 }
 
 // Release takes a grant back.
 func (l *LocalEndpoint) Release(_ context.Context, pool string, id barleystep.AttemptID, u barleystep.Usage) error {
-	l.change(pool, func(d *Dispenser, now time.Time) { d.Release(now, id, u) })
+	l.update(pool, func(d *Dispenser, now time.Time) { d.Release(now, id, u) })
 	return nil
 }
 
 // Report takes in a report.
 func (l *LocalEndpoint) Report(_ context.Context, pool string, r Report) (c Credits, err error) {
-	l.change(pool, func(d *Dispenser, now time.Time) { c = d.ApplyReport(now, r) })
+	l.update(pool, func(d *Dispenser, now time.Time) { c = d.ApplyReport(now, r) })
 	return c, nil
 }
 
 // Load takes in a load report of a target of the pool.
 func (l *LocalEndpoint) UpdateLoad(pool string, id barleystep.TargetID, load barleystep.Load) {
-	l.decide(l.pool(pool), func(d *Dispenser, _ time.Time) { d.UpdateLoad(id, load) })
+	l.apply(l.pool(pool), func(d *Dispenser, _ time.Time) { d.UpdateLoad(id, load) })
 }
 
 // Gone forgets a box in all pools.
 func (l *LocalEndpoint) RemoveBox(id barleystep.BoxID) {
 	for _, name := range l.Pools() {
-		l.change(name, func(d *Dispenser, now time.Time) { d.RemoveBox(now, id) })
+		l.update(name, func(d *Dispenser, now time.Time) { d.RemoveBox(now, id) })
 	}
 }
 
@@ -148,7 +148,7 @@
 	defer l.mu.Unlock()
 	var names []string
 	for name, p := range l.pools {
-		if p.idle(now) {
+		if p.isIdle(now) {
 			delete(l.pools, name)
 			continue
 		}
@@ -157,33 +157,33 @@
 	return names
 }
 
-func (p *dispensed) idle(now time.Time) bool {
+func (p *localPool) isIdle(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.waiting) == 0 && now.Sub(p.used) > idleLife
+	return len(p.waiting) == 0 && now.Sub(p.lastUsed) > idleTimeout
 }
 
 // change is decide for what a box has said: it keeps the pool at the endpoint.
-func (l *LocalEndpoint) change(pool string, f func(*Dispenser, time.Time)) {
+func (l *LocalEndpoint) update(pool string, f func(*Dispenser, time.Time)) {
 	p := l.pool(pool)
-	l.decide(p, func(d *Dispenser, now time.Time) {
-		p.used = now
+	l.apply(p, func(d *Dispenser, now time.Time) {
+		p.lastUsed = now
 		f(d, now)
 	})
 }
 
 // decide lets f change the pool's dispenser, with the configuration in force,
 // and hands out what follows.
-func (l *LocalEndpoint) decide(p *dispensed, f func(*Dispenser, time.Time)) {
+func (l *LocalEndpoint) apply(p *localPool, f func(*Dispenser, time.Time)) {
 	now := l.Clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l.refresh(p)
 	f(p.dispenser, now)
-	p.tick(now)
+	p.schedule(now)
 }
 
-func (l *LocalEndpoint) pool(name string) *dispensed {
+func (l *LocalEndpoint) pool(name string) *localPool {
 	now := l.Clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -191,14 +191,14 @@
 		return p
 	}
 	if l.pools == nil {
-		l.pools = make(map[string]*dispensed)
+		l.pools = make(map[string]*localPool)
 	}
 	l.Meter.TookOver("dispenser")
-	p := &dispensed{
+	p := &localPool{
 		name:      name,
 		dispenser: NewDispenser(l.Settings, now),
 		waiting:   make(map[barleystep.AttemptID]chan Grant),
-		used:      now,
+		lastUsed:  now,
 	}
 	l.pools[name] = p
 	select {
@@ -209,27 +209,27 @@
 }
 
 // openedQueue is how many new pools wait for their first load reports.
-const openedQueue = 64
+const newPoolsQueue = 64
 
 // Opened tells of pools that were newly taken over: until their targets' load is
 // known, nothing is handed out.
 func (l *LocalEndpoint) NewPools() chan string {
-	l.once.Do(func() { l.opened = make(chan string, openedQueue) })
-	return l.opened
+	l.once.Do(func() { l.newPools = make(chan string, newPoolsQueue) })
+	return l.newPools
 }
 
 // Serve decides at intervals until ctx ends.
 func (l *LocalEndpoint) Serve(ctx context.Context) error {
-	for clock.Sleep(ctx, l.Clock, tickEvery) {
+	for clock.Sleep(ctx, l.Clock, scheduleInterval) {
 		for _, name := range l.Pools() {
-			l.decide(l.pool(name), func(*Dispenser, time.Time) {})
+			l.apply(l.pool(name), func(*Dispenser, time.Time) {})
 		}
 	}
 	return ctx.Err()
 }
 
 // tick hands out what was decided. The caller holds the lock.
-func (p *dispensed) tick(now time.Time) {
+func (p *localPool) schedule(now time.Time) {
 	for _, g := range p.dispenser.Schedule(now) {
 		answer, ok := p.waiting[g.Attempt]
 		if !ok {
@@ -243,7 +243,7 @@
 
 // refresh gives the dispenser the targets of the configuration in force. The
 // caller holds the lock.
-func (l *LocalEndpoint) refresh(p *dispensed) {
+func (l *LocalEndpoint) refresh(p *localPool) {
 	v, _ := l.Configuration.View()
 	if v == nil || v.Version() == p.version {
 		return
@@ -262,7 +262,7 @@
 
 // serviceCalls is how many calls one server of a plain service is sent at a
 // time; a call counts as one token.
-const serviceCalls = 64
+const maxServiceCalls = 64
 
 // Specs returns the targets of a pool in a hall.
 func TargetSpecs(v *config.View, hall, pool string) []TargetSpec {
@@ -278,7 +278,7 @@
 	for i, t := range targets {
 		specs[i] = TargetSpec{ID: barleystep.TargetID(t.ID), KVTokens: model.EngineTokens, PrefillRate: model.PrefillRate, Drain: t.Drain}
 		if isService {
-			specs[i].KVTokens = serviceCalls
+			specs[i].KVTokens = maxServiceCalls
 		}
 	}
 	return specs
--- a/internal/capacity/health.go
+++ b/internal/capacity/health.go
@@ -5,42 +5,42 @@
 // health judges a target by the progress of real answers: a health check that
 // answers says little of an engine that has stopped to generate.
 type health struct {
-	slow     float64 // slow is the smoothed ratio of measured to expected time.
-	failures int     // failures counts attempts in a row that got no token.
-	until    time.Time
+	average        float64 // slow is the smoothed ratio of measured to expected time.
+	failures       int     // failures counts attempts in a row that got no token.
+	suspendedUntil time.Time
 }
 
 const (
-	slowLearning    = 0.1
-	slowMost        = 16.0
-	failuresAllowed = 2
-	firstSuspension = 2 * time.Second
-	lastSuspension  = 60 * time.Second
+	slowdownSmoothing = 0.1
+	maxSlowdown       = 16.0
+	suspendAfter      = 2
+	minSuspension     = 2 * time.Second
+	maxSuspension     = 60 * time.Second
 	// silenceAllowed is how long an answer may be overdue before the target
 	// counts as hung.
-	silenceAllowed = 10 * time.Second
+	maxOverdue = 10 * time.Second
 )
 
 // answered notes an answer's first token. It ends a suspension: the target
 // does work.
-func (h *health) answered(ratio float64) {
+func (h *health) noteAnswer(ratio float64) {
 	h.failures = 0
-	h.until = time.Time{}
-	h.slow = h.slowness() + slowLearning*(min(max(ratio, 0), slowMost)-h.slowness())
+	h.suspendedUntil = time.Time{}
+	h.average = h.slowdown() + slowdownSmoothing*(min(max(ratio, 0), maxSlowdown)-h.slowdown())
 }
 
 // failed notes an attempt that got no token.
-func (h *health) failed(now time.Time) {
+func (h *health) noteFailure(now time.Time) {
 	h.failures++
-	if h.failures >= failuresAllowed {
+	if h.failures >= suspendAfter {
 		h.suspend(now)
 	}
 }
 
 // silent notes that an answer is overdue.
-func (h *health) silent(now time.Time, overdue time.Duration) {
-	if overdue > silenceAllowed {
-		h.failures = max(h.failures, failuresAllowed)
+func (h *health) noteOverdue(now time.Time, overdue time.Duration) {
+	if overdue > maxOverdue {
+		h.failures = max(h.failures, suspendAfter)
 		h.suspend(now)
 	}
 }
@@ -48,18 +48,18 @@
 // suspend keeps work away for a time that doubles with each failure. When it
 // has passed, the next attempt is the trial.
 func (h *health) suspend(now time.Time) {
-	if h.suspended(now) {
+	if h.isSuspended(now) {
 		return
 	}
-	d := firstSuspension << min(h.failures-failuresAllowed, 8)
-	h.until = now.Add(min(d, lastSuspension))
+	d := minSuspension << min(h.failures-suspendAfter, 8)
+	h.suspendedUntil = now.Add(min(d, maxSuspension))
 }
 
-func (h *health) suspended(now time.Time) bool { return now.Before(h.until) }
+func (h *health) isSuspended(now time.Time) bool { return now.Before(h.suspendedUntil) }
 
-func (h *health) slowness() float64 {
-	if h.slow == 0 {
+func (h *health) slowdown() float64 {
+	if h.average == 0 {
 		return 1
 	}
-	return h.slow
+	return h.average
 }
--- a/internal/capacity/holder.go
+++ b/internal/capacity/holder.go
@@ -12,43 +12,43 @@
 // Holder is a box's side of one pool: the credits that it may use and the work
 // that it runs. It is a state machine and not safe for concurrent use.
 type Holder struct {
-	box      barleystep.BoxID
-	credits  Credits
-	uses     map[barleystep.TargetID]*ownUse
-	running  map[barleystep.AttemptID]*run
-	prefixes place.PrefixIndex
-	wanted   int
+	box             barleystep.BoxID
+	credits         Credits
+	uses            map[barleystep.TargetID]*targetUse
+	running         map[barleystep.AttemptID]*attempt
+	prefixes        place.PrefixIndex
+	requestedTokens int
 }
 
 // ownUse is what the box runs on credits at one target.
-type ownUse struct {
-	reading  int
-	memory   int
-	running  int
-	answers  int
-	failures int
-	slow     float64 // slow is the sum of ratios over answers.
+type targetUse struct {
+	prefillTokens int
+	kvTokens      int
+	running       int
+	answers       int
+	failures      int
+	slowdownSum   float64 // slow is the sum of ratios over answers.
 }
 
 // run is one attempt of the box.
-type run struct {
-	attempt  barleystep.AttemptID
-	account  string
-	targets  []barleystep.TargetID
-	prompt   int
-	output   int
-	since    time.Time
-	expected time.Duration
-	reading  bool
-	granted  bool // granted tells a grant from the use of a credit.
+type attempt struct {
+	id           barleystep.AttemptID
+	account      string
+	targets      []barleystep.TargetID
+	promptTokens int
+	outputTokens int
+	startedAt    time.Time
+	expected     time.Duration
+	prefilling   bool
+	granted      bool // granted tells a grant from the use of a credit.
 }
 
 // NewHolder returns the holder of a box without credits.
 func NewHolder(box barleystep.BoxID) *Holder {
 	return &Holder{
 		box:     box,
-		uses:    make(map[barleystep.TargetID]*ownUse),
-		running: make(map[barleystep.AttemptID]*run),
+		uses:    make(map[barleystep.TargetID]*targetUse),
+		running: make(map[barleystep.AttemptID]*attempt),
 	}
 }
 
@@ -60,11 +60,11 @@
 	if barleystep.BandOf(d.PromptTokens).Long() {
 		return "", false
 	}
-	h.wanted += d.PromptTokens
+	h.requestedTokens += d.PromptTokens
 	if !now.Before(h.credits.Until) {
 		return "", false
 	}
-	best, expected := h.best(d)
+	best, expected := h.bestTarget(d)
 	if best == "" {
 		return "", false
 	}
@@ -74,15 +74,15 @@
 
 // best looks at the targets in an order that differs between attempts, so that
 // boxes with the same picture do not all take the same target.
-func (h *Holder) best(d barleystep.Demand) (best barleystep.TargetID, expected time.Duration) {
-	warm, part := h.prefixes.Find(d.PrefixHashes)
-	for _, c := range h.candidates(d, warm) {
+func (h *Holder) bestTarget(d barleystep.Demand) (best barleystep.TargetID, expected time.Duration) {
+	cachedTarget, share := h.prefixes.Find(d.PrefixHashes)
+	for _, c := range h.candidates(d, cachedTarget) {
 		if slices.Contains(d.FailedTargets, c.Target) || !h.allows(c, d) {
 			continue
 		}
 		cached := 0
-		if c.Target == warm {
-			cached = int(part * float64(d.PromptTokens))
+		if c.Target == cachedTarget {
+			cached = int(share * float64(d.PromptTokens))
 		}
 		e := place.ExpectedTTFT(h.snapshot(c), d.PromptTokens, cached)
 		if best == "" || e < expected {
@@ -94,13 +94,13 @@
 
 // sampled is how many targets are compared for one prompt: the best of a few
 // drawn at random herds far less than the best of all.
-const sampled = 4
+const sampleSize = 4
 
 // candidates returns a few credits, drawn by the hash of the attempt, and the
 // warm target's.
-func (h *Holder) candidates(d barleystep.Demand, warm barleystep.TargetID) []Credit {
+func (h *Holder) candidates(d barleystep.Demand, cachedTarget barleystep.TargetID) []Credit {
 	n := len(h.credits.Credits)
-	if n <= sampled {
+	if n <= sampleSize {
 		return h.credits.Credits
 	}
 	type ranked struct {
@@ -111,43 +111,43 @@
 	list := make([]ranked, 0, n)
 	for _, c := range h.credits.Credits {
 		rank := place.Rank(key, string(c.Target))
-		if c.Target == warm {
+		if c.Target == cachedTarget {
 			rank = 0
 		}
 		list = append(list, ranked{c, rank})
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].rank < list[j].rank })
-	picked := make([]Credit, 0, sampled)
-	for _, r := range list[:sampled] {
+	picked := make([]Credit, 0, sampleSize)
+	for _, r := range list[:sampleSize] {
 		picked = append(picked, r.credit)
 	}
 	return picked
 }
 
 func (h *Holder) allows(c Credit, d barleystep.Demand) bool {
-	u := h.use(c.Target)
-	if u.memory+d.Tokens() > c.KVTokens {
+	u := h.useOf(c.Target)
+	if u.kvTokens+d.Tokens() > c.KVTokens {
 		return false
 	}
-	return u.reading == 0 || u.reading+d.PromptTokens <= c.PrefillTokens
+	return u.prefillTokens == 0 || u.prefillTokens+d.PromptTokens <= c.PrefillTokens
 }
 
 func (h *Holder) snapshot(c Credit) place.Target {
-	u := h.use(c.Target)
+	u := h.useOf(c.Target)
 	return place.Target{
 		ID:                 c.Target,
 		PrefillRate:        c.PrefillRate,
 		Slowdown:           c.Slowdown,
-		ShortPrefillTokens: c.OtherPrefillTokens + u.reading,
+		ShortPrefillTokens: c.OtherPrefillTokens + u.prefillTokens,
 		LongPrefillTokens:  c.LongPrefillTokens,
 		Running:            c.Running + u.running,
 	}
 }
 
-func (h *Holder) use(id barleystep.TargetID) *ownUse {
+func (h *Holder) useOf(id barleystep.TargetID) *targetUse {
 	u, ok := h.uses[id]
 	if !ok {
-		u = &ownUse{}
+		u = &targetUse{}
 		h.uses[id] = u
 	}
 	return u
@@ -159,41 +159,41 @@
 }
 
 func (h *Holder) start(now time.Time, d barleystep.Demand, targets []barleystep.TargetID, expected time.Duration, granted bool) {
-	h.running[d.Attempt] = &run{
-		attempt:  d.Attempt,
-		account:  d.Account,
-		targets:  targets,
-		prompt:   d.PromptTokens,
-		output:   d.MaxOutputTokens,
-		since:    now,
-		expected: expected,
-		reading:  true,
-		granted:  granted,
+	h.running[d.Attempt] = &attempt{
+		id:           d.Attempt,
+		account:      d.Account,
+		targets:      targets,
+		promptTokens: d.PromptTokens,
+		outputTokens: d.MaxOutputTokens,
+		startedAt:    now,
+		expected:     expected,
+		prefilling:   true,
+		granted:      granted,
 	}
 	h.prefixes.Record(d.PrefixHashes, targets[0])
 	if granted {
 		return
 	}
-	u := h.use(targets[0])
-	u.reading += d.PromptTokens
-	u.memory += d.Tokens()
+	u := h.useOf(targets[0])
+	u.prefillTokens += d.PromptTokens
+	u.kvTokens += d.Tokens()
 	u.running++
 }
 
 // First notes an attempt's first token.
 func (h *Holder) FirstToken(now time.Time, id barleystep.AttemptID) {
 	r, ok := h.running[id]
-	if !ok || !r.reading {
+	if !ok || !r.prefilling {
 		return
 	}
-	r.reading = false
+	r.prefilling = false
 	if r.granted {
 		return
 	}
-	u := h.use(r.targets[0])
-	u.reading -= r.prompt
+	u := h.useOf(r.targets[0])
+	u.prefillTokens -= r.promptTokens
 	u.answers++
-	u.slow += float64(now.Sub(r.since)) / float64(max(r.expected, time.Millisecond))
+	u.slowdownSum += float64(now.Sub(r.startedAt)) / float64(max(r.expected, time.Millisecond))
 }
 
 // End notes that an attempt has ended.
@@ -206,11 +206,11 @@
 	if r.granted {
 		return
 	}
-	u := h.use(r.targets[0])
-	u.memory -= r.prompt + r.output
+	u := h.useOf(r.targets[0])
+	u.kvTokens -= r.promptTokens + r.outputTokens
 	u.running--
-	if r.reading {
-		u.reading -= r.prompt
+	if r.prefilling {
+		u.prefillTokens -= r.promptTokens
 	}
 	if usage.TargetFailed() {
 		u.failures++
@@ -219,52 +219,52 @@
 
 // Report returns what the dispenser has to know, and starts a new interval.
 func (h *Holder) Report(now time.Time) Report {
-	r := Report{Box: h.box, RequestedTokens: h.wanted}
-	h.wanted = 0
-	silent := h.silences(now)
-	for _, id := range h.sortedUses() {
+	r := Report{Box: h.box, RequestedTokens: h.requestedTokens}
+	h.requestedTokens = 0
+	overdue := h.overdueTimes(now)
+	for _, id := range h.sortedTargets() {
 		u := h.uses[id]
-		r.Uses = append(r.Uses, u.report(id, silent[id]))
-		u.answers, u.failures, u.slow = 0, 0, 0
+		r.Uses = append(r.Uses, u.report(id, overdue[id]))
+		u.answers, u.failures, u.slowdownSum = 0, 0, 0
 		if u.running == 0 {
 			delete(h.uses, id)
 		}
 	}
-	r.Held = h.held()
+	r.Held = h.heldGrants()
 	return r
 }
 
-func (u *ownUse) report(id barleystep.TargetID, silent time.Duration) CreditUse {
+func (u *targetUse) report(id barleystep.TargetID, overdue time.Duration) CreditUse {
 	use := CreditUse{
 		Target:        id,
-		PrefillTokens: u.reading,
-		KVTokens:      u.memory,
+		PrefillTokens: u.prefillTokens,
+		KVTokens:      u.kvTokens,
 		Running:       u.running,
 		Answers:       u.answers,
 		Failures:      u.failures,
-		Overdue:       silent,
+		Overdue:       overdue,
 	}
 	if u.answers > 0 {
-		use.Slowdown = u.slow / float64(u.answers)
+		use.Slowdown = u.slowdownSum / float64(u.answers)
 	}
 	return use
 }
 
 // silences returns for each target how long its oldest unanswered attempt on
 // credit is overdue.
-func (h *Holder) silences(now time.Time) map[barleystep.TargetID]time.Duration {
+func (h *Holder) overdueTimes(now time.Time) map[barleystep.TargetID]time.Duration {
 	longest := make(map[barleystep.TargetID]time.Duration)
 	for _, r := range h.running {
-		if r.granted || !r.reading {
+		if r.granted || !r.prefilling {
 			continue
 		}
-		overdue := now.Sub(r.since) - r.expected
+		overdue := now.Sub(r.startedAt) - r.expected
 		longest[r.targets[0]] = max(longest[r.targets[0]], overdue)
 	}
 	return longest
 }
 
-func (h *Holder) sortedUses() []barleystep.TargetID {
+func (h *Holder) sortedTargets() []barleystep.TargetID {
 	ids := make([]barleystep.TargetID, 0, len(h.uses))
 	for id := range h.uses {
 		ids = append(ids, id)
@@ -273,18 +273,18 @@
 	return ids
 }
 
-func (h *Holder) held() []HeldGrant {
+func (h *Holder) heldGrants() []HeldGrant {
 	var held []HeldGrant
 	for _, r := range h.running {
 		if r.granted {
 			held = append(held, HeldGrant{
-				Attempt:      r.attempt,
+				Attempt:      r.id,
 				Account:      r.account,
 				Targets:      r.targets,
-				PromptTokens: r.prompt,
-				OutputTokens: r.output,
-				Since:        r.since,
-				Prefilling:   r.reading,
+				PromptTokens: r.promptTokens,
+				OutputTokens: r.outputTokens,
+				Since:        r.startedAt,
+				Prefilling:   r.prefilling,
 			})
 		}
 	}
--- a/internal/capacity/poller.go
+++ b/internal/capacity/poller.go
@@ -42,27 +42,27 @@
 			return ctx.Err()
 		case name := <-p.Endpoint.NewPools():
 			t.Stop()
-			p.round(ctx, []string{name})
+			p.pollPools(ctx, []string{name})
 		case <-t.C():
-			p.round(ctx, p.Endpoint.Pools())
+			p.pollPools(ctx, p.Endpoint.Pools())
 		}
 	}
 }
 
-func (p *Poller) round(ctx context.Context, pools []string) {
+func (p *Poller) pollPools(ctx context.Context, pools []string) {
 	v, _ := p.Configuration.View()
 	if v == nil {
 		return
 	}
 	ctx, cancel := clock.WithDeadline(ctx, p.Clock, p.Clock.Now().Add(p.Interval))
 	defer cancel()
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, name := range pools {
 		for _, s := range TargetSpecs(v, string(p.Endpoint.Hall), name) {
-			wait.Go(func() { p.poll(ctx, name, s.ID) })
+			wg.Go(func() { p.poll(ctx, name, s.ID) })
 		}
 	}
-	wait.Wait()
+	wg.Wait()
 }
 
 func (p *Poller) poll(ctx context.Context, pool string, id barleystep.TargetID) {
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -9,31 +9,31 @@
 
 // lostGrant is how long a grant may be missing from its box's reports before
 // the dispenser takes it back: the answer that carried it was lost.
-const lostGrant = 3 * time.Second
+const lostGrantTimeout = 3 * time.Second
 
 // wantedLearning is the weight of the newest report in a box's wanted tokens.
-const wantedLearning = 0.3
+const requestedSmoothing = 0.3
 
 // Report takes in what a box runs and answers with its credits.
 func (d *Dispenser) ApplyReport(now time.Time, r Report) Credits {
 	b, ok := d.boxes[r.Box]
 	if !ok {
-		b = &box{}
+		b = &boxState{}
 		d.boxes[r.Box] = b
 	}
-	b.reported = now
-	b.wanted += wantedLearning * (float64(r.RequestedTokens) - b.wanted)
-	d.takeUses(now, r)
-	d.takeHeld(now, r)
+	b.lastReport = now
+	b.requestedTokens += requestedSmoothing * (float64(r.RequestedTokens) - b.requestedTokens)
+	d.applyUses(now, r)
+	d.applyHeld(now, r)
 	return d.credits(now, b)
 }
 
-func (d *Dispenser) takeUses(now time.Time, r Report) {
+func (d *Dispenser) applyUses(now time.Time, r Report) {
 	used := make(map[barleystep.TargetID]bool, len(r.Uses))
 	for _, u := range r.Uses {
 		used[u.Target] = true
 	}
-	for _, t := range d.sorted {
+	for _, t := range d.sortedTargets {
 		if !used[t.spec.ID] {
 			t.setUse(r.Box, CreditUse{})
 		}
@@ -45,43 +45,43 @@
 		}
 		t.setUse(r.Box, u)
 		if u.Answers > 0 {
-			t.health.answered(u.Slowdown)
+			t.health.noteAnswer(u.Slowdown)
 		}
 		for range u.Failures {
-			t.health.failed(now)
+			t.health.noteFailure(now)
 		}
-		t.health.silent(now, u.Overdue)
+		t.health.noteOverdue(now, u.Overdue)
 	}
 }
 
 // takeHeld learns grants that an earlier dispenser gave, and takes back those
 // that the box does not have.
-func (d *Dispenser) takeHeld(now time.Time, r Report) {
+func (d *Dispenser) applyHeld(now time.Time, r Report) {
 	has := make(map[barleystep.AttemptID]bool, len(r.Held))
 	for _, h := range r.Held {
 		has[h.Attempt] = true
-		if known, ok := d.holdings[h.Attempt]; ok {
-			if known.reading && !h.Prefilling {
-				d.readDone(now, known)
+		if known, ok := d.grants[h.Attempt]; ok {
+			if known.prefilling && !h.Prefilling {
+				d.prefillDone(now, known)
 			}
 			continue
 		}
-		d.keep(&holding{
-			attempt: h.Attempt,
-			box:     r.Box,
-			account: h.Account,
-			targets: h.Targets,
-			prompt:  h.PromptTokens,
-			output:  h.OutputTokens,
-			since:   h.Since,
-			firstAt: now,
-			reading: h.Prefilling,
-			long:    barleystep.BandOf(h.PromptTokens).Long(),
+		d.addGrant(&activeGrant{
+			attempt:      h.Attempt,
+			box:          r.Box,
+			account:      h.Account,
+			targets:      h.Targets,
+			promptTokens: h.PromptTokens,
+			outputTokens: h.OutputTokens,
+			grantedAt:    h.Since,
+			firstTokenAt: now,
+			prefilling:   h.Prefilling,
+			isLong:       barleystep.BandOf(h.PromptTokens).Long(),
 		})
 	}
-	for id, h := range d.holdings {
-		if h.box == r.Box && !has[id] && now.Sub(h.since) > lostGrant {
-			d.drop(now, h)
+	for id, h := range d.grants {
+		if h.box == r.Box && !has[id] && now.Sub(h.grantedAt) > lostGrantTimeout {
+			d.removeGrant(now, h)
 		}
 	}
 }
@@ -90,19 +90,19 @@
 // clean-up has freed it: the targets' load shows it.
 func (d *Dispenser) RemoveBox(now time.Time, id barleystep.BoxID) {
 	delete(d.boxes, id)
-	for _, t := range d.sorted {
+	for _, t := range d.sortedTargets {
 		t.setUse(id, CreditUse{})
 	}
-	for _, h := range d.holdings {
+	for _, h := range d.grants {
 		if h.box == id {
-			d.drop(now, h)
+			d.removeGrant(now, h)
 		}
 	}
-	gone := func(w *waiter) bool { return w.ask.Box == id }
+	isFromBox := func(w *waiter) bool { return w.req.Box == id }
 	for i := range d.lanes {
-		d.lanes[i].Remove(gone)
+		d.lanes[i].Remove(isFromBox)
 	}
-	d.dropGangs(gone)
+	d.dropReservations(isFromBox)
 }
 
 // Contended reports whether short prompts wait: then none may pass the queue.
@@ -111,32 +111,32 @@
 // credits divides what short prompts may use among the boxes by what they have
 // lately wanted. A contended pool lends nothing, so that the queue's order is
 // kept; every box still gets the least credit otherwise.
-func (d *Dispenser) credits(now time.Time, b *box) Credits {
-	c := Credits{Until: now.Add(d.settings.life())}
+func (d *Dispenser) credits(now time.Time, b *boxState) Credits {
+	c := Credits{Until: now.Add(d.settings.creditLifetime())}
 	if d.Contended() {
 		return c
 	}
-	part := d.part(now, b)
-	for _, t := range d.sorted {
-		if t.usable(now) && t.gang == nil {
-			c.Credits = append(c.Credits, d.credit(now, t, part))
+	share := d.boxShare(now, b)
+	for _, t := range d.sortedTargets {
+		if t.isUsable(now) && t.reservation == nil {
+			c.Credits = append(c.Credits, d.credit(now, t, share))
 		}
 	}
 	return c
 }
 
-func (d *Dispenser) part(now time.Time, b *box) float64 {
+func (d *Dispenser) boxShare(now time.Time, b *boxState) float64 {
 	const floor = 1.0
 	sum := 0.0
 	for _, id := range d.sortedBoxes() {
 		other := d.boxes[id]
-		if now.Sub(other.reported) > d.settings.life() {
+		if now.Sub(other.lastReport) > d.settings.creditLifetime() {
 			delete(d.boxes, id)
 			continue
 		}
-		sum += other.wanted + floor
+		sum += other.requestedTokens + floor
 	}
-	return (b.wanted + floor) / sum
+	return (b.requestedTokens + floor) / sum
 }
 
 // sortedBoxes keeps sums of floating-point numbers the same in every run.
@@ -149,13 +149,13 @@
 	return ids
 }
 
-func (d *Dispenser) credit(now time.Time, t *target, part float64) Credit {
+func (d *Dispenser) credit(now time.Time, t *target, share float64) Credit {
 	s := t.snapshot(now)
 	window := t.spec.PrefillRate * d.settings.Window.Seconds()
 	return Credit{
 		Target:             t.spec.ID,
-		PrefillTokens:      max(int(window*part), d.settings.MinPrefillCredit),
-		KVTokens:           max(int(float64(s.FreeKVTokens)*part), 0),
+		PrefillTokens:      max(int(window*share), d.settings.MinPrefillCredit),
+		KVTokens:           max(int(float64(s.FreeKVTokens)*share), 0),
 		OtherPrefillTokens: s.ShortPrefillTokens,
 		LongPrefillTokens:  s.LongPrefillTokens,
 		Running:            s.Running,
--- a/internal/capacity/gang.go
+++ b/internal/capacity/reservation.go
@@ -13,24 +13,24 @@
 // would else wait for ever behind smaller ones. An engine is in one gang at
 // most and a gang is formed whole or not at all, so that two prompts cannot
 // wait for each other's engines: each waits only for work that is running.
-type gang struct {
+type reservation struct {
 	waiter  *waiter
-	members []*target
+	targets []*target
 }
 
 // tickGangs sets engines aside for the next large prompts, and grants those for
 // which all are free enough.
-func (d *Dispenser) tickGangs(now time.Time) []Grant {
-	for d.formGang(now) {
+func (d *Dispenser) scheduleReservations(now time.Time) []Grant {
+	for d.reserve(now) {
 	}
 	var grants []Grant
-	for _, g := range slices.Clone(d.gangs) {
+	for _, g := range slices.Clone(d.reservations) {
 		switch {
-		case g.lost(now):
+		case g.isLost(now):
 			d.requeue(g)
-		case g.ready(now):
-			d.disband(g)
-			grants = append(grants, d.grant(now, g.waiter, g.members, laneGiant))
+		case g.isReady(now):
+			d.cancelReservation(g)
+			grants = append(grants, d.grant(now, g.waiter, g.targets, laneLarge))
 		}
 	}
 	return grants
@@ -38,41 +38,41 @@
 
 // formGang takes the first large prompt for which there are engines. It reports
 // whether it took one.
-func (d *Dispenser) formGang(now time.Time) bool {
-	var members []*target
-	w, ok := d.lanes[laneGiant].Take(func(w *waiter) bool {
-		members = d.pickGang(now, w)
-		return members != nil && !d.overLimit(w)
+func (d *Dispenser) reserve(now time.Time) bool {
+	var targets []*target
+	w, ok := d.lanes[laneLarge].Take(func(w *waiter) bool {
+		targets = d.pickTargets(now, w)
+		return targets != nil && !d.isOverLimit(w)
 	})
 	if !ok {
 		return false
 	}
-	g := &gang{waiter: w, members: members}
-	d.gangs = append(d.gangs, g)
-	for _, t := range members {
-		t.gang = g
+	g := &reservation{waiter: w, targets: targets}
+	d.reservations = append(d.reservations, g)
+	for _, t := range targets {
+		t.reservation = g
 	}
 	return true
 }
 
 // pickGang returns the engines that are expected to be ready soonest, as many as
 // the prompt needs, or nil if there are too few or too many are set aside.
-func (d *Dispenser) pickGang(now time.Time, w *waiter) []*target {
+func (d *Dispenser) pickTargets(now time.Time, w *waiter) []*target {
 	var usable []*target
-	aside := 0
-	for _, t := range d.sorted {
+	reserved := 0
+	for _, t := range d.sortedTargets {
 		switch {
-		case t.gang != nil:
-			aside++
-		case t.usable(now) && !slices.Contains(w.ask.Demand.FailedTargets, t.spec.ID):
+		case t.reservation != nil:
+			reserved++
+		case t.isUsable(now) && !slices.Contains(w.req.Demand.FailedTargets, t.spec.ID):
 			usable = append(usable, t)
 		}
 	}
 	if len(usable) == 0 {
 		return nil
 	}
-	n := d.gangSize(w.tokens, smallest(usable), len(usable))
-	if n > len(usable) || aside > 0 && float64(aside+n) > d.settings.ReservedShare*float64(len(d.sorted)) {
+	n := d.targetCount(w.tokens, smallestMemory(usable), len(usable))
+	if n > len(usable) || reserved > 0 && float64(reserved+n) > d.settings.ReservedShare*float64(len(d.sortedTargets)) {
 		return nil
 	}
 	d.sortByReady(now, usable, (w.tokens+n-1)/n)
@@ -82,27 +82,27 @@
 // gangSize returns how many engines of the given memory the prompt needs. What
 // short prompts are left with is left by gangs too, unless that takes more
 // engines than there are.
-func (d *Dispenser) gangSize(tokens, memory, available int) int {
-	room := usableMemory * float64(memory)
-	n := engines(tokens, int(room-d.settings.ShortMemoryShare*float64(memory)))
+func (d *Dispenser) targetCount(tokens, memory, available int) int {
+	usable := usableShare * float64(memory)
+	n := ceilDiv(tokens, int(usable-d.settings.ShortMemoryShare*float64(memory)))
 	if n <= available {
 		return n
 	}
-	return engines(tokens, int(room))
+	return ceilDiv(tokens, int(usable))
 }
 
 // engines returns how many engines with the given room hold the tokens.
-func engines(tokens, room int) int { return (tokens + room - 1) / room }
+func ceilDiv(tokens, memory int) int { return (tokens + memory - 1) / memory }
 
 func (d *Dispenser) sortByReady(now time.Time, list []*target, memory int) {
 	ready := make(map[*target]time.Duration, len(list))
 	for _, t := range list {
-		ready[t] = t.readyIn(now, memory, d.pace)
+		ready[t] = t.readyIn(now, memory, d.decodeTime)
 	}
 	sort.SliceStable(list, func(i, j int) bool { return ready[list[i]] < ready[list[j]] })
 }
 
-func smallest(targets []*target) int {
+func smallestMemory(targets []*target) int {
 	least := targets[0].spec.KVTokens
 	for _, t := range targets[1:] {
 		least = min(least, t.spec.KVTokens)
@@ -112,9 +112,9 @@
 
 // ready reports whether all members have the memory that they need, and read no
 // other long prompt.
-func (g *gang) ready(now time.Time) bool {
-	for _, t := range g.members {
-		if t.sums.longs > 0 || t.free(now) < g.share() {
+func (g *reservation) isReady(now time.Time) bool {
+	for _, t := range g.targets {
+		if t.totals.longPrefills > 0 || t.freeTokens(now) < g.tokensPerTarget() {
 			return false
 		}
 	}
@@ -122,9 +122,9 @@
 }
 
 // lost reports whether a member can no longer take part.
-func (g *gang) lost(now time.Time) bool {
-	for _, t := range g.members {
-		if !t.usable(now) || t.gang != g {
+func (g *reservation) isLost(now time.Time) bool {
+	for _, t := range g.targets {
+		if !t.isUsable(now) || t.reservation != g {
 			return true
 		}
 	}
@@ -132,16 +132,16 @@
 }
 
 // share is the memory that the prompt needs at each member.
-func (g *gang) share() int {
-	n := len(g.members)
+func (g *reservation) tokensPerTarget() int {
+	n := len(g.targets)
 	return (g.waiter.tokens + n - 1) / n
 }
 
 // readyIn is how long the slowest member is expected to need.
-func (g *gang) readyIn(now time.Time, perToken time.Duration) time.Duration {
+func (g *reservation) readyIn(now time.Time, decodeTime time.Duration) time.Duration {
 	longest := time.Duration(0)
-	for _, t := range g.members {
-		longest = max(longest, t.readyIn(now, g.share(), perToken))
+	for _, t := range g.targets {
+		longest = max(longest, t.readyIn(now, g.tokensPerTarget(), decodeTime))
 	}
 	return longest
 }
@@ -149,38 +149,38 @@
 // mayBackfill reports whether a member that waits for the others may take the
 // request meanwhile: a short prompt, or a long one that will have ended before
 // the slowest member is ready.
-func (d *Dispenser) mayBackfill(now time.Time, t *target, w *waiter, l lane) bool {
+func (d *Dispenser) canBackfill(now time.Time, t *target, w *waiter, l lane) bool {
 	if l == laneShort {
 		return true
 	}
-	whole := seconds(float64(w.ask.Demand.PromptTokens)/t.spec.PrefillRate) + time.Duration(w.ask.Demand.MaxOutputTokens)*d.pace
-	return whole <= t.gang.readyIn(now, d.pace)
+	total := seconds(float64(w.req.Demand.PromptTokens)/t.spec.PrefillRate) + time.Duration(w.req.Demand.MaxOutputTokens)*d.decodeTime
+	return total <= t.reservation.readyIn(now, d.decodeTime)
 }
 
 // requeue gives up a gang; its prompt goes back to its queue with its age.
-func (d *Dispenser) requeue(g *gang) {
-	d.disband(g)
-	a := g.waiter.ask
+func (d *Dispenser) requeue(g *reservation) {
+	d.cancelReservation(g)
+	a := g.waiter.req
 	// The request was queued before; a refusal now would mean that the pool has
 	// shrunk below its need, which its deadline then ends.
 	_ = d.Enqueue(a.Demand.AdmittedAt, a)
 }
 
 // disband frees the members.
-func (d *Dispenser) disband(g *gang) {
-	for _, t := range g.members {
-		if t.gang == g {
-			t.gang = nil
+func (d *Dispenser) cancelReservation(g *reservation) {
+	for _, t := range g.targets {
+		if t.reservation == g {
+			t.reservation = nil
 		}
 	}
-	d.gangs = slices.DeleteFunc(d.gangs, func(other *gang) bool { return other == g })
+	d.reservations = slices.DeleteFunc(d.reservations, func(other *reservation) bool { return other == g })
 }
 
 // dropGangs disbands the gangs whose prompt is gone.
-func (d *Dispenser) dropGangs(gone func(*waiter) bool) {
-	for _, g := range slices.Clone(d.gangs) {
-		if gone(g.waiter) {
-			d.disband(g)
+func (d *Dispenser) dropReservations(match func(*waiter) bool) {
+	for _, g := range slices.Clone(d.reservations) {
+		if match(g.waiter) {
+			d.cancelReservation(g)
 		}
 	}
 }
@@ -188,8 +188,8 @@
 // Aside returns the targets that are set aside for large prompts.
 func (d *Dispenser) ReservedTargets() []barleystep.TargetID {
 	var ids []barleystep.TargetID
-	for _, t := range d.sorted {
-		if t.gang != nil {
+	for _, t := range d.sortedTargets {
+		if t.reservation != nil {
 			ids = append(ids, t.spec.ID)
 		}
 	}
--- a/internal/capacity/settings.go
+++ b/internal/capacity/settings.go
@@ -66,15 +66,15 @@
 }
 
 // creditLife is how many report intervals credits last.
-const creditLife = 4
+const creditIntervals = 4
 
-func (s Settings) life() time.Duration { return creditLife * s.Interval }
+func (s Settings) creditLifetime() time.Duration { return creditIntervals * s.Interval }
 
 // poolsPerInterval is how many pools a box reports in one interval. With more,
 // it reports less often, so that the bytes per second stay bounded.
 const poolsPerInterval = 10
 
 // every returns the time between reports of a box that uses as many pools.
-func (s Settings) every(pools int) time.Duration {
+func (s Settings) reportInterval(pools int) time.Duration {
 	return s.Interval * time.Duration(max(1, (pools+poolsPerInterval-1)/poolsPerInterval))
 }
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -12,91 +12,91 @@
 // target is what a dispenser knows of one target. The sums are kept up to date
 // with each change, as they are read for every decision.
 type target struct {
-	spec     TargetSpec
-	load     barleystep.Load
-	held     map[barleystep.AttemptID]*holding
-	sums     sums
-	uses     map[barleystep.BoxID]CreditUse
-	useSums  CreditUse // useSums adds up what boxes run on credits.
-	released []release
-	foreign  int // foreign is the memory in the last load report that own work does not explain.
-	health   health
-	unsure   time.Time // unsure is until when a missing load report means a full target.
-	gang     *gang     // gang is set while the target is set aside for a large prompt.
+	spec         TargetSpec
+	load         barleystep.Load
+	grants       map[barleystep.AttemptID]*activeGrant
+	totals       totals
+	uses         map[barleystep.BoxID]CreditUse
+	useTotals    CreditUse // useSums adds up what boxes run on credits.
+	released     []release
+	unexplained  int // foreign is the memory in the last load report that own work does not explain.
+	health       health
+	unknownUntil time.Time    // unsure is until when a missing load report means a full target.
+	reservation  *reservation // gang is set while the target is set aside for a large prompt.
 }
 
 // sums adds up the holdings of a target.
-type sums struct {
-	memory       int
-	shortReading int // shortReading and longReading are prompt tokens that wait to be read.
-	longReading  int
-	longs        int // longs counts the long prompts that are being read.
-	longMemory   int
+type totals struct {
+	kvTokens           int
+	shortPrefillTokens int // shortReading and longReading are prompt tokens that wait to be read.
+	longPrefillTokens  int
+	longPrefills       int // longs counts the long prompts that are being read.
+	longKVTokens       int
 }
 
 // holding is a grant as the dispenser keeps it. A grant over several targets is
 // one holding in each of them.
-type holding struct {
-	attempt barleystep.AttemptID
-	box     barleystep.BoxID
-	account string
-	targets []barleystep.TargetID
-	prompt  int
-	output  int
-	since   time.Time
-	firstAt time.Time // firstAt is when the first token came.
-	reading bool
-	long    bool
+type activeGrant struct {
+	attempt      barleystep.AttemptID
+	box          barleystep.BoxID
+	account      string
+	targets      []barleystep.TargetID
+	promptTokens int
+	outputTokens int
+	grantedAt    time.Time
+	firstTokenAt time.Time // firstAt is when the first token came.
+	prefilling   bool
+	isLong       bool
 }
 
 // share is the KV memory that the holding takes at each of its targets.
-func (h *holding) share() int {
+func (h *activeGrant) tokensPerTarget() int {
 	n := len(h.targets)
-	return (h.prompt + h.output + n - 1) / n
+	return (h.promptTokens + h.outputTokens + n - 1) / n
 }
 
 // release remembers a holding that ended, until a load report is newer.
 type release struct {
-	since  time.Time
-	at     time.Time
-	tokens int
+	grantedAt  time.Time
+	releasedAt time.Time
+	tokens     int
 }
 
 // loadLife is how long a load report counts.
-const loadLife = 15 * time.Second
+const maxLoadAge = 15 * time.Second
 
-func newTarget(s TargetSpec, unsure time.Time) *target {
+func newTarget(s TargetSpec, unknownUntil time.Time) *target {
 	return &target{
-		spec:   s,
-		held:   make(map[barleystep.AttemptID]*holding),
-		uses:   make(map[barleystep.BoxID]CreditUse),
-		unsure: unsure,
+		spec:         s,
+		grants:       make(map[barleystep.AttemptID]*activeGrant),
+		uses:         make(map[barleystep.BoxID]CreditUse),
+		unknownUntil: unknownUntil,
 	}
 }
 
 // usable reports whether new work may go to the target at all.
-func (t *target) usable(now time.Time) bool {
-	return !t.spec.Drain && !t.load.Leaving && !t.health.suspended(now)
+func (t *target) isUsable(now time.Time) bool {
+	return !t.spec.Drain && !t.load.Leaving && !t.health.isSuspended(now)
 }
 
 // readyIn estimates how long it takes until the target reads no long prompt any
 // more and has the memory free.
-func (t *target) readyIn(now time.Time, memory int, perToken time.Duration) time.Duration {
+func (t *target) readyIn(now time.Time, memory int, decodeTime time.Duration) time.Duration {
 	type end struct {
 		in     time.Duration
 		tokens int
 	}
 	ready := time.Duration(0)
-	ends := make([]end, 0, len(t.held))
-	for _, h := range t.held {
-		read, whole := h.endsIn(now, t.spec.PrefillRate, perToken)
-		if h.long && h.reading {
-			ready = max(ready, read)
+	ends := make([]end, 0, len(t.grants))
+	for _, h := range t.grants {
+		prefill, total := h.timeLeft(now, t.spec.PrefillRate, decodeTime)
+		if h.isLong && h.prefilling {
+			ready = max(ready, prefill)
 		}
-		ends = append(ends, end{whole, h.share()})
+		ends = append(ends, end{total, h.tokensPerTarget()})
 	}
 	slices.SortFunc(ends, func(a, b end) int { return cmp.Compare(a.in, b.in) })
-	free := t.free(now)
+	free := t.freeTokens(now)
 	for _, e := range ends {
 		if free >= memory {
 			break
@@ -109,49 +109,49 @@
 
 // endsIn estimates how long the holding's prompt is still read, and how long it
 // takes until its answer is whole.
-func (h *holding) endsIn(now time.Time, rate float64, perToken time.Duration) (read, whole time.Duration) {
-	generate := time.Duration(h.output) * perToken
-	if !h.reading {
-		return 0, max(generate-now.Sub(h.firstAt), 0)
+func (h *activeGrant) timeLeft(now time.Time, rate float64, decodeTime time.Duration) (prefill, total time.Duration) {
+	decode := time.Duration(h.outputTokens) * decodeTime
+	if !h.prefilling {
+		return 0, max(decode-now.Sub(h.firstTokenAt), 0)
 	}
-	read = max(seconds(float64(h.prompt)/float64(len(h.targets))/rate)-now.Sub(h.since), 0)
-	return read, read + generate
+	prefill = max(seconds(float64(h.promptTokens)/float64(len(h.targets))/rate)-now.Sub(h.grantedAt), 0)
+	return prefill, prefill + decode
 }
 
 // add counts a holding in (1) or out (-1).
-func (s *sums) add(h *holding, sign int) {
-	s.memory += sign * h.share()
-	if h.long {
-		s.longMemory += sign * h.share()
+func (s *totals) add(h *activeGrant, sign int) {
+	s.kvTokens += sign * h.tokensPerTarget()
+	if h.isLong {
+		s.longKVTokens += sign * h.tokensPerTarget()
 	}
-	s.read(h, sign)
+	s.addPrefill(h, sign)
 }
 
 // read counts the part of a holding that is still to be read.
-func (s *sums) read(h *holding, sign int) {
+func (s *totals) addPrefill(h *activeGrant, sign int) {
 	switch {
-	case !h.reading:
-	case h.long:
-		s.longReading += sign * h.prompt / len(h.targets)
-		s.longs += sign
+	case !h.prefilling:
+	case h.isLong:
+		s.longPrefillTokens += sign * h.promptTokens / len(h.targets)
+		s.longPrefills += sign
 	default:
-		s.shortReading += sign * h.prompt
+		s.shortPrefillTokens += sign * h.promptTokens
 	}
 }
 
 // memory returns the KV memory, in tokens, that is known to be taken by the
 // system's own work.
-func (t *target) memory() int { return t.sums.memory + t.useSums.KVTokens }
+func (t *target) ownTokens() int { return t.totals.kvTokens + t.useTotals.KVTokens }
 
 // free returns the memory that new work may take. Before its first load report
 // a target that may hold work of an earlier dispenser has none.
-func (t *target) free(now time.Time) int {
-	if t.load.At.IsZero() && now.Before(t.unsure) {
+func (t *target) freeTokens(now time.Time) int {
+	if t.load.At.IsZero() && now.Before(t.unknownUntil) {
 		return 0
 	}
-	free := t.spec.KVTokens - t.memory()
-	if now.Sub(t.load.At) <= loadLife {
-		free -= t.foreign
+	free := t.spec.KVTokens - t.ownTokens()
+	if now.Sub(t.load.At) <= maxLoadAge {
+		free -= t.unexplained
 	}
 	return free
 }
@@ -161,22 +161,22 @@
 		return
 	}
 	t.load = l
-	t.foreign = max(0, l.TotalTokens-l.FreeTokens-t.ownAt(l.At))
-	t.released = slices.DeleteFunc(t.released, func(r release) bool { return !r.at.After(l.At) })
+	t.unexplained = max(0, l.TotalTokens-l.FreeTokens-t.ownTokensAt(l.At))
+	t.released = slices.DeleteFunc(t.released, func(r release) bool { return !r.releasedAt.After(l.At) })
 }
 
 // ownAt returns the memory that own work took at a time not long ago. What the
 // report shows beyond it is work of other dispensers, of boxes that are gone,
 // or not yet reported.
-func (t *target) ownAt(at time.Time) int {
-	own := t.useSums.KVTokens
-	for _, h := range t.held {
-		if !h.since.After(at) {
-			own += h.share()
+func (t *target) ownTokensAt(at time.Time) int {
+	own := t.useTotals.KVTokens
+	for _, h := range t.grants {
+		if !h.grantedAt.After(at) {
+			own += h.tokensPerTarget()
 		}
 	}
 	for _, r := range t.released {
-		if !r.since.After(at) && r.at.After(at) {
+		if !r.grantedAt.After(at) && r.releasedAt.After(at) {
 			own += r.tokens
 		}
 	}
@@ -185,33 +185,33 @@
 
 // add keeps a holding. One that is older than the last load report was foreign
 // in it until now.
-func (t *target) add(h *holding) {
-	t.held[h.attempt] = h
-	t.sums.add(h, 1)
-	if !h.since.After(t.load.At) {
-		t.foreign = max(0, t.foreign-h.share())
+func (t *target) add(h *activeGrant) {
+	t.grants[h.attempt] = h
+	t.totals.add(h, 1)
+	if !h.grantedAt.After(t.load.At) {
+		t.unexplained = max(0, t.unexplained-h.tokensPerTarget())
 	}
 }
 
 const maxReleased = 4096
 
-func (t *target) remove(h *holding, now time.Time) {
-	if _, ok := t.held[h.attempt]; !ok {
+func (t *target) remove(h *activeGrant, now time.Time) {
+	if _, ok := t.grants[h.attempt]; !ok {
 		return
 	}
-	delete(t.held, h.attempt)
-	t.sums.add(h, -1)
+	delete(t.grants, h.attempt)
+	t.totals.add(h, -1)
 	if len(t.released) < maxReleased {
-		t.released = append(t.released, release{since: h.since, at: now, tokens: h.share()})
+		t.released = append(t.released, release{grantedAt: h.grantedAt, releasedAt: now, tokens: h.tokensPerTarget()})
 	}
 }
 
 // setUse replaces what a box runs on credits; a zero Use removes it.
 func (t *target) setUse(id barleystep.BoxID, u CreditUse) {
 	old := t.uses[id]
-	t.useSums.PrefillTokens += u.PrefillTokens - old.PrefillTokens
-	t.useSums.KVTokens += u.KVTokens - old.KVTokens
-	t.useSums.Running += u.Running - old.Running
+	t.useTotals.PrefillTokens += u.PrefillTokens - old.PrefillTokens
+	t.useTotals.KVTokens += u.KVTokens - old.KVTokens
+	t.useTotals.Running += u.Running - old.Running
 	if u.Running == 0 {
 		delete(t.uses, id)
 		return
@@ -220,17 +220,19 @@
 }
 
 // shortReading returns the short prompts' tokens that wait to be read.
-func (t *target) shortReading() int { return t.sums.shortReading + t.useSums.PrefillTokens }
+func (t *target) shortPrefillTokens() int {
+	return t.totals.shortPrefillTokens + t.useTotals.PrefillTokens
+}
 
 // snapshot returns the target as placement sees it.
 func (t *target) snapshot(now time.Time) place.Target {
 	return place.Target{
 		ID:                 t.spec.ID,
 		PrefillRate:        t.spec.PrefillRate,
-		Slowdown:           t.health.slowness(),
-		ShortPrefillTokens: t.shortReading(),
-		LongPrefillTokens:  t.sums.longReading,
-		Running:            len(t.held) + t.useSums.Running,
-		FreeKVTokens:       t.free(now),
+		Slowdown:           t.health.slowdown(),
+		ShortPrefillTokens: t.shortPrefillTokens(),
+		LongPrefillTokens:  t.totals.longPrefillTokens,
+		Running:            len(t.grants) + t.useTotals.Running,
+		FreeKVTokens:       t.freeTokens(now),
 	}
 }
