--- a/internal/limit/bucket.go
+++ b/internal/limit/bucket.go
@@ -10,9 +10,9 @@
 // there is anything left, and then pays its whole cost. A prompt may be longer
 // than any burst.
 type bucket struct {
-	balance float64
-	filled  time.Time
-	need    float64 // need is the tokens asked for since the last division.
+	balance   float64
+	filledAt  time.Time
+	requested float64 // need is the tokens asked for since the last division.
 }
 
 // burst is how much unused time an account may save.
@@ -20,8 +20,8 @@
 
 // take admits a request of the given cost, or returns how long to wait.
 func (b *bucket) take(now time.Time, rate, cost float64) (wait time.Duration, ok bool) {
-	b.fill(now, rate)
-	b.need += cost
+	b.refill(now, rate)
+	b.requested += cost
 	if b.balance <= 0 {
 		return time.Duration(-b.balance/rate*float64(time.Second)) + time.Millisecond, false
 	}
@@ -29,14 +29,14 @@
 	return 0, true
 }
 
-func (b *bucket) fill(now time.Time, rate float64) {
-	most := rate * burst.Seconds()
-	if b.filled.IsZero() {
-		b.balance = most
+func (b *bucket) refill(now time.Time, rate float64) {
+	maxBalance := rate * burst.Seconds()
+	if b.filledAt.IsZero() {
+		b.balance = maxBalance
 	}
-	passed := max(now.Sub(b.filled).Seconds(), 0)
-	if !b.filled.IsZero() {
-		b.balance = min(b.balance+passed*rate, most)
+	elapsed := max(now.Sub(b.filledAt).Seconds(), 0)
+	if !b.filledAt.IsZero() {
+		b.balance = min(b.balance+elapsed*rate, maxBalance)
 	}
-	b.filled = now
+	b.filledAt = now
 }
--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -41,17 +41,17 @@
 }
 
 const (
-	defaultEvery = 5 * time.Second
-	prefix       = "limit/"
-	maxHalls     = 64
+	defaultInterval = 5 * time.Second
+	prefix          = "limit/"
+	maxHalls        = 64
 	// staleNeeds is how old a hall's row may be: a hall that has not written for
 	// so long gets only the least part.
-	staleNeeds = 5 * time.Minute
+	maxNeedsAge = 5 * time.Minute
 	// leastPart is divided evenly among all halls, so that a hall whose need is
 	// new can begin.
-	leastPart = 0.2
+	evenShare = 0.2
 	// smallNeed is what a hall's row leaves out, in tokens per second.
-	smallNeed = 1.0
+	minNeed = 1.0
 )
 
 // Take admits a request that costs the account so many tokens at the rate, or
@@ -64,7 +64,7 @@
 	now := l.Clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	own := rate * l.part(now, account) / float64(boxes)
+	own := rate * l.hallShare(now, account) / float64(boxes)
 	return l.bucket(account).take(now, own, float64(tokens))
 }
 
@@ -81,12 +81,12 @@
 }
 
 // part returns this hall's part of the account's rate.
-func (l *Limiter) part(now time.Time, account string) float64 {
+func (l *Limiter) hallShare(now time.Time, account string) float64 {
 	sum, own := 0.0, 0.0
 	halls := 0
 	for hall, n := range l.needs {
 		halls++
-		if now.Sub(n.At) > staleNeeds {
+		if now.Sub(n.At) > maxNeedsAge {
 			continue
 		}
 		sum += n.Accounts[account]
@@ -105,14 +105,14 @@
 	case sum == 0:
 		return 1 / float64(halls)
 	default:
-		return leastPart/float64(halls) + (1-leastPart)*own/sum
+		return evenShare/float64(halls) + (1-evenShare)*own/sum
 	}
 }
 
 // Serve divides the rates anew at intervals until ctx ends.
 func (l *Limiter) Serve(ctx context.Context) error {
 	if l.Interval == 0 {
-		l.Interval = defaultEvery
+		l.Interval = defaultInterval
 	}
 	return clock.Repeat(ctx, l.Clock, l.Interval, l.Rebalance)
 }
@@ -121,7 +121,7 @@
 // all halls. Serve calls it; tests may.
 func (l *Limiter) Rebalance(ctx context.Context) {
 	own := l.collect()
-	if l.writes() && len(own.Accounts) > 0 {
+	if l.isWriter() && len(own.Accounts) > 0 {
 		l.write(ctx, own)
 	}
 	rows, err := l.Table.Scan(ctx, prefix, "", maxHalls)
@@ -142,26 +142,26 @@
 }
 
 // writes reports whether this box writes its hall's row.
-func (l *Limiter) writes() bool {
+func (l *Limiter) isWriter() bool {
 	return place.Owner("limit", l.Membership.Alive()) == l.Box
 }
 
 // collect takes what this box was asked for since the last round, times the
 // boxes of the hall: the balancer spreads callers evenly.
 func (l *Limiter) collect() needs {
-	every := l.Interval
-	if every == 0 {
-		every = defaultEvery
+	interval := l.Interval
+	if interval == 0 {
+		interval = defaultInterval
 	}
-	factor := float64(max(1, len(l.Membership.Alive()))) / every.Seconds()
+	factor := float64(max(1, len(l.Membership.Alive()))) / interval.Seconds()
 	n := needs{At: l.Clock.Now(), Accounts: make(map[string]float64)}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for account, b := range l.buckets {
-		if need := b.need * factor; need >= smallNeed {
+		if need := b.requested * factor; need >= minNeed {
 			n.Accounts[account] = need
 		}
-		b.need = 0
+		b.requested = 0
 	}
 	return n
 }
