--- a/internal/queue/fair.go
+++ b/internal/queue/fair.go
@@ -27,23 +27,23 @@
 // entry of cost c, no longer than the service of c*W/w plus one largest entry
 // of each other flow takes.
 type Fair[T any] struct {
-	flows   map[string]*flow[T]
-	active  flowHeap[T]
-	virtual float64
-	length  int
-	cost    float64
+	flows       map[string]*flow[T]
+	active      flowHeap[T]
+	virtualTime float64
+	length      int
+	cost        float64
 }
 
 type flow[T any] struct {
-	name    string
-	weight  float64
-	start   float64 // start is the virtual time at which the head begins.
-	entries []Entry[T]
-	index   int // index is the place in the heap, -1 while the flow is idle.
+	name      string
+	weight    float64
+	start     float64 // start is the virtual time at which the head begins.
+	entries   []Entry[T]
+	heapIndex int // index is the place in the heap, -1 while the flow is idle.
 }
 
 // maxProbes bounds how many heads that do not fit are passed over in one call.
-const maxProbes = 32
+const maxSkipped = 32
 
 // Len returns the number of waiting entries.
 func (q *Fair[T]) Len() int { return q.length }
@@ -58,8 +58,8 @@
 	f.insert(e)
 	q.length++
 	q.cost += e.Cost
-	if f.index < 0 {
-		f.start = max(f.start, q.virtual)
+	if f.heapIndex < 0 {
+		f.start = max(f.start, q.virtualTime)
 		heap.Push(&q.active, f)
 	}
 }
@@ -71,7 +71,7 @@
 	if q.flows == nil {
 		q.flows = make(map[string]*flow[T])
 	}
-	f := &flow[T]{name: name, index: -1}
+	f := &flow[T]{name: name, heapIndex: -1}
 	q.flows[name] = f
 	return f
 }
@@ -87,32 +87,32 @@
 // returns true. It passes over a bounded number of heads that do not fit; they
 // keep their place.
 func (q *Fair[T]) Take(fits func(T) bool) (item T, ok bool) {
-	var passed []*flow[T]
-	for len(q.active) > 0 && len(passed) < maxProbes {
+	var skipped []*flow[T]
+	for len(q.active) > 0 && len(skipped) < maxSkipped {
 		f := heap.Pop(&q.active).(*flow[T])
 		if fits(f.entries[0].Item) {
-			item, ok = q.serve(f), true
+			item, ok = q.takeHead(f), true
 			break
 		}
-		passed = append(passed, f)
+		skipped = append(skipped, f)
 	}
-	for _, f := range passed {
+	for _, f := range skipped {
 		heap.Push(&q.active, f)
 	}
 	return item, ok
 }
 
 // serve removes the head of a flow that is not on the heap.
-func (q *Fair[T]) serve(f *flow[T]) T {
+func (q *Fair[T]) takeHead(f *flow[T]) T {
 	e := f.entries[0]
-	q.drop(f, 0)
-	q.virtual = max(q.virtual, f.start)
+	q.removeAt(f, 0)
+	q.virtualTime = max(q.virtualTime, f.start)
 	f.start += e.Cost / f.weight
 	q.restore(f)
 	return e.Item
 }
 
-func (q *Fair[T]) drop(f *flow[T], i int) {
+func (q *Fair[T]) removeAt(f *flow[T], i int) {
 	q.length--
 	q.cost -= f.entries[i].Cost
 	f.entries = append(f.entries[:i], f.entries[i+1:]...)
@@ -125,40 +125,40 @@
 		heap.Push(&q.active, f)
 		return
 	}
-	if f.start <= q.virtual {
+	if f.start <= q.virtualTime {
 		delete(q.flows, f.name)
 	}
 }
 
 // Remove takes out all entries for which gone returns true and returns them.
-func (q *Fair[T]) Remove(gone func(T) bool) []T {
+func (q *Fair[T]) Remove(match func(T) bool) []T {
 	var removed []T
-	for _, f := range q.sorted() {
+	for _, f := range q.sortedFlows() {
 		for i := len(f.entries) - 1; i >= 0; i-- {
-			if gone(f.entries[i].Item) {
+			if match(f.entries[i].Item) {
 				removed = append(removed, f.entries[i].Item)
-				q.drop(f, i)
+				q.removeAt(f, i)
 			}
 		}
-		q.settle(f)
+		q.removeIfIdle(f)
 	}
 	return removed
 }
 
 // settle takes a flow without work off the heap.
-func (q *Fair[T]) settle(f *flow[T]) {
+func (q *Fair[T]) removeIfIdle(f *flow[T]) {
 	if len(f.entries) > 0 {
 		return
 	}
-	if f.index >= 0 {
-		heap.Remove(&q.active, f.index)
+	if f.heapIndex >= 0 {
+		heap.Remove(&q.active, f.heapIndex)
 	}
-	if f.start <= q.virtual {
+	if f.start <= q.virtualTime {
 		delete(q.flows, f.name)
 	}
 }
 
-func (q *Fair[T]) sorted() []*flow[T] {
+func (q *Fair[T]) sortedFlows() []*flow[T] {
 	flows := make([]*flow[T], 0, len(q.flows))
 	for _, f := range q.flows {
 		flows = append(flows, f)
@@ -183,14 +183,14 @@
 // Swap exchanges two flows.
 func (h flowHeap[T]) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index = i
-	h[j].index = j
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
 
 // Push appends a flow.
 func (h *flowHeap[T]) Push(x any) {
 	f := x.(*flow[T])
-	f.index = len(*h)
+	f.heapIndex = len(*h)
 	*h = append(*h, f)
 }
 
@@ -198,7 +198,7 @@
 func (h *flowHeap[T]) Pop() any {
 	old := *h
 	f := old[len(old)-1]
-	f.index = -1
+	f.heapIndex = -1
 	*h = old[:len(old)-1]
 	return f
 }
