--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -33,29 +33,29 @@
 const (
 	// besideLong is what a short prompt waits for the chunk of a long prompt
 	// that the engine is reading.
-	besideLong = 120 * time.Millisecond
+	longChunkDelay = 120 * time.Millisecond
 	// perRunning is how much each attempt that is generating slows a step.
-	perRunning = time.Millisecond
+	delayPerAttempt = time.Millisecond
 )
 
 // Expect returns the expected time to first token of a prompt at the target, of
 // which cached tokens need not be read.
 func ExpectedTTFT(t Target, prompt, cached int) time.Duration {
 	long := barleystep.BandOf(prompt).Long()
-	ahead := t.ShortPrefillTokens
+	queued := t.ShortPrefillTokens
 	if long {
-		ahead += t.LongPrefillTokens
+		queued += t.LongPrefillTokens
 	}
-	read := float64(ahead+max(prompt-cached, 0)) / t.PrefillRate
-	d := time.Duration(read * float64(time.Second))
+	prefill := float64(queued+max(prompt-cached, 0)) / t.PrefillRate
+	d := time.Duration(prefill * float64(time.Second))
 	if !long && t.LongPrefillTokens > 0 {
-		d += besideLong
+		d += longChunkDelay
 	}
-	d += time.Duration(t.Running) * perRunning
-	return time.Duration(float64(d) * max(t.Slowdown, minimumSlow))
+	d += time.Duration(t.Running) * delayPerAttempt
+	return time.Duration(float64(d) * max(t.Slowdown, minSlowdown))
 }
 
-const minimumSlow = 0.1
+const minSlowdown = 0.1
 
 // Rank returns a number by which boxes that share no state order the same
 // targets the same way for one key: rendezvous hashing.
--- a/internal/place/prefix.go
+++ b/internal/place/prefix.go
@@ -12,13 +12,13 @@
 	// Limit bounds the number of prefixes; the default is 16,384.
 	MaxEntries int
 
-	order  list.List
-	places map[uint64]*list.Element
+	recency list.List
+	entries map[uint64]*list.Element
 }
 
-const defaultPrefixes = 16_384
+const defaultMaxEntries = 16_384
 
-type prefixPlace struct {
+type prefixEntry struct {
 	hash   uint64
 	target barleystep.TargetID
 }
@@ -26,39 +26,39 @@
 // Note records that a prompt with the prefixes was sent to the target. The
 // latest target of a prefix counts.
 func (p *PrefixIndex) Record(prefixes []uint64, target barleystep.TargetID) {
-	if p.places == nil {
-		p.places = make(map[uint64]*list.Element)
+	if p.entries == nil {
+		p.entries = make(map[uint64]*list.Element)
 	}
 	for _, h := range prefixes {
-		if e, ok := p.places[h]; ok {
-			e.Value = prefixPlace{h, target}
-			p.order.MoveToFront(e)
+		if e, ok := p.entries[h]; ok {
+			e.Value = prefixEntry{h, target}
+			p.recency.MoveToFront(e)
 			continue
 		}
-		p.places[h] = p.order.PushFront(prefixPlace{h, target})
+		p.entries[h] = p.recency.PushFront(prefixEntry{h, target})
 	}
-	p.trim()
+	p.evict()
 }
 
-func (p *PrefixIndex) trim() {
+func (p *PrefixIndex) evict() {
 	limit := p.MaxEntries
 	if limit == 0 {
-		limit = defaultPrefixes
+		limit = defaultMaxEntries
 	}
-	for len(p.places) > limit {
-		last := p.order.Back()
-		delete(p.places, last.Value.(prefixPlace).hash)
-		p.order.Remove(last)
+	for len(p.entries) > limit {
+		last := p.recency.Back()
+		delete(p.entries, last.Value.(prefixEntry).hash)
+		p.recency.Remove(last)
 	}
 }
 
 // Forget drops what is known of a target, after it has lost its cache.
 func (p *PrefixIndex) Forget(target barleystep.TargetID) {
-	for e := p.order.Front(); e != nil; {
+	for e := p.recency.Front(); e != nil; {
 		next := e.Next()
-		if place := e.Value.(prefixPlace); place.target == target {
-			delete(p.places, place.hash)
-			p.order.Remove(e)
+		if entry := e.Value.(prefixEntry); entry.target == target {
+			delete(p.entries, entry.hash)
+			p.recency.Remove(e)
 		}
 		e = next
 	}
@@ -67,10 +67,10 @@
 // Find returns the target that was sent the longest known prefix, and how much
 // of the prompt the prefix makes up, from 0 to 1. Prefixes must be those of the
 // prompt, shortest first.
-func (p *PrefixIndex) Find(prefixes []uint64) (target barleystep.TargetID, part float64) {
+func (p *PrefixIndex) Find(prefixes []uint64) (target barleystep.TargetID, share float64) {
 	for i := len(prefixes) - 1; i >= 0; i-- {
-		if e, ok := p.places[prefixes[i]]; ok {
-			return e.Value.(prefixPlace).target, portion(i, len(prefixes))
+		if e, ok := p.entries[prefixes[i]]; ok {
+			return e.Value.(prefixEntry).target, promptShare(i, len(prefixes))
 		}
 	}
 	return "", 0
@@ -79,11 +79,11 @@
 // portion is the part of a prompt up to its i-th of n prefixes, each twice as
 // long as the one before; the prompt itself is on average half as long again
 // as its longest prefix.
-func portion(i, n int) float64 {
+func promptShare(i, n int) float64 {
 	const beyondLongest = 1.5
-	part := 1 / beyondLongest
+	share := 1 / beyondLongest
 	for ; i < n-1; i++ {
-		part /= 2
+		share /= 2
 	}
-	return part
+	return share
 }
