--- a/internal/capacity/allocator.go
+++ b/internal/capacity/allocator.go
@@ -190,13 +190,13 @@
 
 // Serve reports to the dispensers at intervals until ctx ends.
 func (a *Allocator) Serve(ctx context.Context) error {
-	interval := a.Settings.withDefaults().Interval
-	for clock.Sleep(ctx, a.Clock, interval) {
+	reportInterval := a.Settings.withDefaults().Interval
+	for clock.Sleep(ctx, a.Clock, reportInterval) {
 		pools := a.activePools()
-		interval = a.Settings.withDefaults().reportInterval(len(pools))
+		reportInterval = a.Settings.withDefaults().reportInterval(len(pools))
 		var wg sync.WaitGroup
 		for _, p := range pools {
-			wg.Go(func() { a.report(ctx, p, interval) })
+			wg.Go(func() { a.report(ctx, p, reportInterval) })
 		}
 		wg.Wait()
 	}
--- a/internal/capacity/dispenser.go
+++ b/internal/capacity/dispenser.go
@@ -77,7 +77,7 @@
 	}
 	sort.Slice(d.sortedTargets, func(i, j int) bool { return d.sortedTargets[i].spec.ID < d.sortedTargets[j].spec.ID })
 	for _, g := range slices.Clone(d.reservations) {
-		if slices.ContainsFunc(g.targets, func(t *target) bool { return d.targets[t.spec.ID] != t }) {
+		if slices.ContainsFunc(g.members, func(t *target) bool { return d.targets[t.spec.ID] != t }) {
 			d.requeue(g)
 		}
 	}
@@ -99,7 +99,7 @@
 		a.Demand.FailedTargets = nil
 	}
 	w := &waiter{req: a, tokens: a.Demand.Tokens()}
-	lane, refusal := d.laneOf(w)
+	lane, refusal := d.lane(w)
 	if refusal != nil {
 		return refusal
 	}
@@ -252,9 +252,9 @@
 	return grants
 }
 
-func (d *Dispenser) grant(now time.Time, w *waiter, targets []*target, l lane) Grant {
-	ids := make([]barleystep.TargetID, len(targets))
-	for i, t := range targets {
+func (d *Dispenser) grant(now time.Time, w *waiter, chosen []*target, l lane) Grant {
+	ids := make([]barleystep.TargetID, len(chosen))
+	for i, t := range chosen {
 		ids[i] = t.spec.ID
 	}
 	demand := w.req.Demand
--- a/internal/capacity/holder.go
+++ b/internal/capacity/holder.go
@@ -22,12 +22,12 @@
 
 // ownUse is what the box runs on credits at one target.
 type targetUse struct {
-	prefillTokens int
-	kvTokens      int
-	running       int
-	answers       int
-	failures      int
-	slowdownSum   float64 // slow is the sum of ratios over answers.
+	prefilling  int
+	kvTokens    int
+	running     int
+	answers     int
+	failures    int
+	slowdownSum float64 // slow is the sum of ratios over answers.
 }
 
 // run is one attempt of the box.
@@ -64,7 +64,7 @@
 	if !now.Before(h.credits.Until) {
 		return "", false
 	}
-	best, expected := h.bestTarget(d)
+	best, expected := h.best(d)
 	if best == "" {
 		return "", false
 	}
@@ -74,7 +74,7 @@
 
 // best looks at the targets in an order that differs between attempts, so that
 // boxes with the same picture do not all take the same target.
-func (h *Holder) bestTarget(d barleystep.Demand) (best barleystep.TargetID, expected time.Duration) {
+func (h *Holder) best(d barleystep.Demand) (best barleystep.TargetID, expected time.Duration) {
 	cachedTarget, share := h.prefixes.Find(d.PrefixHashes)
 	for _, c := range h.candidates(d, cachedTarget) {
 		if slices.Contains(d.FailedTargets, c.Target) || !h.allows(c, d) {
@@ -129,7 +129,7 @@
 	if u.kvTokens+d.Tokens() > c.KVTokens {
 		return false
 	}
-	return u.prefillTokens == 0 || u.prefillTokens+d.PromptTokens <= c.PrefillTokens
+	return u.prefilling == 0 || u.prefilling+d.PromptTokens <= c.PrefillTokens
 }
 
 func (h *Holder) snapshot(c Credit) place.Target {
@@ -138,7 +138,7 @@
 		ID:                 c.Target,
 		PrefillRate:        c.PrefillRate,
 		Slowdown:           c.Slowdown,
-		ShortPrefillTokens: c.OtherPrefillTokens + u.prefillTokens,
+		ShortPrefillTokens: c.OtherPrefillTokens + u.prefilling,
 		LongPrefillTokens:  c.LongPrefillTokens,
 		Running:            c.Running + u.running,
 	}
@@ -175,7 +175,7 @@
 		return
 	}
 	u := h.useOf(targets[0])
-	u.prefillTokens += d.PromptTokens
+	u.prefilling += d.PromptTokens
 	u.kvTokens += d.Tokens()
 	u.running++
 }
@@ -191,7 +191,7 @@
 		return
 	}
 	u := h.useOf(r.targets[0])
-	u.prefillTokens -= r.promptTokens
+	u.prefilling -= r.promptTokens
 	u.answers++
 	u.slowdownSum += float64(now.Sub(r.startedAt)) / float64(max(r.expected, time.Millisecond))
 }
@@ -210,7 +210,7 @@
 	u.kvTokens -= r.promptTokens + r.outputTokens
 	u.running--
 	if r.prefilling {
-		u.prefillTokens -= r.promptTokens
+		u.prefilling -= r.promptTokens
 	}
 	if usage.TargetFailed() {
 		u.failures++
@@ -230,14 +230,14 @@
 			delete(h.uses, id)
 		}
 	}
-	r.Held = h.heldGrants()
+	r.Held = h.held()
 	return r
 }
 
 func (u *targetUse) report(id barleystep.TargetID, overdue time.Duration) CreditUse {
 	use := CreditUse{
 		Target:        id,
-		PrefillTokens: u.prefillTokens,
+		PrefillTokens: u.prefilling,
 		KVTokens:      u.kvTokens,
 		Running:       u.running,
 		Answers:       u.answers,
@@ -273,7 +273,7 @@
 	return ids
 }
 
-func (h *Holder) heldGrants() []HeldGrant {
+func (h *Holder) held() []HeldGrant {
 	var held []HeldGrant
 	for _, r := range h.running {
 		if r.granted {
--- a/internal/capacity/lane.go
+++ b/internal/capacity/lane.go
@@ -21,7 +21,7 @@
 // usableMemory is the part of an engine's memory that is planned with.
 const usableShare = 0.95
 
-func (d *Dispenser) laneOf(w *waiter) (lane, *barleystep.Refusal) {
+func (d *Dispenser) lane(w *waiter) (lane, *barleystep.Refusal) {
 	largest := 0
 	for _, t := range d.sortedTargets {
 		largest = max(largest, t.spec.KVTokens)
@@ -109,7 +109,7 @@
 // eligible reports whether the target may take the request now.
 func (d *Dispenser) isEligible(now time.Time, t *target, w *waiter, l lane) bool {
 	switch {
-	case !t.isUsable(now) || slices.Contains(w.req.Demand.FailedTargets, t.spec.ID):
+	case !t.usable(now) || slices.Contains(w.req.Demand.FailedTargets, t.spec.ID):
 		return false
 	case t.reservation != nil && !d.canBackfill(now, t, w, l):
 		return false
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -116,16 +116,16 @@
 	if d.Contended() {
 		return c
 	}
-	share := d.boxShare(now, b)
+	share := d.share(now, b)
 	for _, t := range d.sortedTargets {
-		if t.isUsable(now) && t.reservation == nil {
+		if t.usable(now) && t.reservation == nil {
 			c.Credits = append(c.Credits, d.credit(now, t, share))
 		}
 	}
 	return c
 }
 
-func (d *Dispenser) boxShare(now time.Time, b *boxState) float64 {
+func (d *Dispenser) share(now time.Time, b *boxState) float64 {
 	const floor = 1.0
 	sum := 0.0
 	for _, id := range d.sortedBoxes() {
--- a/internal/capacity/reservation.go
+++ b/internal/capacity/reservation.go
@@ -15,7 +15,7 @@
 // wait for each other's engines: each waits only for work that is running.
 type reservation struct {
 	waiter  *waiter
-	targets []*target
+	members []*target
 }
 
 // tickGangs sets engines aside for the next large prompts, and grants those for
@@ -30,7 +30,7 @@
 			d.requeue(g)
 		case g.isReady(now):
 			d.cancelReservation(g)
-			grants = append(grants, d.grant(now, g.waiter, g.targets, laneLarge))
+			grants = append(grants, d.grant(now, g.waiter, g.members, laneLarge))
 		}
 	}
 	return grants
@@ -39,17 +39,17 @@
 // formGang takes the first large prompt for which there are engines. It reports
 // whether it took one.
 func (d *Dispenser) reserve(now time.Time) bool {
-	var targets []*target
+	var members []*target
 	w, ok := d.lanes[laneLarge].Take(func(w *waiter) bool {
-		targets = d.pickTargets(now, w)
-		return targets != nil && !d.isOverLimit(w)
+		members = d.pickTargets(now, w)
+		return members != nil && !d.isOverLimit(w)
 	})
 	if !ok {
 		return false
 	}
-	g := &reservation{waiter: w, targets: targets}
+	g := &reservation{waiter: w, members: members}
 	d.reservations = append(d.reservations, g)
-	for _, t := range targets {
+	for _, t := range members {
 		t.reservation = g
 	}
 	return true
@@ -64,7 +64,7 @@
 		switch {
 		case t.reservation != nil:
 			reserved++
-		case t.isUsable(now) && !slices.Contains(w.req.Demand.FailedTargets, t.spec.ID):
+		case t.usable(now) && !slices.Contains(w.req.Demand.FailedTargets, t.spec.ID):
 			usable = append(usable, t)
 		}
 	}
@@ -113,7 +113,7 @@
 // ready reports whether all members have the memory that they need, and read no
 // other long prompt.
 func (g *reservation) isReady(now time.Time) bool {
-	for _, t := range g.targets {
+	for _, t := range g.members {
 		if t.totals.longPrefills > 0 || t.freeTokens(now) < g.tokensPerTarget() {
 			return false
 		}
@@ -123,8 +123,8 @@
 
 // lost reports whether a member can no longer take part.
 func (g *reservation) isLost(now time.Time) bool {
-	for _, t := range g.targets {
-		if !t.isUsable(now) || t.reservation != g {
+	for _, t := range g.members {
+		if !t.usable(now) || t.reservation != g {
 			return true
 		}
 	}
@@ -133,14 +133,14 @@
 
 // share is the memory that the prompt needs at each member.
 func (g *reservation) tokensPerTarget() int {
-	n := len(g.targets)
+	n := len(g.members)
 	return (g.waiter.tokens + n - 1) / n
 }
 
 // readyIn is how long the slowest member is expected to need.
 func (g *reservation) readyIn(now time.Time, decodeTime time.Duration) time.Duration {
 	longest := time.Duration(0)
-	for _, t := range g.targets {
+	for _, t := range g.members {
 		longest = max(longest, t.readyIn(now, g.tokensPerTarget(), decodeTime))
 	}
 	return longest
@@ -168,7 +168,7 @@
 
 // disband frees the members.
 func (d *Dispenser) cancelReservation(g *reservation) {
-	for _, t := range g.targets {
+	for _, t := range g.members {
 		if t.reservation == g {
 			t.reservation = nil
 		}
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -57,9 +57,9 @@
 
 // release remembers a holding that ended, until a load report is newer.
 type release struct {
-	grantedAt  time.Time
-	releasedAt time.Time
-	tokens     int
+	grantedAt time.Time
+	at        time.Time
+	tokens    int
 }
 
 // loadLife is how long a load report counts.
@@ -75,7 +75,7 @@
 }
 
 // usable reports whether new work may go to the target at all.
-func (t *target) isUsable(now time.Time) bool {
+func (t *target) usable(now time.Time) bool {
 	return !t.spec.Drain && !t.load.Leaving && !t.health.isSuspended(now)
 }
 
@@ -96,12 +96,12 @@
 		ends = append(ends, end{total, h.tokensPerTarget()})
 	}
 	slices.SortFunc(ends, func(a, b end) int { return cmp.Compare(a.in, b.in) })
-	free := t.freeTokens(now)
+	freeTokens := t.freeTokens(now)
 	for _, e := range ends {
-		if free >= memory {
+		if freeTokens >= memory {
 			break
 		}
-		free += e.tokens
+		freeTokens += e.tokens
 		ready = max(ready, e.in)
 	}
 	return ready
@@ -141,7 +141,7 @@
 
 // memory returns the KV memory, in tokens, that is known to be taken by the
 // system's own work.
-func (t *target) ownTokens() int { return t.totals.kvTokens + t.useTotals.KVTokens }
+func (t *target) kvTokens() int { return t.totals.kvTokens + t.useTotals.KVTokens }
 
 // free returns the memory that new work may take. Before its first load report
 // a target that may hold work of an earlier dispenser has none.
@@ -149,11 +149,11 @@
 	if t.load.At.IsZero() && now.Before(t.unknownUntil) {
 		return 0
 	}
-	free := t.spec.KVTokens - t.ownTokens()
+	freeTokens := t.spec.KVTokens - t.kvTokens()
 	if now.Sub(t.load.At) <= maxLoadAge {
-		free -= t.unexplained
+		freeTokens -= t.unexplained
 	}
-	return free
+	return freeTokens
 }
 
 func (t *target) noteLoad(l barleystep.Load) {
@@ -162,7 +162,7 @@
 	}
 	t.load = l
 	t.unexplained = max(0, l.TotalTokens-l.FreeTokens-t.ownTokensAt(l.At))
-	t.released = slices.DeleteFunc(t.released, func(r release) bool { return !r.releasedAt.After(l.At) })
+	t.released = slices.DeleteFunc(t.released, func(r release) bool { return !r.at.After(l.At) })
 }
 
 // ownAt returns the memory that own work took at a time not long ago. What the
@@ -176,7 +176,7 @@
 		}
 	}
 	for _, r := range t.released {
-		if !r.grantedAt.After(at) && r.releasedAt.After(at) {
+		if !r.grantedAt.After(at) && r.at.After(at) {
 			own += r.tokens
 		}
 	}
@@ -202,7 +202,7 @@
 	delete(t.grants, h.attempt)
 	t.totals.add(h, -1)
 	if len(t.released) < maxReleased {
-		t.released = append(t.released, release{grantedAt: h.grantedAt, releasedAt: now, tokens: h.tokensPerTarget()})
+		t.released = append(t.released, release{grantedAt: h.grantedAt, at: now, tokens: h.tokensPerTarget()})
 	}
 }
 
--- a/internal/limit/bucket.go
+++ b/internal/limit/bucket.go
@@ -10,9 +10,9 @@
 // there is anything left, and then pays its whole cost. A prompt may be longer
 // than any burst.
 type bucket struct {
-	balance   float64
-	filledAt  time.Time
-	requested float64 // need is the tokens asked for since the last division.
+	balance  float64
+	filledAt time.Time
+	need     float64 // need is the tokens asked for since the last division.
 }
 
 // burst is how much unused time an account may save.
@@ -21,7 +21,7 @@
 // take admits a request of the given cost, or returns how long to wait.
 func (b *bucket) take(now time.Time, rate, cost float64) (wait time.Duration, ok bool) {
 	b.refill(now, rate)
-	b.requested += cost
+	b.need += cost
 	if b.balance <= 0 {
 		return time.Duration(-b.balance/rate*float64(time.Second)) + time.Millisecond, false
 	}
--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -158,10 +158,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for account, b := range l.buckets {
-		if need := b.requested * factor; need >= minNeed {
+		if need := b.need * factor; need >= minNeed {
 			n.Accounts[account] = need
 		}
-		b.requested = 0
+		b.need = 0
 	}
 	return n
 }
