--- a/internal/capacity/allocator.go
+++ b/internal/capacity/allocator.go
@@ -15,15 +15,15 @@
 	"github.com/barleystep/barleystep/internal/place"
 )
 
-// Allocator is a box's way to capacity: short prompts run on the credits that
-// it holds, the others ask the pool's dispenser. Its exported fields are set
-// before use; it is safe for concurrent use.
+// Allocator obtains capacity for the requests of a box. Short prompts run on credits that the box
+// holds; the others request a grant from the pool's dispenser. Its exported fields are set before
+// use; it is safe for concurrent use.
 type Allocator struct {
 	Clock         barleystep.Clock
 	Box           barleystep.BoxID
 	Configuration config.Source
 	Membership    barleystep.Membership
-	// Local is this box's own endpoint, the last resort when no other answers.
+	// Local is this box's own endpoint, used when no other box can be reached.
 	Local Endpoint
 	// Remote returns the endpoint of another box.
 	Remote   func(barleystep.BoxID) (d Endpoint, ok bool)
@@ -35,7 +35,7 @@
 	avoidedUntil map[barleystep.BoxID]time.Time
 }
 
-// pool is the box's side of one pool.
+// pool is the state that a box keeps of one pool.
 type pool struct {
 	name     string
 	mu       sync.Mutex
@@ -44,18 +44,19 @@
 }
 
 const (
-	// avoidFor is how long an endpoint that failed is passed over.
+	// avoidFor is how long an endpoint is not used after a failure.
 	avoidFor = time.Second
-	// quietLife is how long a pool is reported after its last use.
+	// poolRetention is how long a pool is kept and reported after its last use.
 	poolRetention = 30 * time.Second
-	// notice bounds the messages about first tokens and releases, which a report
-	// repeats if they are lost.
+	// noticeTimeout bounds the messages about first tokens and releases. A report repeats what a
+	// lost message said.
 	noticeTimeout = time.Second
 )
 
 var _ barleystep.Allocator = (*Allocator)(nil)
 
-// Acquire waits until the request may run.
+// Acquire waits until the request may run and returns the targets that it may be sent to. It
+// fails with a *barleystep.Refusal or when ctx ends.
 func (a *Allocator) Acquire(ctx context.Context, d barleystep.Demand) (barleystep.Allocation, error) {
 	p := a.pool(d.Model)
 	if target, ok := p.tryStart(a.Clock.Now(), d); ok {
@@ -72,7 +73,7 @@
 	return p.holder.TryStart(now, d)
 }
 
-// ask asks one endpoint after the other until one answers or ctx ends.
+// requestGrant requests a grant from one endpoint after the other until one answers or ctx ends.
 func (a *Allocator) requestGrant(ctx context.Context, p *pool, d barleystep.Demand) (barleystep.Allocation, error) {
 	s := a.share(d)
 	req := GrantRequest{Demand: d, Box: a.Box, Weight: s.Weight, Rank: s.Rank, Limit: s.Limit}
@@ -91,14 +92,14 @@
 	}
 }
 
-// askOne asks one endpoint. When the pool's dispenser moves meanwhile, the question
-// is withdrawn.
+// requestFrom requests a grant from one endpoint. It withdraws the request when another box becomes
+// the pool's dispenser.
 func (a *Allocator) requestFrom(ctx context.Context, id barleystep.BoxID, pool string, endpoint Endpoint, req GrantRequest) (Grant, error) {
 	askCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	hasMoved := a.cancelOnMove(askCtx, id, pool, cancel)
 	g, err := endpoint.Ask(askCtx, pool, req)
-	// A caller that went away says nothing of the endpoint.
+	// A caller that has disconnected is no failure of the endpoint.
 	failed := err != nil && !isRefusal(err) && ctx.Err() == nil && !hasMoved()
 	if failed && id != a.Box {
 		a.avoid(id)
@@ -106,7 +107,7 @@
 	return g, err
 }
 
-// whenMoved cancels the question when another box becomes the dispenser.
+// cancelOnMove cancels the request when another box becomes the dispenser.
 func (a *Allocator) cancelOnMove(ctx context.Context, id barleystep.BoxID, pool string, cancel context.CancelFunc) (hasMoved func() bool) {
 	var mu sync.Mutex
 	isMoved := false
@@ -145,8 +146,8 @@
 	p.holder.AddGrant(now, d, targets)
 }
 
-// allotment wires what becomes of an attempt back to the holder, and to the
-// endpoint that granted it.
+// allocation returns an Allocation whose hooks notify the holder and, if the attempt runs on a
+// grant, the endpoint that gave it.
 func (a *Allocator) allocation(p *pool, d barleystep.Demand, targets []barleystep.TargetID, priority int, endpoint Endpoint) barleystep.Allocation {
 	id := d.Attempt
 	return barleystep.NewAllocation(targets, priority, barleystep.AllocationHooks{
@@ -177,7 +178,7 @@
 	p.holder.End(id, u)
 }
 
-// notify sends a message without making the request wait for it.
+// notify sends a message in the background, so that the request does not wait for it.
 func (a *Allocator) notify(send func(context.Context) error) {
 	go func() {
 		ctx, cancel := clock.WithDeadline(context.Background(), a.Clock, a.Clock.Now().Add(noticeTimeout))
@@ -188,7 +189,7 @@
 	}()
 }
 
-// Serve reports to the dispensers at intervals until ctx ends.
+// Serve reports to the dispensers of the pools in use at intervals until ctx ends.
 func (a *Allocator) Serve(ctx context.Context) error {
 	reportInterval := a.Settings.withDefaults().Interval
 	for clock.Sleep(ctx, a.Clock, reportInterval) {
@@ -217,14 +218,14 @@
 		a.Meter.AttemptRetried("report_lost")
 		return
 	}
-	// The dispenser's clock may differ from this box's.
+	// The dispenser's clock may differ from this box's, so the expiry is counted from here.
 	c.Until = now.Add(creditIntervals * interval)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.holder.SetCredits(c)
 }
 
-// used returns the pools that were lately used, and forgets the others.
+// activePools returns the recently used pools and drops the others.
 func (a *Allocator) activePools() []*pool {
 	now := a.Clock.Now()
 	a.mu.Lock()
@@ -260,7 +261,7 @@
 	return p
 }
 
-// dispenser returns the box that hands out the pool: the first in the pool's
+// dispenser returns the box that hands out the pool's capacity: the first in the pool's rendezvous
 // order that is alive and has not just failed.
 func (a *Allocator) dispenser(pool string) barleystep.BoxID {
 	now := a.Clock.Now()
--- a/internal/capacity/allocator_test.go
+++ b/internal/capacity/allocator_test.go
@@ -16,7 +16,7 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// fakeEndpoint answers questions by a function.
+// fakeEndpoint answers requests for grants by a function.
 type fakeEndpoint struct {
 	asked chan barleystep.AttemptID
 	ask   func(ctx context.Context) error
@@ -46,18 +46,19 @@
 
 func grantAll(context.Context) error { return nil }
 
-// TestAllocatorAsks lets the box that dispenses answer in every way.
-func TestAllocatorAsks(t *testing.T) {
+// TestAcquireAsksEndpoint checks which endpoint is asked after a grant, after a connection failure and after
+// a caller's disconnect. A disconnect must not count as a failure of the endpoint.
+func TestAcquireAsksEndpoint(t *testing.T) {
 	lost := eris.New("connection lost")
 	cases := map[string]struct {
 		remote func(ctx context.Context) error
-		leaves bool // leaves makes the first caller go away.
-		asked  int  // asked is how often the remote endpoint was asked by two callers.
+		leaves bool // leaves makes the first caller disconnect.
+		asked  int  // asked is how many requests of two callers reach the remote endpoint.
 		local  int
 	}{
-		"it grants":                       {grantAll, false, 2, 0},
-		"it is lost":                      {func(context.Context) error { return lost }, false, 1, 2},
-		"a caller that leaves is no sign": {func(ctx context.Context) error { return hangOnce(ctx) }, true, 2, 0},
+		"grant":              {grantAll, false, 2, 0},
+		"connection lost":    {func(context.Context) error { return lost }, false, 1, 2},
+		"caller disconnects": {func(ctx context.Context) error { return hangOnce(ctx) }, true, 2, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -91,15 +92,15 @@
 	}
 }
 
-// hangOnce waits until the caller goes away.
+// hangOnce waits until the caller disconnects.
 func hangOnce(ctx context.Context) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-// TestAllocatorGivesUpWithItsCaller checks that a question ends with its
-// request, whatever the endpoint does.
-func TestAllocatorGivesUpWithItsCaller(t *testing.T) {
+// TestAcquireEndsAtDeadline checks that Acquire returns at the request's deadline even if the
+// endpoint hangs.
+func TestAcquireEndsAtDeadline(t *testing.T) {
 	clk := clock.NewManual(start)
 	endpoint := &fakeEndpoint{asked: make(chan barleystep.AttemptID, 9), ask: hangOnce}
 	a := &capacity.Allocator{
--- a/internal/capacity/bench_test.go
+++ b/internal/capacity/bench_test.go
@@ -9,9 +9,9 @@
 	"github.com/barleystep/barleystep/internal/capacity"
 )
 
-// sizes are the sizes at which one decision is measured: accounts that wait,
-// requests in the queue, and targets of the pool. The last is letter 1's size
-// for one hall that serves one model alone.
+// sizes are the pool sizes at which one decision is measured: client accounts with queued requests,
+// queued requests, targets, and running attempts per target. The last is the largest hall, with one
+// model.
 var sizes = []struct{ accounts, queued, targets, running int }{
 	{10, 100, 8, 8},
 	{100, 1_000, 8, 8},
@@ -21,14 +21,14 @@
 	{970, 5_000, 92, 32},
 }
 
-// BenchmarkCapacityDecision measures one short prompt that is asked for,
-// granted and released in a pool whose engines run others.
+// BenchmarkCapacityDecision measures enqueueing, granting and releasing one short prompt in a pool
+// whose engines run others.
 func BenchmarkCapacityDecision(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("accounts=%d/queued=%d/targets=%d/running=%d", s.accounts, s.queued, s.targets, s.running), func(b *testing.B) {
 			p := busyPool(s.targets, s.running)
 			for i := range s.queued {
-				// These wait for memory that no engine has.
+				// These stay queued, as no engine has enough free memory.
 				a := p.ask(fmt.Sprint("a", i%s.accounts), 15_000)
 				a.Demand.MaxOutputTokens = engineTokens * 3 / 10
 				p.Enqueue(p.now, a)
@@ -46,8 +46,8 @@
 	}
 }
 
-// busyPool returns a pool whose engines each run as many short prompts and have
-// a quarter of their memory left.
+// busyPool returns a pool whose engines each run the given number of short prompts and have a quarter
+// of their memory free.
 func busyPool(targets, running int) *pool {
 	p := newPool(targets)
 	p.empty(targets)
@@ -62,7 +62,7 @@
 	return p
 }
 
-// BenchmarkCapacityReport measures a box's report and its credits.
+// BenchmarkCapacityReport measures applying a box's report and computing its credits.
 func BenchmarkCapacityReport(b *testing.B) {
 	for _, targets := range []int{8, 32, 92} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
@@ -80,7 +80,7 @@
 	}
 }
 
-// BenchmarkCapacityHolder measures a short prompt on credits.
+// BenchmarkCapacityHolder measures running a short prompt on credits.
 func BenchmarkCapacityHolder(b *testing.B) {
 	for _, targets := range []int{8, 32, 92} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
--- a/internal/capacity/dispenser.go
+++ b/internal/capacity/dispenser.go
@@ -11,8 +11,8 @@
 	"github.com/barleystep/barleystep/internal/queue"
 )
 
-// Dispenser hands out the capacity of one model in one hall. It is a state
-// machine: every method is given the time. It is not safe for concurrent use.
+// Dispenser schedules the requests for one model on the targets of one hall. It is a state machine:
+// every method is given the time. It is not safe for concurrent use.
 type Dispenser struct {
 	settings      Settings
 	startedAt     time.Time
@@ -23,14 +23,14 @@
 	lanes         [laneCount]queue.Fair[*waiter]
 	reservations  []*reservation
 	prefixes      place.PrefixIndex
-	decodeTime    time.Duration // pace is the smoothed time per generated token.
-	lastExpiry    time.Time     // expired is when the queues were last searched for expired requests.
+	decodeTime    time.Duration // decodeTime is the smoothed time per generated token.
+	lastExpiry    time.Time     // lastExpiry is when the queues were last searched for expired requests.
 }
 
-// box is what the dispenser keeps of a reporting box.
+// boxState is what the dispenser keeps about a box that reports to it.
 type boxState struct {
 	lastReport      time.Time
-	requestedTokens float64 // wanted is the smoothed short prompt tokens per interval.
+	requestedTokens float64 // requestedTokens is the smoothed number of short prompts' tokens per report.
 }
 
 // waiter is a request in a queue.
@@ -39,7 +39,7 @@
 	tokens int
 }
 
-// NewDispenser returns a dispenser that has just taken over its pool.
+// NewDispenser returns a dispenser that takes over its pool now.
 func NewDispenser(s Settings, now time.Time) *Dispenser {
 	return &Dispenser{
 		settings:   s.withDefaults(),
@@ -51,15 +51,14 @@
 	}
 }
 
-// settling is how long a new dispenser takes a target without a load report for
-// full: the work that an earlier dispenser gave it may not be known yet.
+// settlePeriod is how long a new dispenser treats a target without a load report as full, since work
+// granted by an earlier dispenser may not be known yet.
 const settlePeriod = 3 * time.Second
 
-// SetWeighing sets the balance between short (0) and long (1) prompts.
+// SetWeighing sets the balance between short (0) and long (1) prompts; see Settings.Weighing.
 func (d *Dispenser) SetWeighing(w float64) { d.settings.Weighing = w }
 
-// SetTargets replaces the set of targets. What is known of those that stay is
-// kept.
+// SetTargets replaces the set of targets. Targets in both sets keep their state.
 func (d *Dispenser) SetTargets(specs []TargetSpec) {
 	keep := make(map[barleystep.TargetID]*target, len(specs))
 	for _, s := range specs {
@@ -83,19 +82,18 @@
 	}
 }
 
-// Load takes in a target's load report. Older reports than the last are
-// ignored.
+// UpdateLoad applies a target's load report, unless it is older than the last.
 func (d *Dispenser) UpdateLoad(id barleystep.TargetID, l barleystep.Load) {
 	if t, ok := d.targets[id]; ok {
 		t.noteLoad(l)
 	}
 }
 
-// Ask queues a request. The answer comes from Tick. It returns a refusal at
-// once if the request can never be served in time.
+// Enqueue queues a request, which Schedule answers. It returns a refusal at once if the queue is full
+// or the request can never be served in time.
 func (d *Dispenser) Enqueue(now time.Time, a GrantRequest) *barleystep.Refusal {
 	if d.allFailed(a.Demand.FailedTargets) {
-		// It has been everywhere: it begins anew instead of waiting for nobody.
+		// All targets have failed for this request: it may try them again, as no other will come.
 		a.Demand.FailedTargets = nil
 	}
 	w := &waiter{req: a, tokens: a.Demand.Tokens()}
@@ -118,7 +116,7 @@
 	return nil
 }
 
-// allAvoided reports whether the list holds all targets.
+// allFailed reports whether the list contains all targets.
 func (d *Dispenser) allFailed(failed []barleystep.TargetID) bool {
 	return !slices.ContainsFunc(d.sortedTargets, func(t *target) bool { return !slices.Contains(failed, t.spec.ID) })
 }
@@ -131,8 +129,8 @@
 	return a.Demand.Class + "/" + a.Demand.Account + "/" + barleystep.BandOf(a.Demand.PromptTokens).String()
 }
 
-// classStep is how much more of a contended pool a class gets than the one
-// that ranks next below it.
+// classStep is the ratio between the weights of a class and of the one that ranks next below it,
+// in a contended pool.
 const classStep = 8
 
 func flowWeight(a GrantRequest) float64 {
@@ -148,7 +146,7 @@
 	maxRank   = 8
 )
 
-// Withdraw takes a request out of its queue.
+// Withdraw removes a request from its queue and cancels its reservation.
 func (d *Dispenser) Withdraw(id barleystep.AttemptID) {
 	isSame := func(w *waiter) bool { return w.req.Demand.Attempt == id }
 	for i := range d.lanes {
@@ -157,8 +155,8 @@
 	d.dropReservations(isSame)
 }
 
-// First notes that the attempt's first token came. Ratio is the measured over
-// the expected time, zero if nothing was expected.
+// FirstToken records an attempt's first token. Ratio is the measured over the expected time to it,
+// or zero without an expectation.
 func (d *Dispenser) FirstToken(now time.Time, id barleystep.AttemptID, ratio float64) {
 	h, ok := d.grants[id]
 	if !ok || !h.prefilling {
@@ -172,7 +170,7 @@
 	}
 }
 
-// readDone notes that a holding's prompt has been read.
+// prefillDone records that a grant's prompt has been prefilled.
 func (d *Dispenser) prefillDone(now time.Time, h *activeGrant) {
 	for _, t := range d.targetsOf(h) {
 		t.totals.addPrefill(h, -1)
@@ -181,7 +179,7 @@
 	h.firstTokenAt = now
 }
 
-// Release takes a grant back.
+// Release ends a grant and records how the attempt went.
 func (d *Dispenser) Release(now time.Time, id barleystep.AttemptID, u barleystep.Usage) {
 	h, ok := d.grants[id]
 	if !ok {
@@ -196,7 +194,7 @@
 	}
 }
 
-// The time per generated token is learnt from answers that were whole.
+// The decode time per token is estimated from complete answers only.
 const (
 	initialDecodeTime   = 50 * time.Millisecond
 	decodeTimeSmoothing = 0.05
@@ -227,7 +225,7 @@
 	return list
 }
 
-// Tick decides all that can be decided now.
+// Schedule returns all grants and refusals that can be decided now.
 func (d *Dispenser) Schedule(now time.Time) []Grant {
 	grants := d.expire(now)
 	grants = append(grants, d.scheduleReservations(now)...)
@@ -286,8 +284,8 @@
 	}
 }
 
-// Priority orders work inside an engine, lower first. Shorter prompts go first
-// unless long ones are weighed as much; then the class does.
+// Priority returns the order of a prompt inside an engine, lower first. The length decides first and
+// then the rank of the class; with a weighing of 0.5 or more, the rank decides first.
 func Priority(weighing float64, rank, prompt int) int {
 	const step = 16
 	band := int(barleystep.BandOf(prompt))
@@ -297,8 +295,8 @@
 	return rank*step + band
 }
 
-// expireEvery is the time between searches for expired requests: each caller
-// also keeps its own deadline.
+// expiryInterval is the time between searches for expired requests. It can be long, as each caller
+// enforces its own deadline too.
 const expiryInterval = time.Second
 
 func (d *Dispenser) expire(now time.Time) []Grant {
@@ -322,7 +320,7 @@
 	return grants
 }
 
-// String describes the dispenser for logs.
+// String returns the counts of targets, grants and queued requests, for logs.
 func (d *Dispenser) String() string {
 	return fmt.Sprintf("targets=%d grants=%d short=%d long=%d giant=%d", len(d.targets), len(d.grants),
 		d.lanes[laneShort].Len(), d.lanes[laneLong].Len(), d.lanes[laneLarge].Len())
--- a/internal/capacity/dispenser_test.go
+++ b/internal/capacity/dispenser_test.go
@@ -15,7 +15,7 @@
 
 const engineTokens = 100_000
 
-// pool is a dispenser with engines that report to be empty.
+// pool is a dispenser with a manual clock and the serial number of its last attempt.
 type pool struct {
 	*capacity.Dispenser
 	now    time.Time
@@ -24,12 +24,12 @@
 
 func newPool(engines int) *pool {
 	p := &pool{now: start}
-	p.found(engines)
+	p.reset(engines)
 	return p
 }
 
-// found starts a dispenser that knows only the configuration.
-func (p *pool) found(engines int) {
+// reset replaces the dispenser by a new one that knows only the configuration.
+func (p *pool) reset(engines int) {
 	p.Dispenser = capacity.NewDispenser(capacity.Settings{}, p.now)
 	var specs []capacity.TargetSpec
 	for i := range engines {
@@ -68,7 +68,7 @@
 	}
 }
 
-// want asks and returns the id of the attempt.
+// want enqueues a request and returns its attempt's id.
 func (p *pool) want(t *testing.T, account string, prompt int) barleystep.AttemptID {
 	a := p.ask(account, prompt)
 	if r := p.Enqueue(p.now, a); r != nil {
@@ -89,8 +89,8 @@
 	p.Release(p.now, id, barleystep.Usage{Outcome: barleystep.OutcomeDone, TimeToFirstEvent: time.Second})
 }
 
-// TestNewDispenser lets a dispenser die with running work: its successor hands
-// out no more than load and reports show free.
+// TestNewDispenser replaces a dispenser that has running work. Its successor must grant no more memory
+// than the load and the boxes' reports show as free.
 func TestNewDispenser(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(1)
@@ -99,18 +99,18 @@
 	c.Assert(p.tick(), quicktest.HasLen, 1)
 
 	p.now = p.now.Add(10 * time.Second)
-	p.found(1)
+	p.reset(1)
 	next := p.want(t, "a", 45_000)
 	c.Check(p.tick(), quicktest.HasLen, 0, quicktest.Commentf("before any load report"))
 	p.load(0, engineTokens-40_100)
 	held := capacity.HeldGrant{Attempt: first, Account: "a", Targets: []barleystep.TargetID{engine(0)}, PromptTokens: 40_000, OutputTokens: 100, Since: start, Prefilling: true}
 	p.ApplyReport(p.now, capacity.Report{Box: "b1", Held: []capacity.HeldGrant{held}})
-	c.Check(p.tick(), quicktest.HasLen, 0, quicktest.Commentf("while the engine reads another long prompt"))
+	c.Check(p.tick(), quicktest.HasLen, 0, quicktest.Commentf("while the engine prefills another long prompt"))
 	p.done(first)
 	c.Check(p.tick()[next].Targets, quicktest.DeepEquals, []barleystep.TargetID{engine(0)})
 }
 
-func TestForeignWorkCounts(t *testing.T) {
+func TestUnexplainedMemoryCounts(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(1)
 	p.load(0, 20_000)
@@ -121,7 +121,7 @@
 	c.Check(p.tick(), quicktest.HasLen, 1)
 }
 
-// TestStaleLoad checks that own grants count although the last report is older.
+// TestStaleLoad checks that grants newer than the last load report count against the free memory.
 func TestStaleLoad(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(1)
@@ -140,7 +140,7 @@
 	c.Check(granted, quicktest.Equals, engineTokens/4_000)
 }
 
-func TestLostGrantIsTakenBack(t *testing.T) {
+func TestLostGrantIsEnded(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(1)
 	p.empty(1)
@@ -178,9 +178,9 @@
 	c.Check(p.tick(), quicktest.HasLen, 1)
 }
 
-// TestFloodCostsOthersLittle holds the queue to its bound: the account that
-// asks for little waits for one request of the flood at most.
-func TestFloodCostsOthersLittle(t *testing.T) {
+// TestFloodDoesNotDelayOthers checks that a client account with one request is served within three
+// grants while another account has 500 requests queued.
+func TestFloodDoesNotDelayOthers(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(1)
 	p.empty(1)
@@ -204,7 +204,7 @@
 	c.Fatal("the other account was not served")
 }
 
-// finishAll ends all that runs.
+// finishAll ends all running attempts.
 func (p *pool) finishAll() {
 	for n := uint64(1); n <= p.serial; n++ {
 		id := barleystep.NewAttemptID("b1", 1, n)
@@ -215,8 +215,8 @@
 	p.load(0, engineTokens)
 }
 
-// TestLongUnderFlood checks that a steady flood of short prompts does not keep
-// a long one waiting: it has the lane of long prompts to itself.
+// TestLongUnderFlood checks that a flood of short prompts does not delay a long one, which waits in a
+// lane of its own.
 func TestLongUnderFlood(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(1)
@@ -229,9 +229,9 @@
 	c.Check(ok, quicktest.IsTrue)
 }
 
-// TestGang checks prompts longer than an engine: whole or not at all, no
-// deadlock between two, and another choice when a member dies.
-func TestGang(t *testing.T) {
+// TestReservation checks prompts longer than an engine's memory: all their engines are reserved at once, and
+// two such prompts do not deadlock.
+func TestReservation(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(3)
 	p.empty(3)
@@ -240,7 +240,7 @@
 	c.Assert(g, quicktest.HasLen, 1)
 	first := p.want(t, "a", 210_000)
 	second := p.want(t, "b", 210_000)
-	c.Check(p.tick(), quicktest.HasLen, 0, quicktest.Commentf("one engine still reads"))
+	c.Check(p.tick(), quicktest.HasLen, 0, quicktest.Commentf("one engine still prefills"))
 	c.Check(p.ReservedTargets(), quicktest.HasLen, 3)
 	c.Check(p.tick(), quicktest.HasLen, 0)
 	p.done(busy)
@@ -251,7 +251,7 @@
 	c.Check(p.tick()[second].Targets, quicktest.HasLen, 3)
 }
 
-func TestGangMemberDies(t *testing.T) {
+func TestReservedTargetDies(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(4)
 	p.empty(4)
@@ -260,7 +260,7 @@
 	}
 	running := p.tick()
 	c.Assert(running, quicktest.HasLen, 4)
-	giant := p.want(t, "b", 160_000)
+	large := p.want(t, "b", 160_000)
 	p.tick()
 	lost := p.ReservedTargets()[0]
 	for range 3 {
@@ -270,7 +270,7 @@
 		p.done(id)
 	}
 	p.tick()
-	g := p.tick()[giant]
+	g := p.tick()[large]
 	for _, id := range g.Targets {
 		c.Check(id, quicktest.Not(quicktest.Equals), lost)
 	}
@@ -293,10 +293,10 @@
 		ask    capacity.GrantRequest
 		reason barleystep.Reason
 	}{
-		"can't be read in time":       {late, barleystep.ReasonDeadlineCannotBeMet},
+		"cannot be prefilled in time": {late, barleystep.ReasonDeadlineCannotBeMet},
 		"longer than all engines":     {p.ask("a", 5_000_000), barleystep.ReasonNoTarget},
 		"no engine serves the model":  {p.ask("a", 1_000), barleystep.ReasonNoTarget},
-		"more waits than is sensible": {p.ask("a", 1_000), barleystep.ReasonQueueFull},
+		"queue is full":               {p.ask("a", 1_000), barleystep.ReasonQueueFull},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -320,9 +320,9 @@
 	}
 }
 
-// TestRequestThatHasBeenEverywhereBeginsAnew checks that a request which all
-// targets have refused does not wait until its deadline for another one.
-func TestRequestThatHasBeenEverywhereBeginsAnew(t *testing.T) {
+// TestAllTargetsFailed checks that a request that has failed on all targets may
+// try them again, instead of waiting until its deadline for another target.
+func TestAllTargetsFailed(t *testing.T) {
 	for name, avoid := range map[string][]barleystep.TargetID{"one left": {engine(0)}, "none left": {engine(1), engine(0)}} {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
@@ -338,28 +338,28 @@
 	}
 }
 
-// TestUnusableTargets lists why a target gets no new work.
+// TestUnusableTargets checks each reason for which a target gets no new work.
 func TestUnusableTargets(t *testing.T) {
 	cases := map[string]func(p *pool){
 		"drained": func(p *pool) {
 			p.SetTargets([]capacity.TargetSpec{{ID: engine(0), KVTokens: engineTokens, PrefillRate: 10_000, Drain: true}})
 		},
-		"leaving by its own word": func(p *pool) {
+		"leaving by its load report": func(p *pool) {
 			p.UpdateLoad(engine(0), barleystep.Load{At: p.now.Add(1), TotalTokens: engineTokens, FreeTokens: engineTokens, Leaving: true})
 		},
 		"failing": func(p *pool) {
 			p.ApplyReport(p.now, capacity.Report{Box: "b1", Uses: []capacity.CreditUse{{Target: engine(0), Failures: 2}}})
 		},
-		"hung while its reports go on": func(p *pool) {
+		"hung while it still reports load": func(p *pool) {
 			p.ApplyReport(p.now, capacity.Report{Box: "b1", Uses: []capacity.CreditUse{{Target: engine(0), Overdue: time.Minute}}})
 		},
 	}
-	for name, spoil := range cases {
+	for name, breakTarget := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			p := newPool(1)
 			p.empty(1)
-			spoil(p)
+			breakTarget(p)
 			p.want(t, "a", 1_000)
 			c.Check(p.tick(), quicktest.HasLen, 0)
 			c.Check(p.ApplyReport(p.now, capacity.Report{Box: "b1"}).Credits, quicktest.HasLen, 0)
@@ -367,9 +367,8 @@
 	}
 }
 
-// TestSuspensionEndsWithATrial checks that a target that failed gets one more
-// chance after a while, and is back with its first answer.
-func TestSuspensionEndsWithATrial(t *testing.T) {
+// TestSuspensionEndsWithProbe checks that a suspended target gets a probe attempt after its backoff.
+func TestSuspensionEndsWithProbe(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(1)
 	p.empty(1)
--- a/internal/capacity/endpoint.go
+++ b/internal/capacity/endpoint.go
@@ -14,23 +14,23 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// Endpoint is where the boxes of a hall reach a pool's dispenser: LocalEndpoint on the
-// box that dispenses, a peer's adapter on the others. Implementations are safe
+// Endpoint gives the boxes of a hall access to a pool's dispenser. It is a LocalEndpoint on the box
+// that runs the dispenser, and a client of internal/peer on the others. Implementations are safe
 // for concurrent use.
 type Endpoint interface {
-	// Ask waits for a grant. It returns a *barleystep.Refusal, or another error
-	// if the dispenser could not be asked; the request is then withdrawn.
+	// Ask waits for a grant. It returns a *barleystep.Refusal, or another error if the dispenser
+	// could not be reached; the request is then withdrawn.
 	Ask(ctx context.Context, pool string, a GrantRequest) (Grant, error)
-	// First notes the first token of a granted attempt.
+	// First records the first token of a granted attempt.
 	First(ctx context.Context, pool string, id barleystep.AttemptID) error
-	// Release takes a grant back.
+	// Release ends a grant and records how the attempt went.
 	Release(ctx context.Context, pool string, id barleystep.AttemptID, u barleystep.Usage) error
-	// Report takes in a box's report.
+	// Report applies a box's report and returns its credits.
 	Report(ctx context.Context, pool string, r Report) (Credits, error)
 }
 
-// LocalEndpoint runs the dispensers of the pools that this box hands out. Its
-// exported fields are set before use.
+// LocalEndpoint runs the dispensers of the pools that are assigned to this box. Its exported fields
+// are set before use.
 type LocalEndpoint struct {
 	Clock         barleystep.Clock
 	Hall          barleystep.HallID
@@ -44,7 +44,7 @@
 	pools    map[string]*localPool
 }
 
-// dispensed is one pool at an endpoint.
+// localPool is a pool whose dispenser runs at this endpoint.
 type localPool struct {
 	name      string
 	mu        sync.Mutex
@@ -57,9 +57,9 @@
 var _ Endpoint = (*LocalEndpoint)(nil)
 
 const (
-	// tickEvery is the time between decisions when nothing else causes one.
+	// scheduleInterval is the time between scheduling rounds that no event causes.
 	scheduleInterval = 100 * time.Millisecond
-	// idleLife is how long a pool stays at an endpoint that nobody uses.
+	// idleTimeout is how long an endpoint keeps a pool that is not used.
 	idleTimeout = time.Minute
 )
 
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// leave withdraws a request whose caller has gone. A grant that crossed with
-// it is given back.
+// withdraw removes a request whose caller has disconnected. A grant that was given meanwhile is
+// released.
 func (l *LocalEndpoint) withdraw(p *localPool, id barleystep.AttemptID, answer chan Grant) {
 	l.apply(p, func(d *Dispenser, now time.Time) {
 		d.Withdraw(id)
@@ -111,37 +111,37 @@
 	})
 }
 
-// First notes a first token.
+// First records the first token of a granted attempt.
 func (l *LocalEndpoint) First(_ context.Context, pool string, id barleystep.AttemptID) error {
 	l.update(pool, func(d *Dispenser, now time.Time) { d.FirstToken(now, id, 0) })
 	return nil
 }
 
-// Release takes a grant back.
+// Release ends a grant and records how the attempt went.
 func (l *LocalEndpoint) Release(_ context.Context, pool string, id barleystep.AttemptID, u barleystep.Usage) error {
 	l.update(pool, func(d *Dispenser, now time.Time) { d.Release(now, id, u) })
 	return nil
 }
 
-// Report takes in a report.
+// Report applies a box's report and returns its credits.
 func (l *LocalEndpoint) Report(_ context.Context, pool string, r Report) (c Credits, err error) {
 	l.update(pool, func(d *Dispenser, now time.Time) { c = d.ApplyReport(now, r) })
 	return c, nil
 }
 
-// Load takes in a load report of a target of the pool.
+// UpdateLoad applies a load report of a target of the pool.
 func (l *LocalEndpoint) UpdateLoad(pool string, id barleystep.TargetID, load barleystep.Load) {
 	l.apply(l.pool(pool), func(d *Dispenser, _ time.Time) { d.UpdateLoad(id, load) })
 }
 
-// Gone forgets a box in all pools.
+// RemoveBox removes a box that has died from all pools.
 func (l *LocalEndpoint) RemoveBox(id barleystep.BoxID) {
 	for _, name := range l.Pools() {
 		l.update(name, func(d *Dispenser, now time.Time) { d.RemoveBox(now, id) })
 	}
 }
 
-// Pools returns the names of the pools that are in use at this endpoint.
+// Pools returns the names of the pools in use at this endpoint and drops the idle ones.
 func (l *LocalEndpoint) Pools() []string {
 	now := l.Clock.Now()
 	l.mu.Lock()
@@ -163,7 +163,7 @@
 	return len(p.waiting) == 0 && now.Sub(p.lastUsed) > idleTimeout
 }
 
-// change is decide for what a box has said: it keeps the pool at the endpoint.
+// update is apply for a box's message, which also counts as use of the pool.
 func (l *LocalEndpoint) update(pool string, f func(*Dispenser, time.Time)) {
 	p := l.pool(pool)
 	l.apply(p, func(d *Dispenser, now time.Time) {
@@ -172,8 +172,8 @@
 	})
 }
 
-// decide lets f change the pool's dispenser, with the configuration in force,
-// and hands out what follows.
+// apply calls f on the pool's dispenser, with the configuration in force, and delivers the grants
+// that follow.
 func (l *LocalEndpoint) apply(p *localPool, f func(*Dispenser, time.Time)) {
 	now := l.Clock.Now()
 	p.mu.Lock()
@@ -203,22 +203,22 @@
 	l.pools[name] = p
 	select {
 	case l.NewPools() <- name:
-	default: // The poller comes by soon.
+	default: // The next round of the Poller covers it.
 	}
 	return p
 }
 
-// openedQueue is how many new pools wait for their first load reports.
+// newPoolsQueue is how many new pools can wait for their first load reports.
 const newPoolsQueue = 64
 
-// Opened tells of pools that were newly taken over: until their targets' load is
-// known, nothing is handed out.
+// NewPools returns a channel of the names of pools that were just taken over. Nothing is granted in
+// such a pool until the load of its targets is known.
 func (l *LocalEndpoint) NewPools() chan string {
 	l.once.Do(func() { l.newPools = make(chan string, newPoolsQueue) })
 	return l.newPools
 }
 
-// Serve decides at intervals until ctx ends.
+// Serve schedules the requests of all pools at intervals until ctx ends.
 func (l *LocalEndpoint) Serve(ctx context.Context) error {
 	for clock.Sleep(ctx, l.Clock, scheduleInterval) {
 		for _, name := range l.Pools() {
@@ -228,7 +228,7 @@
 	return ctx.Err()
 }
 
-// tick hands out what was decided. The caller holds the lock.
+// schedule delivers the grants and refusals of the dispenser. The caller holds the lock.
 func (p *localPool) schedule(now time.Time) {
 	for _, g := range p.dispenser.Schedule(now) {
 		answer, ok := p.waiting[g.Attempt]
@@ -241,7 +241,7 @@
 	}
 }
 
-// refresh gives the dispenser the targets of the configuration in force. The
+// refresh applies the targets and the weighing of the configuration in force to the dispenser. The
 // caller holds the lock.
 func (l *LocalEndpoint) refresh(p *localPool) {
 	v, _ := l.Configuration.View()
@@ -253,18 +253,17 @@
 	p.dispenser.SetTargets(TargetSpecs(v, string(l.Hall), p.name))
 }
 
-// servicePrefix begins the names of the pools of plain services.
+// servicePrefix starts the names of the pools of plain services, which are no models.
 const servicePrefix = "service:"
 
-// ServicePool returns the name of the pool of a plain service. No model has
-// such a name.
+// ServicePoolName returns the name of the pool of a plain service. No model has such a name.
 func ServicePoolName(service string) string { return servicePrefix + service }
 
-// serviceCalls is how many calls one server of a plain service is sent at a
-// time; a call counts as one token.
+// maxServiceCalls bounds the concurrent calls to one server of a plain service. A call counts as one
+// token.
 const maxServiceCalls = 64
 
-// Specs returns the targets of a pool in a hall.
+// TargetSpecs returns the configured targets of a pool in a hall.
 func TargetSpecs(v *config.View, hall, pool string) []TargetSpec {
 	service, isService := strings.CutPrefix(pool, servicePrefix)
 	model, _ := v.Model(pool)
--- a/internal/capacity/health.go
+++ b/internal/capacity/health.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// health judges a target by the progress of real answers: a health check that
-// answers says little of an engine that has stopped to generate.
+// health is a circuit breaker for one target, driven by the progress of real answers: an engine that
+// has stopped generating may still answer health checks.
 type health struct {
-	average        float64 // slow is the smoothed ratio of measured to expected time.
-	failures       int     // failures counts attempts in a row that got no token.
+	average        float64 // average is the smoothed ratio of measured to expected time; 0 before the first.
+	failures       int     // failures counts consecutive attempts without a token.
 	suspendedUntil time.Time
 }
 
@@ -16,20 +16,18 @@
 	suspendAfter      = 2
 	minSuspension     = 2 * time.Second
 	maxSuspension     = 60 * time.Second
-	// silenceAllowed is how long an answer may be overdue before the target
-	// counts as hung.
+	// maxOverdue is how long an answer may be overdue before the target counts as hung.
 	maxOverdue = 10 * time.Second
 )
 
-// answered notes an answer's first token. It ends a suspension: the target
-// does work.
+// noteAnswer records an answer's first token, which ends a suspension.
 func (h *health) noteAnswer(ratio float64) {
 	h.failures = 0
 	h.suspendedUntil = time.Time{}
 	h.average = h.slowdown() + slowdownSmoothing*(min(max(ratio, 0), maxSlowdown)-h.slowdown())
 }
 
-// failed notes an attempt that got no token.
+// noteFailure records an attempt that got no token.
 func (h *health) noteFailure(now time.Time) {
 	h.failures++
 	if h.failures >= suspendAfter {
@@ -37,7 +35,7 @@
 	}
 }
 
-// silent notes that an answer is overdue.
+// noteOverdue suspends the target if an answer is overdue for too long.
 func (h *health) noteOverdue(now time.Time, overdue time.Duration) {
 	if overdue > maxOverdue {
 		h.failures = max(h.failures, suspendAfter)
@@ -45,8 +43,8 @@
 	}
 }
 
-// suspend keeps work away for a time that doubles with each failure. When it
-// has passed, the next attempt is the trial.
+// suspend stops new work for a backoff that doubles with each failure. After the backoff, the next
+// attempt is the probe.
 func (h *health) suspend(now time.Time) {
 	if h.isSuspended(now) {
 		return
--- a/internal/capacity/holder.go
+++ b/internal/capacity/holder.go
@@ -9,8 +9,8 @@
 	"github.com/barleystep/barleystep/internal/place"
 )
 
-// Holder is a box's side of one pool: the credits that it may use and the work
-// that it runs. It is a state machine and not safe for concurrent use.
+// Holder is a box's state of one pool: the credits that it may use and the attempts that it runs. It
+// is a state machine and not safe for concurrent use.
 type Holder struct {
 	box             barleystep.BoxID
 	credits         Credits
@@ -20,17 +20,17 @@
 	requestedTokens int
 }
 
-// ownUse is what the box runs on credits at one target.
+// targetUse is what the box runs on credits at one target.
 type targetUse struct {
 	prefilling  int
 	kvTokens    int
 	running     int
 	answers     int
 	failures    int
-	slowdownSum float64 // slow is the sum of ratios over answers.
+	slowdownSum float64 // slowdownSum adds up the ratio of measured to expected time over answers.
 }
 
-// run is one attempt of the box.
+// attempt is a running attempt of the box.
 type attempt struct {
 	id           barleystep.AttemptID
 	account      string
@@ -40,7 +40,7 @@
 	startedAt    time.Time
 	expected     time.Duration
 	prefilling   bool
-	granted      bool // granted tells a grant from the use of a credit.
+	granted      bool // granted is set if the attempt runs on a grant, not on a credit.
 }
 
 // NewHolder returns the holder of a box without credits.
@@ -52,10 +52,10 @@
 	}
 }
 
-// SetCredits replaces the credits.
+// SetCredits replaces the credits that the box holds.
 func (h *Holder) SetCredits(c Credits) { h.credits = c }
 
-// Try runs a short prompt on the credits, if there are any that allow it.
+// TryStart starts a short prompt on a credit and returns its target, if a credit allows it.
 func (h *Holder) TryStart(now time.Time, d barleystep.Demand) (target barleystep.TargetID, ok bool) {
 	if barleystep.BandOf(d.PromptTokens).Long() {
 		return "", false
@@ -72,8 +72,8 @@
 	return best, true
 }
 
-// best looks at the targets in an order that differs between attempts, so that
-// boxes with the same picture do not all take the same target.
+// best returns the target with the least expected time to first token. The order of the candidates
+// differs between attempts, so that boxes with the same state do not all take the same target.
 func (h *Holder) best(d barleystep.Demand) (best barleystep.TargetID, expected time.Duration) {
 	cachedTarget, share := h.prefixes.Find(d.PrefixHashes)
 	for _, c := range h.candidates(d, cachedTarget) {
@@ -92,12 +92,12 @@
 	return best, expected
 }
 
-// sampled is how many targets are compared for one prompt: the best of a few
-// drawn at random herds far less than the best of all.
+// sampleSize is how many targets are compared for one prompt. The best of a few random ones avoids
+// the herding that the best of all causes.
 const sampleSize = 4
 
-// candidates returns a few credits, drawn by the hash of the attempt, and the
-// warm target's.
+// candidates returns a sample of the credits, drawn by the hash of the attempt. The target that has
+// the prompt's prefix in its cache comes first.
 func (h *Holder) candidates(d barleystep.Demand, cachedTarget barleystep.TargetID) []Credit {
 	n := len(h.credits.Credits)
 	if n <= sampleSize {
@@ -153,7 +153,7 @@
 	return u
 }
 
-// Hold notes a grant of the dispenser.
+// AddGrant records an attempt that runs on a grant of the dispenser.
 func (h *Holder) AddGrant(now time.Time, d barleystep.Demand, targets []barleystep.TargetID) {
 	h.start(now, d, targets, 0, true)
 }
@@ -180,7 +180,7 @@
 	u.running++
 }
 
-// First notes an attempt's first token.
+// FirstToken records an attempt's first token.
 func (h *Holder) FirstToken(now time.Time, id barleystep.AttemptID) {
 	r, ok := h.running[id]
 	if !ok || !r.prefilling {
@@ -196,7 +196,7 @@
 	u.slowdownSum += float64(now.Sub(r.startedAt)) / float64(max(r.expected, time.Millisecond))
 }
 
-// End notes that an attempt has ended.
+// End records that an attempt has ended.
 func (h *Holder) End(id barleystep.AttemptID, usage barleystep.Usage) {
 	r, ok := h.running[id]
 	if !ok {
@@ -217,7 +217,7 @@
 	}
 }
 
-// Report returns what the dispenser has to know, and starts a new interval.
+// Report returns the report for the dispenser and starts a new interval.
 func (h *Holder) Report(now time.Time) Report {
 	r := Report{Box: h.box, RequestedTokens: h.requestedTokens}
 	h.requestedTokens = 0
@@ -250,8 +250,8 @@
 	return use
 }
 
-// silences returns for each target how long its oldest unanswered attempt on
-// credit is overdue.
+// overdueTimes returns for each target how long its most overdue attempt on credit has waited beyond
+// the expected time for a first token.
 func (h *Holder) overdueTimes(now time.Time) map[barleystep.TargetID]time.Duration {
 	longest := make(map[barleystep.TargetID]time.Duration)
 	for _, r := range h.running {
--- a/internal/capacity/holder_test.go
+++ b/internal/capacity/holder_test.go
@@ -32,8 +32,8 @@
 		"takes the target with less work": {credits(until, 4_000), start, demand(1, 2_000), "e0"},
 		"no credits":                      {capacity.Credits{}, start, demand(1, 2_000), ""},
 		"credits have run out":            {credits(until, 4_000), until, demand(1, 2_000), ""},
-		"long prompts ask":                {credits(until, 4_000), start, demand(1, 20_000), ""},
-		"memory is bounded": {capacity.Credits{Until: until, Credits: []capacity.Credit{
+		"long prompt":                     {credits(until, 4_000), start, demand(1, 20_000), ""},
+		"memory is exhausted": {capacity.Credits{Until: until, Credits: []capacity.Credit{
 			{Target: "e0", PrefillTokens: 4_000, KVTokens: 1_000, PrefillRate: 1},
 		}}, start, demand(1, 2_000), ""},
 	}
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestHolderStaysWithinItsCredits checks that reading credits bound what a box
-// sends, and that first tokens free them.
-func TestHolderStaysWithinItsCredits(t *testing.T) {
+// TestHolderCreditsBoundPrefill checks that prefill credits bound what a box sends, and that a first
+// token frees its part of them.
+func TestHolderCreditsBoundPrefill(t *testing.T) {
 	c := quicktest.New(t)
 	h := capacity.NewHolder("b1")
 	h.SetCredits(credits(start.Add(time.Hour), 4_000))
--- a/internal/capacity/lane.go
+++ b/internal/capacity/lane.go
@@ -8,17 +8,18 @@
 	"github.com/barleystep/barleystep/internal/place"
 )
 
-// lane keeps requests apart whose lengths would get in each other's way.
+// lane is a queue for prompts of similar length, so that long prompts and short ones do not delay
+// each other.
 type lane int
 
 const (
-	laneShort lane = iota // laneShort holds prompts that are read in a moment.
-	laneLong              // laneLong holds prompts that fit one engine.
-	laneLarge             // laneGiant holds prompts for which engines are set aside.
+	laneShort lane = iota // laneShort holds prompts whose prefill is short.
+	laneLong              // laneLong holds long prompts that fit one engine.
+	laneLarge             // laneLarge holds prompts for which engines are reserved.
 	laneCount
 )
 
-// usableMemory is the part of an engine's memory that is planned with.
+// usableShare is the share of an engine's memory that reservations plan with.
 const usableShare = 0.95
 
 func (d *Dispenser) lane(w *waiter) (lane, *barleystep.Refusal) {
@@ -45,8 +46,8 @@
 	return laneLarge, nil
 }
 
-// hopeless refuses a request that would miss its deadline even if nothing ran
-// before it and the fastest engine, or all of them together, read its prompt.
+// checkDeadline refuses a request that would miss its deadline even if nothing ran before it and the
+// fastest engine, or for a large prompt all of them together, prefilled it.
 func (d *Dispenser) checkDeadline(now time.Time, w *waiter, l lane) *barleystep.Refusal {
 	fastest := 0.0
 	for _, t := range d.sortedTargets {
@@ -64,7 +65,7 @@
 	return notRun(barleystep.ReasonDeadlineCannotBeMet, "The prompt can't be read before the time limit.", 0)
 }
 
-// drainTime estimates how long the lane's queue takes to empty.
+// drainTime estimates how long the lane's queue takes to empty; at least 1 s.
 func (d *Dispenser) drainTime(l lane) time.Duration {
 	rate := 0.0
 	for _, t := range d.sortedTargets {
@@ -78,8 +79,8 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// choose returns the target at which the request is expected to get its first
-// token soonest, or nil if none may take it now.
+// choose returns the target with the least expected time to first token for the request, or nil if
+// none may run it now.
 func (d *Dispenser) choose(now time.Time, w *waiter, l lane) *target {
 	if d.isOverLimit(w) {
 		return nil
@@ -106,7 +107,7 @@
 	return best
 }
 
-// eligible reports whether the target may take the request now.
+// isEligible reports whether the target may run the request now.
 func (d *Dispenser) isEligible(now time.Time, t *target, w *waiter, l lane) bool {
 	switch {
 	case !t.usable(now) || slices.Contains(w.req.Demand.FailedTargets, t.spec.ID):
@@ -120,8 +121,8 @@
 	}
 }
 
-// overLimit reports whether the account holds all that its policy allows. An
-// account that holds nothing is never over its limit.
+// isOverLimit reports whether the request would take its client account over the share of the pool
+// that the policy allows. An account that holds nothing is never over its limit.
 func (d *Dispenser) isOverLimit(w *waiter) bool {
 	if w.req.Limit >= 1 || w.req.Limit <= 0 {
 		return false
@@ -138,8 +139,8 @@
 	return held > 0 && float64(held+w.tokens) > w.req.Limit*float64(total)
 }
 
-// roomForShort lets short prompts queue in an engine only for as long as the
-// window, so that the order stays the dispenser's to decide.
+// fitsShort reports whether the target has capacity for a short prompt. The prompts that wait for
+// prefill in an engine are bounded by Settings.Window, so that the dispenser decides their order.
 func (d *Dispenser) fitsShort(now time.Time, t *target, w *waiter) bool {
 	if t.freeTokens(now) < w.tokens {
 		return false
@@ -159,7 +160,7 @@
 	return t.freeTokens(now) >= w.tokens && (isOnly || memory+w.tokens <= maxMemory)
 }
 
-// longReads counts the engines that read long prompts.
+// longPrefillEngines returns the number of engines that prefill long prompts.
 func (d *Dispenser) longPrefillEngines() int {
 	n := 0
 	for _, t := range d.sortedTargets {
@@ -170,7 +171,7 @@
 	return n
 }
 
-// longEngines returns how many engines may read long prompts at the same time.
+// maxLongEngines returns how many engines may prefill long prompts at the same time.
 func (d *Dispenser) maxLongEngines() int {
 	share := d.settings.LongShare + (1-d.settings.LongShare)*d.settings.Weighing
 	return max(1, int(share*float64(len(d.sortedTargets))+0.5))
--- a/internal/capacity/message.go
+++ b/internal/capacity/message.go
@@ -1,11 +1,10 @@
-// Package capacity decides in one hall where and when requests run.
+// Package capacity decides where and when requests run in one hall.
 //
-// For each model one box, the dispenser, hands out capacity. It grants long
-// prompts and contended short ones one by one from fair queues, and lends the
-// other boxes short-lived credits on which short prompts run at once. All that
-// it knows can be rebuilt from the boxes' reports and the targets' own load.
-// Dispenser and Holder are plain state machines without goroutines or clocks;
-// Allocator connects them.
+// Each model has a pool of targets, and one box runs the pool's Dispenser. It grants long prompts and,
+// under contention, short ones one by one from fair queues, and gives the boxes short-lived credits
+// on which short prompts run at once. Its whole state can be rebuilt from the boxes' reports and
+// the targets' load reports. Dispenser and Holder are state machines without goroutines or clocks;
+// Allocator, Endpoint and Poller connect them.
 package capacity
 
 import (
@@ -14,17 +13,18 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Ask is a request for a grant.
+// GrantRequest asks a pool's dispenser for a grant.
 type GrantRequest struct {
 	Demand barleystep.Demand
 	Box    barleystep.BoxID
-	// Weight, Rank and Limit are what the policy gives to the account.
+	// Weight, Rank and Limit are the client account's share, as the policy sets it; see
+	// config.Share.
 	Weight float64
 	Rank   int
 	Limit  float64
 }
 
-// Grant is the answer to an Ask.
+// Grant is the answer to a GrantRequest.
 type Grant struct {
 	Attempt  barleystep.AttemptID
 	Box      barleystep.BoxID
@@ -34,7 +34,7 @@
 	Refusal *barleystep.Refusal
 }
 
-// Held is a grant that a box says it holds.
+// HeldGrant is a grant that a box reports to hold.
 type HeldGrant struct {
 	Attempt      barleystep.AttemptID
 	Account      string
@@ -42,65 +42,66 @@
 	PromptTokens int
 	OutputTokens int
 	Since        time.Time
-	// Reading is set until the first token has come.
+	// Prefilling is set until the first token.
 	Prefilling bool
 }
 
-// Use is what a box runs on credits at one target, and what it has learnt of
-// the target since its last report.
+// CreditUse is what a box runs on credits at one target, and what it has observed of the target
+// since its last report.
 type CreditUse struct {
 	Target barleystep.TargetID
-	// Reading is the prompt tokens that are being read.
+	// PrefillTokens is the number of prompt tokens that wait for prefill or are in it.
 	PrefillTokens int
-	// Memory is the KV memory in use, in tokens.
+	// KVTokens is the KV cache in use, in tokens.
 	KVTokens int
-	// Running counts attempts.
+	// Running is the number of running attempts.
 	Running int
 	// Answers and Failures count attempts that got a first token or failed
 	// before one.
 	Answers  int
 	Failures int
-	// Slow is the mean ratio of measured to expected time over Answers.
+	// Slowdown is the mean ratio of measured to expected time to first token over Answers.
 	Slowdown float64
-	// Silent is how long the oldest unanswered attempt has waited beyond what
-	// was expected.
+	// Overdue is how long the most overdue attempt has waited beyond the expected time to first
+	// token.
 	Overdue time.Duration
 }
 
-// Report is what a box tells a pool's dispenser at intervals.
+// Report is a box's state of a pool, sent to the dispenser at intervals.
 type Report struct {
 	Box  barleystep.BoxID
 	Uses []CreditUse
 	Held []HeldGrant
-	// Wanted is the short prompt tokens that the box has been asked for since
-	// its last report.
+	// RequestedTokens is the number of short prompts' tokens that callers have requested from the box
+	// since its last report.
 	RequestedTokens int
 }
 
-// Credit is what a box may run at one target without asking.
+// Credit is what a box may run at one target without a grant.
 type Credit struct {
 	Target barleystep.TargetID
-	// Reading bounds the box's own prompt tokens being read.
+	// PrefillTokens bounds the box's own prompt tokens that are not prefilled yet.
 	PrefillTokens int
-	// Memory bounds the box's own KV memory, in tokens.
+	// KVTokens bounds the box's own KV cache, in tokens.
 	KVTokens int
-	// Others is the prompt tokens that other boxes' work has waiting there.
+	// OtherPrefillTokens is the number of short prompts' tokens of other boxes that wait for prefill.
 	OtherPrefillTokens int
-	// Long is the long prompts' tokens that wait to be read there.
+	// LongPrefillTokens is the number of long prompts' tokens that wait for prefill.
 	LongPrefillTokens int
-	// Running counts the attempts of all boxes.
+	// Running is the number of attempts of all boxes.
 	Running     int
 	PrefillRate float64
 	Slowdown    float64
 }
 
-// Credits is a dispenser's answer to a report. They are void after Until.
+// Credits is a dispenser's answer to a report. The credits expire at Until.
 type Credits struct {
 	Until   time.Time
 	Credits []Credit
 }
 
-// Spec is what the configuration says of a target.
+// TargetSpec is the configuration of a target: its KV cache in tokens, its prefill rate in tokens
+// per second, and whether it is drained.
 type TargetSpec struct {
 	ID          barleystep.TargetID
 	KVTokens    int
--- a/internal/capacity/poller.go
+++ b/internal/capacity/poller.go
@@ -11,21 +11,21 @@
 	"github.com/barleystep/barleystep/internal/metric"
 )
 
-// Loads asks a target for its load report.
+// EngineSource provides the engines whose load is polled.
 type EngineSource interface {
 	// Engine returns the adapter of a configured target.
 	Engine(id barleystep.TargetID, fresh bool) (e barleystep.Engine, ok bool)
 }
 
-// Poller collects the load reports of the targets whose pools an endpoint
-// dispenses. Its exported fields are set before Serve.
+// Poller collects the load reports of the targets in an endpoint's pools. Its exported fields are set
+// before Serve.
 type Poller struct {
 	Clock         barleystep.Clock
 	Endpoint      *LocalEndpoint
 	Configuration config.Source
 	Engines       EngineSource
 	Meter         *metric.Meter
-	// Every is the time between reports of one target; the default is 1 second.
+	// Interval is the time between two polls of one target; the default is 1 second.
 	Interval time.Duration
 }
 
@@ -75,7 +75,7 @@
 		p.Meter.AttemptRetried("load_report_lost")
 		return
 	}
-	// Targets' clocks differ from ours; a report counts from its arrival.
+	// The target's clock may differ from this box's, so a report is dated at its arrival.
 	l.At = p.Clock.Now()
 	p.Endpoint.UpdateLoad(pool, id, l)
 }
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -7,14 +7,14 @@
 	"github.com/barleystep/barleystep"
 )
 
-// lostGrant is how long a grant may be missing from its box's reports before
-// the dispenser takes it back: the answer that carried it was lost.
+// lostGrantTimeout is how long a grant may be missing from its box's reports before the dispenser
+// ends it, as the answer that carried it was lost.
 const lostGrantTimeout = 3 * time.Second
 
-// wantedLearning is the weight of the newest report in a box's wanted tokens.
+// requestedSmoothing is the weight of the newest report in a box's average of requested tokens.
 const requestedSmoothing = 0.3
 
-// Report takes in what a box runs and answers with its credits.
+// ApplyReport applies a box's report and returns the box's new credits.
 func (d *Dispenser) ApplyReport(now time.Time, r Report) Credits {
 	b, ok := d.boxes[r.Box]
 	if !ok {
@@ -54,8 +54,8 @@
 	}
 }
 
-// takeHeld learns grants that an earlier dispenser gave, and takes back those
-// that the box does not have.
+// applyHeld adds the grants that an earlier dispenser gave, and ends those that the box does not
+// hold.
 func (d *Dispenser) applyHeld(now time.Time, r Report) {
 	has := make(map[barleystep.AttemptID]bool, len(r.Held))
 	for _, h := range r.Held {
@@ -86,8 +86,8 @@
 	}
 }
 
-// Gone forgets a box that has died. Its work counts as foreign until the
-// clean-up has freed it: the targets' load shows it.
+// RemoveBox removes a box that has died. Its work still counts as unexplained memory in the targets'
+// load reports until it is cleaned up.
 func (d *Dispenser) RemoveBox(now time.Time, id barleystep.BoxID) {
 	delete(d.boxes, id)
 	for _, t := range d.sortedTargets {
@@ -105,12 +105,12 @@
 	d.dropReservations(isFromBox)
 }
 
-// Contended reports whether short prompts wait: then none may pass the queue.
+// Contended reports whether short prompts are queued. Then none may bypass the queue on a credit.
 func (d *Dispenser) Contended() bool { return d.lanes[laneShort].Len() > 0 }
 
-// credits divides what short prompts may use among the boxes by what they have
-// lately wanted. A contended pool lends nothing, so that the queue's order is
-// kept; every box still gets the least credit otherwise.
+// credits returns the box's credits: the capacity for short prompts is divided among the boxes in
+// proportion to their recent requests, with a minimum for each. A contended pool gives no credits,
+// so that the queue's order is kept.
 func (d *Dispenser) credits(now time.Time, b *boxState) Credits {
 	c := Credits{Until: now.Add(d.settings.creditLifetime())}
 	if d.Contended() {
@@ -139,7 +139,8 @@
 	return (b.requestedTokens + floor) / sum
 }
 
-// sortedBoxes keeps sums of floating-point numbers the same in every run.
+// sortedBoxes returns the boxes in a fixed order, so that floating-point sums over them are the same
+// in every run.
 func (d *Dispenser) sortedBoxes() []barleystep.BoxID {
 	ids := make([]barleystep.BoxID, 0, len(d.boxes))
 	for id := range d.boxes {
--- a/internal/capacity/reservation.go
+++ b/internal/capacity/reservation.go
@@ -8,18 +8,17 @@
 	"github.com/barleystep/barleystep"
 )
 
-// gang is the engines that are set aside for one prompt: several for a prompt
-// that is longer than an engine's memory, one for a prompt so large that it
-// would else wait for ever behind smaller ones. An engine is in one gang at
-// most and a gang is formed whole or not at all, so that two prompts cannot
-// wait for each other's engines: each waits only for work that is running.
+// reservation is the engines that are reserved for one large prompt: several if the prompt is longer
+// than an engine's memory, one if it is so large that smaller ones would starve it. An engine has
+// at most one reservation, and all engines of a reservation are reserved at once, so that two
+// prompts cannot deadlock on each other's engines: each waits only for work that is running.
 type reservation struct {
 	waiter  *waiter
 	members []*target
 }
 
-// tickGangs sets engines aside for the next large prompts, and grants those for
-// which all are free enough.
+// scheduleReservations reserves engines for the next large prompts, and grants those prompts whose
+// engines all have enough free memory.
 func (d *Dispenser) scheduleReservations(now time.Time) []Grant {
 	for d.reserve(now) {
 	}
@@ -36,8 +35,8 @@
 	return grants
 }
 
-// formGang takes the first large prompt for which there are engines. It reports
-// whether it took one.
+// reserve reserves engines for the first large prompt for which there are enough. It reports whether
+// there was one.
 func (d *Dispenser) reserve(now time.Time) bool {
 	var members []*target
 	w, ok := d.lanes[laneLarge].Take(func(w *waiter) bool {
@@ -55,8 +54,8 @@
 	return true
 }
 
-// pickGang returns the engines that are expected to be ready soonest, as many as
-// the prompt needs, or nil if there are too few or too many are set aside.
+// pickTargets returns as many engines as the prompt needs, those that are expected to be ready
+// soonest. It returns nil if there are too few or if too many would be reserved.
 func (d *Dispenser) pickTargets(now time.Time, w *waiter) []*target {
 	var usable []*target
 	reserved := 0
@@ -79,9 +78,8 @@
 	return usable[:n]
 }
 
-// gangSize returns how many engines of the given memory the prompt needs. What
-// short prompts are left with is left by gangs too, unless that takes more
-// engines than there are.
+// targetCount returns how many engines of the given memory the prompt needs. The memory that is kept
+// for short prompts is left free, unless that takes more engines than are available.
 func (d *Dispenser) targetCount(tokens, memory, available int) int {
 	usable := usableShare * float64(memory)
 	n := ceilDiv(tokens, int(usable-d.settings.ShortMemoryShare*float64(memory)))
@@ -91,7 +89,7 @@
 	return ceilDiv(tokens, int(usable))
 }
 
-// engines returns how many engines with the given room hold the tokens.
+// ceilDiv returns how many engines with the given memory, in tokens, hold the tokens.
 func ceilDiv(tokens, memory int) int { return (tokens + memory - 1) / memory }
 
 func (d *Dispenser) sortByReady(now time.Time, list []*target, memory int) {
@@ -110,8 +108,8 @@
 	return least
 }
 
-// ready reports whether all members have the memory that they need, and read no
-// other long prompt.
+// isReady reports whether all members have the memory that they need and prefill no other long
+// prompt.
 func (g *reservation) isReady(now time.Time) bool {
 	for _, t := range g.members {
 		if t.totals.longPrefills > 0 || t.freeTokens(now) < g.tokensPerTarget() {
@@ -121,7 +119,7 @@
 	return true
 }
 
-// lost reports whether a member can no longer take part.
+// isLost reports whether a member has become unusable.
 func (g *reservation) isLost(now time.Time) bool {
 	for _, t := range g.members {
 		if !t.usable(now) || t.reservation != g {
@@ -131,13 +129,13 @@
 	return false
 }
 
-// share is the memory that the prompt needs at each member.
+// tokensPerTarget is the KV cache, in tokens, that the prompt needs at each member.
 func (g *reservation) tokensPerTarget() int {
 	n := len(g.members)
 	return (g.waiter.tokens + n - 1) / n
 }
 
-// readyIn is how long the slowest member is expected to need.
+// readyIn estimates the time until the slowest member is ready.
 func (g *reservation) readyIn(now time.Time, decodeTime time.Duration) time.Duration {
 	longest := time.Duration(0)
 	for _, t := range g.members {
@@ -146,9 +144,8 @@
 	return longest
 }
 
-// mayBackfill reports whether a member that waits for the others may take the
-// request meanwhile: a short prompt, or a long one that will have ended before
-// the slowest member is ready.
+// canBackfill reports whether a reserved target may run the request while it waits for the other
+// members: a short prompt, or a long one that is expected to end before the slowest member is ready.
 func (d *Dispenser) canBackfill(now time.Time, t *target, w *waiter, l lane) bool {
 	if l == laneShort {
 		return true
@@ -157,16 +154,16 @@
 	return total <= t.reservation.readyIn(now, d.decodeTime)
 }
 
-// requeue gives up a gang; its prompt goes back to its queue with its age.
+// requeue cancels a reservation and puts its prompt back into its queue with its age.
 func (d *Dispenser) requeue(g *reservation) {
 	d.cancelReservation(g)
 	a := g.waiter.req
-	// The request was queued before; a refusal now would mean that the pool has
-	// shrunk below its need, which its deadline then ends.
+	// The request was accepted before. A refusal now means that the pool has become too small for
+	// it; the caller's deadline then ends it.
 	_ = d.Enqueue(a.Demand.AdmittedAt, a)
 }
 
-// disband frees the members.
+// cancelReservation frees the members.
 func (d *Dispenser) cancelReservation(g *reservation) {
 	for _, t := range g.members {
 		if t.reservation == g {
@@ -176,7 +173,7 @@
 	d.reservations = slices.DeleteFunc(d.reservations, func(other *reservation) bool { return other == g })
 }
 
-// dropGangs disbands the gangs whose prompt is gone.
+// dropReservations cancels the reservations of the requests for which match returns true.
 func (d *Dispenser) dropReservations(match func(*waiter) bool) {
 	for _, g := range slices.Clone(d.reservations) {
 		if match(g.waiter) {
@@ -185,7 +182,7 @@
 	}
 }
 
-// Aside returns the targets that are set aside for large prompts.
+// ReservedTargets returns the targets that are reserved for large prompts.
 func (d *Dispenser) ReservedTargets() []barleystep.TargetID {
 	var ids []barleystep.TargetID
 	for _, t := range d.sortedTargets {
--- a/internal/capacity/settings.go
+++ b/internal/capacity/settings.go
@@ -2,35 +2,34 @@
 
 import "time"
 
-// Settings tunes a dispenser. The zero value takes the defaults, which the
-// table in docs/PLACEMENT.md speaks for.
+// Settings configures a dispenser. A zero field takes its default; the table in docs/PLACEMENT.md
+// gives the reasons for the defaults.
 type Settings struct {
-	// Window bounds how far ahead short prompts are sent to an engine, as
-	// reading time; the default is 600 ms.
+	// Window bounds the short prompts that wait for prefill in an engine, as prefill time; the
+	// default is 600 ms.
 	Window time.Duration
-	// LongReads is how many long prompts an engine reads at a time; the default
-	// is 1.
+	// LongPrefills is how many long prompts an engine prefills at a time; the default is 1.
 	LongPrefills int
-	// LongPart is the part of the engines that may read long prompts at the same
-	// time, from 0 to 1; the default is 1. It grows with Weighing.
+	// LongShare is the share of the engines that may prefill long prompts at the same time, from 0 to
+	// 1; the default is 1. The share in force grows with Weighing.
 	LongShare float64
-	// ShortMemory is the part of an engine's memory that long prompts leave
-	// free; the default is 0.1.
+	// ShortMemoryShare is the share of an engine's memory that long prompts leave free; the default
+	// is 0.1.
 	ShortMemoryShare float64
-	// GiantPart is the part of an engine's memory beyond which a prompt has
-	// engines set aside for it; the default is 0.4.
+	// LargeShare is the share of an engine's memory beyond which engines are reserved for a prompt;
+	// the default is 0.4.
 	LargeShare float64
-	// AsidePart bounds the part of the engines that are set aside at the same
-	// time, unless a single prompt needs more; the default is 0.4.
+	// ReservedShare bounds the share of the engines that are reserved at the same time, unless a
+	// single prompt needs more; the default is 0.4.
 	ReservedShare float64
-	// Weighing moves the balance from short prompts (0) to long ones (1).
+	// Weighing is the balance between short prompts (0) and long ones (1).
 	Weighing float64
 	// Interval is the time between a box's reports; the default is 1 second.
 	Interval time.Duration
-	// QueueLimit bounds the waiting requests; the default is 20,000.
+	// QueueLimit bounds the queued requests of each lane; the default is 20,000.
 	QueueLimit int
-	// Least is the reading credit, in tokens, that every box gets at every
-	// usable target of a pool that is not contended; the default is 4,096.
+	// MinPrefillCredit is the prefill credit, in tokens, that every box gets at every usable target
+	// of a pool without contention; the default is 4,096.
 	MinPrefillCredit int
 }
 
@@ -65,16 +64,16 @@
 	return s
 }
 
-// creditLife is how many report intervals credits last.
+// creditIntervals is how many report intervals credits last.
 const creditIntervals = 4
 
 func (s Settings) creditLifetime() time.Duration { return creditIntervals * s.Interval }
 
-// poolsPerInterval is how many pools a box reports in one interval. With more,
-// it reports less often, so that the bytes per second stay bounded.
+// poolsPerInterval is how many pools a box reports in one interval. A box with more pools reports less
+// often, which bounds the bytes per second.
 const poolsPerInterval = 10
 
-// every returns the time between reports of a box that uses as many pools.
+// reportInterval returns the time between the reports of a box that uses the given number of pools.
 func (s Settings) reportInterval(pools int) time.Duration {
 	return s.Interval * time.Duration(max(1, (pools+poolsPerInterval-1)/poolsPerInterval))
 }
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -9,33 +9,33 @@
 	"github.com/barleystep/barleystep/internal/place"
 )
 
-// target is what a dispenser knows of one target. The sums are kept up to date
-// with each change, as they are read for every decision.
+// target is a dispenser's state of one target. Its totals are updated with each change, as every
+// decision reads them.
 type target struct {
 	spec         TargetSpec
 	load         barleystep.Load
 	grants       map[barleystep.AttemptID]*activeGrant
 	totals       totals
 	uses         map[barleystep.BoxID]CreditUse
-	useTotals    CreditUse // useSums adds up what boxes run on credits.
+	useTotals    CreditUse // useTotals adds up what boxes run on credits.
 	released     []release
-	unexplained  int // foreign is the memory in the last load report that own work does not explain.
+	unexplained  int // unexplained is the memory in the last load report beyond the known work, in tokens.
 	health       health
-	unknownUntil time.Time    // unsure is until when a missing load report means a full target.
-	reservation  *reservation // gang is set while the target is set aside for a large prompt.
+	unknownUntil time.Time    // unknownUntil is until when a target without a load report counts as full.
+	reservation  *reservation // reservation is set while the target is reserved for a large prompt.
 }
 
-// sums adds up the holdings of a target.
+// totals adds up the grants of a target.
 type totals struct {
 	kvTokens           int
-	shortPrefillTokens int // shortReading and longReading are prompt tokens that wait to be read.
+	shortPrefillTokens int // shortPrefillTokens and longPrefillTokens are prompt tokens that wait for prefill.
 	longPrefillTokens  int
-	longPrefills       int // longs counts the long prompts that are being read.
+	longPrefills       int // longPrefills counts the long prompts in prefill.
 	longKVTokens       int
 }
 
-// holding is a grant as the dispenser keeps it. A grant over several targets is
-// one holding in each of them.
+// activeGrant is a grant that has not been released. A grant over several targets is kept in each of
+// them.
 type activeGrant struct {
 	attempt      barleystep.AttemptID
 	box          barleystep.BoxID
@@ -44,25 +44,25 @@
 	promptTokens int
 	outputTokens int
 	grantedAt    time.Time
-	firstTokenAt time.Time // firstAt is when the first token came.
+	firstTokenAt time.Time // firstTokenAt is when the first token came.
 	prefilling   bool
 	isLong       bool
 }
 
-// share is the KV memory that the holding takes at each of its targets.
+// tokensPerTarget is the KV cache, in tokens, that the grant takes at each of its targets.
 func (h *activeGrant) tokensPerTarget() int {
 	n := len(h.targets)
 	return (h.promptTokens + h.outputTokens + n - 1) / n
 }
 
-// release remembers a holding that ended, until a load report is newer.
+// release is a grant that has ended. It is kept until a newer load report arrives.
 type release struct {
 	grantedAt time.Time
 	at        time.Time
 	tokens    int
 }
 
-// loadLife is how long a load report counts.
+// maxLoadAge is how long a load report counts.
 const maxLoadAge = 15 * time.Second
 
 func newTarget(s TargetSpec, unknownUntil time.Time) *target {
@@ -74,13 +74,14 @@
 	}
 }
 
-// usable reports whether new work may go to the target at all.
+// usable reports whether the target may get new work: it is neither drained nor leaving nor
+// suspended.
 func (t *target) usable(now time.Time) bool {
 	return !t.spec.Drain && !t.load.Leaving && !t.health.isSuspended(now)
 }
 
-// readyIn estimates how long it takes until the target reads no long prompt any
-// more and has the memory free.
+// readyIn estimates the time until the target has ended its long prefills and has the given memory
+// free.
 func (t *target) readyIn(now time.Time, memory int, decodeTime time.Duration) time.Duration {
 	type end struct {
 		in     time.Duration
@@ -107,8 +108,8 @@
 	return ready
 }
 
-// endsIn estimates how long the holding's prompt is still read, and how long it
-// takes until its answer is whole.
+// timeLeft estimates the remaining prefill time of the grant's prompt, and the total time until its
+// answer is complete.
 func (h *activeGrant) timeLeft(now time.Time, rate float64, decodeTime time.Duration) (prefill, total time.Duration) {
 	decode := time.Duration(h.outputTokens) * decodeTime
 	if !h.prefilling {
@@ -118,7 +119,7 @@
 	return prefill, prefill + decode
 }
 
-// add counts a holding in (1) or out (-1).
+// add adds (sign 1) or subtracts (sign -1) a grant.
 func (s *totals) add(h *activeGrant, sign int) {
 	s.kvTokens += sign * h.tokensPerTarget()
 	if h.isLong {
@@ -127,7 +128,7 @@
 	s.addPrefill(h, sign)
 }
 
-// read counts the part of a holding that is still to be read.
+// addPrefill adds or subtracts the prompt of a grant, unless it is prefilled already.
 func (s *totals) addPrefill(h *activeGrant, sign int) {
 	switch {
 	case !h.prefilling:
@@ -139,12 +140,11 @@
 	}
 }
 
-// memory returns the KV memory, in tokens, that is known to be taken by the
-// system's own work.
+// kvTokens returns the KV cache, in tokens, that the known grants and credits take.
 func (t *target) kvTokens() int { return t.totals.kvTokens + t.useTotals.KVTokens }
 
-// free returns the memory that new work may take. Before its first load report
-// a target that may hold work of an earlier dispenser has none.
+// freeTokens returns the memory, in tokens, that new work may take. It is 0 before the first load
+// report of a target that may still run work granted by an earlier dispenser.
 func (t *target) freeTokens(now time.Time) int {
 	if t.load.At.IsZero() && now.Before(t.unknownUntil) {
 		return 0
@@ -165,9 +165,8 @@
 	t.released = slices.DeleteFunc(t.released, func(r release) bool { return !r.at.After(l.At) })
 }
 
-// ownAt returns the memory that own work took at a time not long ago. What the
-// report shows beyond it is work of other dispensers, of boxes that are gone,
-// or not yet reported.
+// ownTokensAt returns the memory, in tokens, that known work took at a recent time. What a load report
+// shows beyond it is work of other dispensers or of dead boxes, or has not been reported yet.
 func (t *target) ownTokensAt(at time.Time) int {
 	own := t.useTotals.KVTokens
 	for _, h := range t.grants {
@@ -183,8 +182,8 @@
 	return own
 }
 
-// add keeps a holding. One that is older than the last load report was foreign
-// in it until now.
+// add adds a grant. If it is older than the last load report, it was part of the unexplained memory
+// until now.
 func (t *target) add(h *activeGrant) {
 	t.grants[h.attempt] = h
 	t.totals.add(h, 1)
@@ -206,7 +205,7 @@
 	}
 }
 
-// setUse replaces what a box runs on credits; a zero Use removes it.
+// setUse replaces what a box runs on credits. A zero CreditUse removes it.
 func (t *target) setUse(id barleystep.BoxID, u CreditUse) {
 	old := t.uses[id]
 	t.useTotals.PrefillTokens += u.PrefillTokens - old.PrefillTokens
@@ -219,12 +218,12 @@
 	t.uses[id] = u
 }
 
-// shortReading returns the short prompts' tokens that wait to be read.
+// shortPrefillTokens returns the number of short prompts' tokens that wait for prefill.
 func (t *target) shortPrefillTokens() int {
 	return t.totals.shortPrefillTokens + t.useTotals.PrefillTokens
 }
 
-// snapshot returns the target as placement sees it.
+// snapshot returns the target's state for package place.
 func (t *target) snapshot(now time.Time) place.Target {
 	return place.Target{
 		ID:                 t.spec.ID,
