--- a/internal/limit/bucket.go
+++ b/internal/limit/bucket.go
@@ -1,24 +1,22 @@
-// Package limit holds client accounts to the token rates that the policy gives
-// them. A rate counts over all halls: it is divided among the halls by what they
-// have lately needed, and evenly among the boxes of a hall, which the balancer
-// loads evenly.
+// Package limit enforces the token rates that the policy sets for client accounts. A rate holds over
+// all halls. It is divided among the halls in proportion to their recent demand, and evenly among
+// the boxes of a hall, as the balancer spreads callers evenly over them.
 package limit
 
 import "time"
 
-// bucket is a token bucket that may go into debt: a request is admitted while
-// there is anything left, and then pays its whole cost. A prompt may be longer
-// than any burst.
+// bucket is a token bucket whose balance may become negative: a request is admitted while the balance
+// is positive and then pays its whole cost, since a prompt may be longer than the burst.
 type bucket struct {
 	balance  float64
 	filledAt time.Time
-	need     float64 // need is the tokens asked for since the last division.
+	need     float64 // need is the number of tokens requested since the last round of Limiter.Rebalance.
 }
 
-// burst is how much unused time an account may save.
+// burst bounds a bucket's balance, as a time at the account's rate.
 const burst = 2 * time.Second
 
-// take admits a request of the given cost, or returns how long to wait.
+// take admits a request of the given cost, or returns the time until one can be admitted.
 func (b *bucket) take(now time.Time, rate, cost float64) (wait time.Duration, ok bool) {
 	b.refill(now, rate)
 	b.need += cost
--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -13,12 +13,12 @@
 	"github.com/barleystep/barleystep/internal/place"
 )
 
-// Limiter holds the accounts of one box to their rates. Its exported fields are
-// set before use; it is safe for concurrent use.
+// Limiter enforces the rates of client accounts on one box. Its exported fields are set before use;
+// it is safe for concurrent use.
 //
-// While the table service is down the last division stands. When needs move
-// from hall to hall, two halls may have divided by different rows for one
-// interval: an account may then get up to twice its rate for that time.
+// While the table service is unavailable, the last shares stay in force. When demand moves between
+// halls, two halls may use different rows for one interval; an account may then get up to twice its
+// rate for that time.
 type Limiter struct {
 	Clock      barleystep.Clock
 	Box        barleystep.BoxID
@@ -26,7 +26,7 @@
 	Table      barleystep.Table
 	Membership barleystep.Membership
 	Meter      *metric.Meter
-	// Every is the time between divisions; the default is 5 seconds.
+	// Interval is the time between calls of Rebalance; the default is 5 seconds.
 	Interval time.Duration
 
 	mu      sync.Mutex
@@ -34,7 +34,7 @@
 	needs   map[barleystep.HallID]needs
 }
 
-// needs is a hall's row: the tokens per second that its accounts ask for.
+// needs is a hall's row in the table: the tokens per second that each client account requests.
 type needs struct {
 	At       time.Time          `json:"at"`
 	Accounts map[string]float64 `json:"accounts"`
@@ -44,18 +44,17 @@
 	defaultInterval = 5 * time.Second
 	prefix          = "limit/"
 	maxHalls        = 64
-	// staleNeeds is how old a hall's row may be: a hall that has not written for
-	// so long gets only the least part.
+	// maxNeedsAge is how old a hall's row may be. A hall with an older row gets its even share only.
 	maxNeedsAge = 5 * time.Minute
-	// leastPart is divided evenly among all halls, so that a hall whose need is
-	// new can begin.
+	// evenShare is the share of a rate that is divided evenly among all halls, so that a hall can
+	// admit requests before its demand has been recorded.
 	evenShare = 0.2
-	// smallNeed is what a hall's row leaves out, in tokens per second.
+	// minNeed is the least demand that is written to a hall's row, in tokens per second.
 	minNeed = 1.0
 )
 
-// Take admits a request that costs the account so many tokens at the rate, or
-// returns how long to wait. A rate of zero is no bound.
+// Take admits a request that costs the account the given tokens, or returns the time until a request
+// can be admitted. Rate is in tokens per second over all halls; zero means no limit.
 func (l *Limiter) Take(account string, rate float64, tokens int) (wait time.Duration, ok bool) {
 	if rate == 0 {
 		return 0, true
@@ -80,7 +79,7 @@
 	return b
 }
 
-// part returns this hall's part of the account's rate.
+// hallShare returns this hall's share of the account's rate, from 0 to 1.
 func (l *Limiter) hallShare(now time.Time, account string) float64 {
 	sum, own := 0.0, 0.0
 	halls := 0
@@ -97,7 +96,8 @@
 	return HallShare(own, sum, halls)
 }
 
-// Part divides a rate: the least part evenly among the halls, the rest by need.
+// HallShare returns a hall's share of a rate, from 0 to 1. A fixed part of the rate is divided evenly
+// among the halls, the rest in proportion to demand: own of sum.
 func HallShare(own, sum float64, halls int) float64 {
 	switch {
 	case halls <= 1:
@@ -109,7 +109,7 @@
 	}
 }
 
-// Serve divides the rates anew at intervals until ctx ends.
+// Serve calls Rebalance at intervals until ctx ends.
 func (l *Limiter) Serve(ctx context.Context) error {
 	if l.Interval == 0 {
 		l.Interval = defaultInterval
@@ -117,8 +117,8 @@
 	return clock.Repeat(ctx, l.Clock, l.Interval, l.Rebalance)
 }
 
-// Round writes the hall's needs, if that is this box's duty, and reads those of
-// all halls. Serve calls it; tests may.
+// Rebalance writes the hall's demand, if this box is the hall's writer, and reads the demand of all
+// halls. It is exported for tests; Serve calls it.
 func (l *Limiter) Rebalance(ctx context.Context) {
 	own := l.collect()
 	if l.isWriter() && len(own.Accounts) > 0 {
@@ -141,13 +141,13 @@
 	l.needs = found
 }
 
-// writes reports whether this box writes its hall's row.
+// isWriter reports whether this box writes its hall's row.
 func (l *Limiter) isWriter() bool {
 	return place.Owner("limit", l.Membership.Alive()) == l.Box
 }
 
-// collect takes what this box was asked for since the last round, times the
-// boxes of the hall: the balancer spreads callers evenly.
+// collect returns the hall's demand and resets the counts. It multiplies the demand at this box by the
+// number of boxes in the hall, as the balancer spreads callers evenly.
 func (l *Limiter) collect() needs {
 	interval := l.Interval
 	if interval == 0 {
@@ -166,8 +166,7 @@
 	return n
 }
 
-// write replaces the hall's row. A lost answer does no harm: the next round
-// writes again.
+// write replaces the hall's row. It does not retry, since the next round writes the row again.
 func (l *Limiter) write(ctx context.Context, n needs) {
 	data, err := json.Marshal(n)
 	if err != nil {
--- a/internal/limit/limiter_test.go
+++ b/internal/limit/limiter_test.go
@@ -19,8 +19,8 @@
 	return &limit.Limiter{Clock: clk, Box: "b", Hall: hall, Table: tb, Membership: member.NewFixed("b"), Meter: metric.Discard()}
 }
 
-// spend asks for requests of 100 tokens, ten a second, and returns the tokens
-// that were admitted.
+// spend requests 100 tokens ten times a second from each limiter, and returns the number of admitted
+// tokens.
 func spend(clk *clock.Manual, rate float64, seconds int, limiters ...*limit.Limiter) (tokens int) {
 	for range seconds * 10 {
 		clk.Advance(100 * time.Millisecond)
@@ -33,16 +33,16 @@
 	return tokens
 }
 
-func TestRateIsHeld(t *testing.T) {
+func TestRateIsEnforced(t *testing.T) {
 	c := quicktest.New(t)
 	clk := clock.NewManual(time.Unix(1e9, 0))
 	l := limiter(clk, &table.Memory{}, "h1")
 	got := spend(clk, 200, 100, l)
 	c.Check(got >= 200*100 && got <= 200*103, quicktest.IsTrue, quicktest.Commentf("%d tokens", got))
-	c.Check(spend(clk, 0, 1, l), quicktest.Equals, 1_000, quicktest.Commentf("no rate is no bound"))
+	c.Check(spend(clk, 0, 1, l), quicktest.Equals, 1_000, quicktest.Commentf("no rate means no limit"))
 }
 
-func TestDebtTellsWhenToComeBack(t *testing.T) {
+func TestNegativeBalanceReturnsWait(t *testing.T) {
 	c := quicktest.New(t)
 	clk := clock.NewManual(time.Unix(1e9, 0))
 	l := limiter(clk, &table.Memory{}, "h1")
@@ -55,8 +55,8 @@
 	c.Check(ok, quicktest.IsTrue)
 }
 
-// TestHallsDivideTheRate lets need move from one hall to another, also through
-// an outage, in which the last division stands.
+// TestHallsDivideTheRate checks that two halls together stay within a rate, that the rate follows the
+// demand to one hall, and that the last shares stay in force while the table is unavailable.
 func TestHallsDivideTheRate(t *testing.T) {
 	c := quicktest.New(t)
 	ctx := context.Background()
@@ -75,7 +75,7 @@
 	both := rounds(10, one, two)
 	c.Check(both <= 200*50*21/20, quicktest.IsTrue, quicktest.Commentf("%d tokens in both halls", both))
 	c.Check(both >= 200*50*9/10, quicktest.IsTrue, quicktest.Commentf("%d tokens in both halls", both))
-	rounds(70, one) // Hall 2's need becomes old.
+	rounds(70, one) // The demand of hall 2 expires.
 	alone := rounds(10, one)
 	c.Check(alone >= 200*50*8/10, quicktest.IsTrue, quicktest.Commentf("%d tokens in one hall", alone))
 	faulty.SetPlan(func(table.Call) table.Failure { return table.FailureUnavailable })
