--- a/internal/queue/fair.go
+++ b/internal/queue/fair.go
@@ -1,5 +1,5 @@
-// Package queue holds the queue in which requests wait for capacity: weighted
-// fair in cost between flows, oldest first within a flow.
+// Package queue implements a weighted fair queue for requests that wait for capacity. It is fair in
+// cost between flows and serves the oldest entry of a flow first.
 package queue
 
 import (
@@ -11,21 +11,17 @@
 // Entry is one waiting item.
 type Entry[T any] struct {
 	Item T
-	// Since orders the entries of a flow, oldest first. An item that comes back
-	// keeps its age.
+	// Since orders the entries of a flow, oldest first. An item that is queued again keeps its Since.
 	Since time.Time
-	// Cost is what serving the item takes, in tokens.
+	// Cost is the cost of serving the item, in tokens.
 	Cost float64
 }
 
-// Fair is a start-time fair queue. Each flow gets a part of the service in
-// proportion to its weight whenever it has work, and what idle flows leave is
-// divided among the others. The zero value is empty. It is not safe for
-// concurrent use.
+// Fair is a start-time fair queue. Flows with entries share the service in proportion to their
+// weights. The zero value is an empty queue. It is not safe for concurrent use.
 //
-// A flow with weight w among flows whose weights add up to W waits, for a head
-// entry of cost c, no longer than the service of c*W/w plus one largest entry
-// of each other flow takes.
+// If the weights of all flows add up to W, the head entry of a flow with weight w, of cost c, waits no
+// longer than it takes to serve c*W/w plus one largest entry of each other flow.
 type Fair[T any] struct {
 	flows       map[string]*flow[T]
 	active      flowHeap[T]
@@ -39,10 +35,10 @@
 	weight    float64
 	start     float64 // start is the virtual time at which the head begins.
 	entries   []Entry[T]
-	heapIndex int // index is the place in the heap, -1 while the flow is idle.
+	heapIndex int // heapIndex is the position in the heap, -1 while the flow is idle.
 }
 
-// maxProbes bounds how many heads that do not fit are passed over in one call.
+// maxSkipped bounds how many heads that do not fit are skipped in one call of Take.
 const maxSkipped = 32
 
 // Len returns the number of waiting entries.
@@ -83,9 +79,8 @@
 	f.entries[i] = e
 }
 
-// Take removes and returns the first head, in fair order, for which fits
-// returns true. It passes over a bounded number of heads that do not fit; they
-// keep their place.
+// Take removes and returns the first head, in fair order, for which fits returns true. It skips a
+// bounded number of heads that do not fit; they keep their position.
 func (q *Fair[T]) Take(fits func(T) bool) (item T, ok bool) {
 	var skipped []*flow[T]
 	for len(q.active) > 0 && len(skipped) < maxSkipped {
@@ -102,7 +97,7 @@
 	return item, ok
 }
 
-// serve removes the head of a flow that is not on the heap.
+// takeHead removes and returns the head of a flow that is not on the heap.
 func (q *Fair[T]) takeHead(f *flow[T]) T {
 	e := f.entries[0]
 	q.removeAt(f, 0)
@@ -118,8 +113,8 @@
 	f.entries = append(f.entries[:i], f.entries[i+1:]...)
 }
 
-// restore puts a flow back on the heap if it has work. An idle flow is kept
-// only while its last service still counts against it.
+// restore puts a flow back on the heap if it has entries. An idle flow is kept only while its virtual
+// start is ahead of the queue's virtual time.
 func (q *Fair[T]) restore(f *flow[T]) {
 	if len(f.entries) > 0 {
 		heap.Push(&q.active, f)
@@ -130,7 +125,7 @@
 	}
 }
 
-// Remove takes out all entries for which gone returns true and returns them.
+// Remove removes and returns all items for which match returns true.
 func (q *Fair[T]) Remove(match func(T) bool) []T {
 	var removed []T
 	for _, f := range q.sortedFlows() {
@@ -145,7 +140,7 @@
 	return removed
 }
 
-// settle takes a flow without work off the heap.
+// removeIfIdle removes a flow without entries from the heap.
 func (q *Fair[T]) removeIfIdle(f *flow[T]) {
 	if len(f.entries) > 0 {
 		return
@@ -169,7 +164,7 @@
 
 type flowHeap[T any] []*flow[T]
 
-// Len returns the number of flows with work.
+// Len returns the number of flows with entries.
 func (h flowHeap[T]) Len() int { return len(h) }
 
 // Less orders flows by virtual start, and by name where that is equal.
--- a/internal/queue/fair_test.go
+++ b/internal/queue/fair_test.go
@@ -61,9 +61,8 @@
 	c.Check(first, quicktest.Equals, "old")
 }
 
-// TestIdleFlowSavesNothing checks that a flow that was idle gets no more than
-// its part when it comes back.
-func TestIdleFlowSavesNothing(t *testing.T) {
+// TestIdleFlowGainsNothing checks that a flow gets no more than its share after it was idle.
+func TestIdleFlowGainsNothing(t *testing.T) {
 	c := quicktest.New(t)
 	var q queue.Fair[string]
 	for range 200 {
@@ -81,11 +80,11 @@
 			back++
 		}
 	}
-	// Half, and the one entry by which a start-time fair queue may be ahead.
+	// Half, plus the one entry by which a flow may be ahead in a start-time fair queue.
 	c.Check(back >= 10 && back <= 11, quicktest.IsTrue, quicktest.Commentf("%d of 20", back))
 }
 
-func TestTakePassesOverWhatDoesNotFit(t *testing.T) {
+func TestTakeSkipsWhatDoesNotFit(t *testing.T) {
 	c := quicktest.New(t)
 	var q queue.Fair[string]
 	q.Push("a", 1, entry("large", 10, 0))
