--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,5 +1,5 @@
-// Package place scores targets for a request by the time to its first token
-// that is expected there.
+// Package place estimates the time to first token of a request at a target, and assigns keys to boxes
+// by rendezvous hashing.
 package place
 
 import (
@@ -10,36 +10,35 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Target is what is known of a target when a request is placed.
+// Target is the state of a target when a request is placed.
 type Target struct {
 	ID barleystep.TargetID
-	// Rate is the reading speed in tokens per second.
+	// PrefillRate is in tokens per second.
 	PrefillRate float64
-	// Slow is how much longer than expected the target has lately taken; 1 is
-	// as expected.
+	// Slowdown is the recent ratio of measured to expected time to first token.
 	Slowdown float64
-	// Short and Long are the prompt tokens that wait to be read, ahead of a
-	// short and in addition ahead of a long prompt.
+	// ShortPrefillTokens and LongPrefillTokens are the prompt tokens that wait for prefill. A short
+	// prompt waits for the former only, a long one for both.
 	ShortPrefillTokens int
 	LongPrefillTokens  int
-	// Running counts attempts.
+	// Running is the number of running attempts.
 	Running int
-	// Free is the KV memory that may be used, in tokens.
+	// FreeKVTokens is the free KV cache, in tokens.
 	FreeKVTokens int
 }
 
-// Delays that reading does not explain. Measured effects on the fake engine are
-// in docs/design/placement.md.
+// Delays in addition to prefill. docs/design/placement.md lists their effects on the simulated
+// engine.
 const (
-	// besideLong is what a short prompt waits for the chunk of a long prompt
-	// that the engine is reading.
+	// longChunkDelay is how long a short prompt waits for the chunk of a long prompt that the engine
+	// prefills.
 	longChunkDelay = 120 * time.Millisecond
-	// perRunning is how much each attempt that is generating slows a step.
+	// delayPerAttempt is how much each running attempt slows an engine's forward pass.
 	delayPerAttempt = time.Millisecond
 )
 
-// Expect returns the expected time to first token of a prompt at the target, of
-// which cached tokens need not be read.
+// ExpectedTTFT returns the expected time to first token of a prompt at the target. Prompt and cached
+// are in tokens; the cached ones need no prefill.
 func ExpectedTTFT(t Target, prompt, cached int) time.Duration {
 	long := barleystep.BandOf(prompt).Long()
 	queued := t.ShortPrefillTokens
@@ -57,8 +56,8 @@
 
 const minSlowdown = 0.1
 
-// Rank returns a number by which boxes that share no state order the same
-// targets the same way for one key: rendezvous hashing.
+// Rank returns the rendezvous hash of a key and a node: boxes that share no state order the same nodes
+// in the same way for one key.
 func Rank(key string, node string) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(key)  // A hash never fails to write.
@@ -67,9 +66,8 @@
 	return d.Sum64()
 }
 
-// Owner returns the box whose duty the key is: the one with the highest rank
-// among those alive, "" if there are none. Boxes with the same picture agree
-// without a message.
+// Owner returns the box that owns the key: the one with the highest rank among those alive, "" if
+// there are none. Boxes with the same membership agree on it without messages.
 func Owner(key string, alive []barleystep.BoxID) barleystep.BoxID {
 	names := make([]string, len(alive))
 	for i, id := range alive {
@@ -78,8 +76,7 @@
 	return barleystep.BoxID(HighestRanked(key, names))
 }
 
-// Highest returns the node with the highest rank for the key, "" if there are
-// no nodes.
+// HighestRanked returns the node with the highest rank for the key, "" if there are no nodes.
 func HighestRanked(key string, nodes []string) string {
 	best, bestRank := "", uint64(0)
 	for _, n := range nodes {
--- a/internal/place/prefix.go
+++ b/internal/place/prefix.go
@@ -6,10 +6,10 @@
 	"github.com/barleystep/barleystep"
 )
 
-// Prefixes records which prompt prefixes were sent to which targets lately. It
-// forgets what was used longest ago. It is not safe for concurrent use.
+// PrefixIndex records to which targets prompt prefixes were last sent. It evicts the least recently
+// recorded prefixes. It is not safe for concurrent use.
 type PrefixIndex struct {
-	// Limit bounds the number of prefixes; the default is 16,384.
+	// MaxEntries bounds the number of prefixes; the default is 16,384.
 	MaxEntries int
 
 	recency list.List
@@ -23,8 +23,8 @@
 	target barleystep.TargetID
 }
 
-// Note records that a prompt with the prefixes was sent to the target. The
-// latest target of a prefix counts.
+// Record records that a prompt with the prefixes was sent to the target. It replaces earlier targets of
+// the prefixes.
 func (p *PrefixIndex) Record(prefixes []uint64, target barleystep.TargetID) {
 	if p.entries == nil {
 		p.entries = make(map[uint64]*list.Element)
@@ -52,7 +52,7 @@
 	}
 }
 
-// Forget drops what is known of a target, after it has lost its cache.
+// Forget removes the entries of a target that has lost its cache.
 func (p *PrefixIndex) Forget(target barleystep.TargetID) {
 	for e := p.recency.Front(); e != nil; {
 		next := e.Next()
@@ -64,9 +64,9 @@
 	}
 }
 
-// Find returns the target that was sent the longest known prefix, and how much
-// of the prompt the prefix makes up, from 0 to 1. Prefixes must be those of the
-// prompt, shortest first.
+// Find returns the target that was last sent the longest known prefix, and the prefix's share of the
+// prompt, from 0 to 1. Prefixes must be those of the prompt, shortest first. It returns "" if no
+// prefix is known.
 func (p *PrefixIndex) Find(prefixes []uint64) (target barleystep.TargetID, share float64) {
 	for i := len(prefixes) - 1; i >= 0; i-- {
 		if e, ok := p.entries[prefixes[i]]; ok {
@@ -76,9 +76,8 @@
 	return "", 0
 }
 
-// portion is the part of a prompt up to its i-th of n prefixes, each twice as
-// long as the one before; the prompt itself is on average half as long again
-// as its longest prefix.
+// promptShare returns the share of a prompt that its i-th of n prefixes makes up. Each prefix is twice
+// as long as the one before, and the prompt is on average half as long again as its longest prefix.
 func promptShare(i, n int) float64 {
 	const beyondLongest = 1.5
 	share := 1 / beyondLongest
