--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -15,7 +15,7 @@
 	ID barleystep.TargetID
 	// PrefillRate is in tokens per second.
 	PrefillRate float64
-	// Slowdown is the recent ratio of measured to expected time to first token.
+	// Slowdown is the recent ratio of measured to expected time to first token; 1 is as expected.
 	Slowdown float64
 	// ShortPrefillTokens and LongPrefillTokens are the prompt tokens that wait for prefill. A short
 	// prompt waits for the former only, a long one for both.
