--- a/internal/capacity/allocator_test.go
+++ b/internal/capacity/allocator_test.go
@@ -46,8 +46,8 @@
 
 func grantAll(context.Context) error { return nil }
 
-// TestAcquireAsksEndpoint checks which endpoint is asked after a grant, after a connection failure and after
-// a caller's disconnect. A disconnect must not count as a failure of the endpoint.
+// TestAcquireAsksEndpoint checks which endpoint is asked after a grant, after a connection
+// failure and after a caller's disconnect. A disconnect must not count as a failure of the endpoint.
 func TestAcquireAsksEndpoint(t *testing.T) {
 	lost := eris.New("connection lost")
 	cases := map[string]struct {
--- a/internal/capacity/bench_test.go
+++ b/internal/capacity/bench_test.go
@@ -50,7 +50,7 @@
 // of their memory free.
 func busyPool(targets, running int) *pool {
 	p := newPool(targets)
-	p.empty(targets)
+	p.reportEmpty(targets)
 	for range targets * running {
 		a := p.ask("busy", 100)
 		a.Demand.MaxOutputTokens = engineTokens * 3 / 4 / running
--- a/internal/capacity/dispenser_test.go
+++ b/internal/capacity/dispenser_test.go
@@ -44,7 +44,7 @@
 	p.UpdateLoad(engine(i), barleystep.Load{At: p.now, TotalTokens: engineTokens, FreeTokens: free})
 }
 
-func (p *pool) empty(engines int) {
+func (p *pool) reportEmpty(engines int) {
 	for i := range engines {
 		p.load(i, engineTokens)
 	}
@@ -68,8 +68,8 @@
 	}
 }
 
-// want enqueues a request and returns its attempt's id.
-func (p *pool) want(t *testing.T, account string, prompt int) barleystep.AttemptID {
+// mustEnqueue enqueues a request and returns its attempt's id.
+func (p *pool) mustEnqueue(t *testing.T, account string, prompt int) barleystep.AttemptID {
 	a := p.ask(account, prompt)
 	if r := p.Enqueue(p.now, a); r != nil {
 		t.Fatalf("refused: %v", r)
@@ -94,13 +94,13 @@
 func TestNewDispenser(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(1)
-	p.empty(1)
-	first := p.want(t, "a", 40_000)
+	p.reportEmpty(1)
+	first := p.mustEnqueue(t, "a", 40_000)
 	c.Assert(p.tick(), quicktest.HasLen, 1)
 
 	p.now = p.now.Add(10 * time.Second)
 	p.reset(1)
-	next := p.want(t, "a", 45_000)
+	next := p.mustEnqueue(t, "a", 45_000)
 	c.Check(p.tick(), quicktest.HasLen, 0, quicktest.Commentf("before any load report"))
 	p.load(0, engineTokens-40_100)
 	held := capacity.HeldGrant{Attempt: first, Account: "a", Targets: []barleystep.TargetID{engine(0)}, PromptTokens: 40_000, OutputTokens: 100, Since: start, Prefilling: true}
@@ -114,7 +114,7 @@
 	c := quicktest.New(t)
 	p := newPool(1)
 	p.load(0, 20_000)
-	p.want(t, "a", 30_000)
+	p.mustEnqueue(t, "a", 30_000)
 	c.Check(p.tick(), quicktest.HasLen, 0)
 	p.now = p.now.Add(time.Second)
 	p.load(0, 90_000)
@@ -125,10 +125,10 @@
 func TestStaleLoad(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(1)
-	p.empty(1)
+	p.reportEmpty(1)
 	p.now = p.now.Add(time.Second)
 	for range 40 {
-		p.want(t, "a", 3_900)
+		p.mustEnqueue(t, "a", 3_900)
 	}
 	granted := 0
 	for range 40 {
@@ -143,10 +143,10 @@
 func TestLostGrantIsEnded(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(1)
-	p.empty(1)
-	p.want(t, "a", 40_000)
+	p.reportEmpty(1)
+	p.mustEnqueue(t, "a", 40_000)
 	c.Assert(p.tick(), quicktest.HasLen, 1)
-	p.want(t, "a", 40_000)
+	p.mustEnqueue(t, "a", 40_000)
 	p.ApplyReport(p.now, capacity.Report{Box: "b1"})
 	c.Check(p.tick(), quicktest.HasLen, 0)
 	p.now = p.now.Add(4 * time.Second)
@@ -155,13 +155,13 @@
 	c.Check(p.tick(), quicktest.HasLen, 1)
 }
 
-// TestBoxDies checks that the memory of a dead box's work is not handed out
-// until the engine reports it free.
+// TestBoxDies checks that the memory of a dead box's work is not granted until the engine reports it
+// free.
 func TestBoxDies(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(1)
-	p.empty(1)
-	p.want(t, "a", 40_000)
+	p.reportEmpty(1)
+	p.mustEnqueue(t, "a", 40_000)
 	c.Assert(p.tick(), quicktest.HasLen, 1)
 	p.now = p.now.Add(time.Second)
 	p.load(0, engineTokens-40_100)
@@ -183,12 +183,12 @@
 func TestFloodDoesNotDelayOthers(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(1)
-	p.empty(1)
+	p.reportEmpty(1)
 	for range 500 {
-		p.want(t, "flood", 6_000)
+		p.mustEnqueue(t, "flood", 6_000)
 	}
 	p.tick()
-	other := p.want(t, "other", 6_000)
+	other := p.mustEnqueue(t, "other", 6_000)
 	served := 0
 	for range 20 {
 		for id, g := range p.tick() {
@@ -220,26 +220,26 @@
 func TestLongUnderFlood(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(1)
-	p.empty(1)
+	p.reportEmpty(1)
 	for range 200 {
-		p.want(t, "quotes", 2_000)
+		p.mustEnqueue(t, "quotes", 2_000)
 	}
-	long := p.want(t, "court", 40_000)
+	long := p.mustEnqueue(t, "court", 40_000)
 	_, ok := p.tick()[long]
 	c.Check(ok, quicktest.IsTrue)
 }
 
-// TestReservation checks prompts longer than an engine's memory: all their engines are reserved at once, and
-// two such prompts do not deadlock.
+// TestReservation checks prompts longer than an engine's memory: all their engines are
+// reserved at once, and two such prompts do not deadlock.
 func TestReservation(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(3)
-	p.empty(3)
-	busy := p.want(t, "a", 30_000)
+	p.reportEmpty(3)
+	busy := p.mustEnqueue(t, "a", 30_000)
 	g := p.tick()
 	c.Assert(g, quicktest.HasLen, 1)
-	first := p.want(t, "a", 210_000)
-	second := p.want(t, "b", 210_000)
+	first := p.mustEnqueue(t, "a", 210_000)
+	second := p.mustEnqueue(t, "b", 210_000)
 	c.Check(p.tick(), quicktest.HasLen, 0, quicktest.Commentf("one engine still prefills"))
 	c.Check(p.ReservedTargets(), quicktest.HasLen, 3)
 	c.Check(p.tick(), quicktest.HasLen, 0)
@@ -254,13 +254,13 @@
 func TestReservedTargetDies(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(4)
-	p.empty(4)
+	p.reportEmpty(4)
 	for range 4 {
-		p.want(t, "a", 30_000)
+		p.mustEnqueue(t, "a", 30_000)
 	}
 	running := p.tick()
 	c.Assert(running, quicktest.HasLen, 4)
-	large := p.want(t, "b", 160_000)
+	large := p.mustEnqueue(t, "b", 160_000)
 	p.tick()
 	lost := p.ReservedTargets()[0]
 	for range 3 {
@@ -286,7 +286,7 @@
 
 func TestRefusals(t *testing.T) {
 	p := newPool(1)
-	p.empty(1)
+	p.reportEmpty(1)
 	late := p.ask("a", 90_000)
 	late.Demand.Deadline = p.now.Add(time.Second)
 	cases := map[string]struct {
@@ -309,7 +309,7 @@
 				}
 			case barleystep.ReasonQueueFull:
 				for range 20_000 {
-					p.want(t, "a", 1_000)
+					p.mustEnqueue(t, "a", 1_000)
 				}
 			}
 			r := p.Enqueue(p.now, tc.ask)
@@ -320,14 +320,14 @@
 	}
 }
 
-// TestAllTargetsFailed checks that a request that has failed on all targets may
-// try them again, instead of waiting until its deadline for another target.
+// TestAllTargetsFailed checks that a request that has failed on all targets may try them again,
+// instead of waiting until its deadline for another target.
 func TestAllTargetsFailed(t *testing.T) {
 	for name, avoid := range map[string][]barleystep.TargetID{"one left": {engine(0)}, "none left": {engine(1), engine(0)}} {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			p := newPool(2)
-			p.empty(2)
+			p.reportEmpty(2)
 			a := p.ask("a", 1_000)
 			a.Demand.FailedTargets = avoid
 			c.Assert(p.Enqueue(p.now, a) == nil, quicktest.IsTrue)
@@ -358,9 +358,9 @@
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			p := newPool(1)
-			p.empty(1)
+			p.reportEmpty(1)
 			breakTarget(p)
-			p.want(t, "a", 1_000)
+			p.mustEnqueue(t, "a", 1_000)
 			c.Check(p.tick(), quicktest.HasLen, 0)
 			c.Check(p.ApplyReport(p.now, capacity.Report{Box: "b1"}).Credits, quicktest.HasLen, 0)
 		})
@@ -371,9 +371,9 @@
 func TestSuspensionEndsWithProbe(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(1)
-	p.empty(1)
+	p.reportEmpty(1)
 	p.ApplyReport(p.now, capacity.Report{Box: "b1", Uses: []capacity.CreditUse{{Target: engine(0), Failures: 2}}})
-	p.want(t, "a", 1_000)
+	p.mustEnqueue(t, "a", 1_000)
 	c.Assert(p.tick(), quicktest.HasLen, 0)
 	p.now = p.now.Add(3 * time.Second)
 	c.Check(p.tick(), quicktest.HasLen, 1)
--- a/internal/capacity/lane.go
+++ b/internal/capacity/lane.go
@@ -22,6 +22,7 @@
 // usableShare is the share of an engine's memory that reservations plan with.
 const usableShare = 0.95
 
+// lane returns the lane of a request, or a refusal if the targets cannot run it at all.
 func (d *Dispenser) lane(w *waiter) (lane, *barleystep.Refusal) {
 	largest := 0
 	for _, t := range d.sortedTargets {
@@ -150,6 +151,8 @@
 	return short == 0 || short+w.req.Demand.PromptTokens <= window
 }
 
+// fitsLong reports whether the target may prefill another long prompt and has the memory for it.
+// Long prompts leave Settings.ShortMemoryShare free, except for one that is the only long one.
 func (d *Dispenser) fitsLong(now time.Time, t *target, w *waiter) bool {
 	if t.totals.longPrefills >= d.settings.LongPrefills {
 		return false
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -28,6 +28,7 @@
 	return d.credits(now, b)
 }
 
+// applyUses replaces what the box runs on credits at each target, and updates the targets' health.
 func (d *Dispenser) applyUses(now time.Time, r Report) {
 	used := make(map[barleystep.TargetID]bool, len(r.Uses))
 	for _, u := range r.Uses {
@@ -125,6 +126,7 @@
 	return c
 }
 
+// share returns the box's share of the credits, from 0 to 1. It drops boxes that no longer report.
 func (d *Dispenser) share(now time.Time, b *boxState) float64 {
 	const floor = 1.0
 	sum := 0.0
@@ -150,6 +152,7 @@
 	return ids
 }
 
+// credit returns the credit for one target, given the box's share of the free capacity there.
 func (d *Dispenser) credit(now time.Time, t *target, share float64) Credit {
 	s := t.snapshot(now)
 	window := t.spec.PrefillRate * d.settings.Window.Seconds()
--- a/internal/capacity/reservation.go
+++ b/internal/capacity/reservation.go
@@ -92,6 +92,7 @@
 // ceilDiv returns how many engines with the given memory, in tokens, hold the tokens.
 func ceilDiv(tokens, memory int) int { return (tokens + memory - 1) / memory }
 
+// sortByReady sorts the targets by the time until each has the given memory, in tokens, free.
 func (d *Dispenser) sortByReady(now time.Time, list []*target, memory int) {
 	ready := make(map[*target]time.Duration, len(list))
 	for _, t := range list {
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -192,6 +192,7 @@
 	}
 }
 
+// maxReleased bounds the ended grants that are kept for a target.
 const maxReleased = 4096
 
 func (t *target) remove(h *activeGrant, now time.Time) {
