--- a/internal/capacity/dispenser_test.go
+++ b/internal/capacity/dispenser_test.go
@@ -15,7 +15,7 @@
 
 const engineTokens = 100_000
 
-// pool is a dispenser with engines that report to be empty.
+// pool is a dispenser with a manual clock and the serial number of its last attempt.
 type pool struct {
 	*capacity.Dispenser
 	now    time.Time
@@ -24,12 +24,12 @@
 
 func newPool(engines int) *pool {
 	p := &pool{now: start}
-	p.found(engines)
+	p.reset(engines)
 	return p
 }
 
-// found starts a dispenser that knows only the configuration.
-func (p *pool) found(engines int) {
+// reset replaces the dispenser by a new one that knows only the configuration.
+func (p *pool) reset(engines int) {
 	p.Dispenser = capacity.NewDispenser(capacity.Settings{}, p.now)
 	var specs []capacity.TargetSpec
 	for i := range engines {
@@ -44,7 +44,7 @@
 	p.UpdateLoad(engine(i), barleystep.Load{At: p.now, TotalTokens: engineTokens, FreeTokens: free})
 }
 
-func (p *pool) empty(engines int) {
+func (p *pool) reportEmpty(engines int) {
 	for i := range engines {
 		p.load(i, engineTokens)
 	}
@@ -68,8 +68,8 @@
 	}
 }
 
-// want asks and returns the id of the attempt.
-func (p *pool) want(t *testing.T, account string, prompt int) barleystep.AttemptID {
+// mustEnqueue enqueues a request and returns its attempt's id.
+func (p *pool) mustEnqueue(t *testing.T, account string, prompt int) barleystep.AttemptID {
 	a := p.ask(account, prompt)
 	if r := p.Enqueue(p.now, a); r != nil {
 		t.Fatalf("refused: %v", r)
@@ -89,46 +89,46 @@
 	p.Release(p.now, id, barleystep.Usage{Outcome: barleystep.OutcomeDone, TimeToFirstEvent: time.Second})
 }
 
-// TestNewDispenser lets a dispenser die with running work: its successor hands
-// out no more than load and reports show free.
+// TestNewDispenser replaces a dispenser that has running work. Its successor must grant no more memory
+// than the load and the boxes' reports show as free.
 func TestNewDispenser(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(1)
-	p.empty(1)
-	first := p.want(t, "a", 40_000)
+	p.reportEmpty(1)
+	first := p.mustEnqueue(t, "a", 40_000)
 	c.Assert(p.tick(), quicktest.HasLen, 1)
 
 	p.now = p.now.Add(10 * time.Second)
-	p.found(1)
-	next := p.want(t, "a", 45_000)
+	p.reset(1)
+	next := p.mustEnqueue(t, "a", 45_000)
 	c.Check(p.tick(), quicktest.HasLen, 0, quicktest.Commentf("before any load report"))
 	p.load(0, engineTokens-40_100)
 	held := capacity.HeldGrant{Attempt: first, Account: "a", Targets: []barleystep.TargetID{engine(0)}, PromptTokens: 40_000, OutputTokens: 100, Since: start, Prefilling: true}
 	p.ApplyReport(p.now, capacity.Report{Box: "b1", Held: []capacity.HeldGrant{held}})
-	c.Check(p.tick(), quicktest.HasLen, 0, quicktest.Commentf("while the engine reads another long prompt"))
+	c.Check(p.tick(), quicktest.HasLen, 0, quicktest.Commentf("while the engine prefills another long prompt"))
 	p.done(first)
 	c.Check(p.tick()[next].Targets, quicktest.DeepEquals, []barleystep.TargetID{engine(0)})
 }
 
-func TestForeignWorkCounts(t *testing.T) {
+func TestUnexplainedMemoryCounts(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(1)
 	p.load(0, 20_000)
-	p.want(t, "a", 30_000)
+	p.mustEnqueue(t, "a", 30_000)
 	c.Check(p.tick(), quicktest.HasLen, 0)
 	p.now = p.now.Add(time.Second)
 	p.load(0, 90_000)
 	c.Check(p.tick(), quicktest.HasLen, 1)
 }
 
-// TestStaleLoad checks that own grants count although the last report is older.
+// TestStaleLoad checks that grants newer than the last load report count against the free memory.
 func TestStaleLoad(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(1)
-	p.empty(1)
+	p.reportEmpty(1)
 	p.now = p.now.Add(time.Second)
 	for range 40 {
-		p.want(t, "a", 3_900)
+		p.mustEnqueue(t, "a", 3_900)
 	}
 	granted := 0
 	for range 40 {
@@ -140,13 +140,13 @@
 	c.Check(granted, quicktest.Equals, engineTokens/4_000)
 }
 
-func TestLostGrantIsTakenBack(t *testing.T) {
+func TestLostGrantIsEnded(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(1)
-	p.empty(1)
-	p.want(t, "a", 40_000)
+	p.reportEmpty(1)
+	p.mustEnqueue(t, "a", 40_000)
 	c.Assert(p.tick(), quicktest.HasLen, 1)
-	p.want(t, "a", 40_000)
+	p.mustEnqueue(t, "a", 40_000)
 	p.ApplyReport(p.now, capacity.Report{Box: "b1"})
 	c.Check(p.tick(), quicktest.HasLen, 0)
 	p.now = p.now.Add(4 * time.Second)
@@ -155,13 +155,13 @@
 	c.Check(p.tick(), quicktest.HasLen, 1)
 }
 
-// TestBoxDies checks that the memory of a dead box's work is not handed out
-// until the engine reports it free.
+// TestBoxDies checks that the memory of a dead box's work is not granted until the engine reports it
+// free.
 func TestBoxDies(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(1)
-	p.empty(1)
-	p.want(t, "a", 40_000)
+	p.reportEmpty(1)
+	p.mustEnqueue(t, "a", 40_000)
 	c.Assert(p.tick(), quicktest.HasLen, 1)
 	p.now = p.now.Add(time.Second)
 	p.load(0, engineTokens-40_100)
@@ -178,17 +178,17 @@
 	c.Check(p.tick(), quicktest.HasLen, 1)
 }
 
-// TestFloodCostsOthersLittle holds the queue to its bound: the account that
-// asks for little waits for one request of the flood at most.
-func TestFloodCostsOthersLittle(t *testing.T) {
+// TestFloodDoesNotDelayOthers checks that a client account with one request is served within three
+// grants while another account has 500 requests queued.
+func TestFloodDoesNotDelayOthers(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(1)
-	p.empty(1)
+	p.reportEmpty(1)
 	for range 500 {
-		p.want(t, "flood", 6_000)
+		p.mustEnqueue(t, "flood", 6_000)
 	}
 	p.tick()
-	other := p.want(t, "other", 6_000)
+	other := p.mustEnqueue(t, "other", 6_000)
 	served := 0
 	for range 20 {
 		for id, g := range p.tick() {
@@ -204,7 +204,7 @@
 	c.Fatal("the other account was not served")
 }
 
-// finishAll ends all that runs.
+// finishAll ends all running attempts.
 func (p *pool) finishAll() {
 	for n := uint64(1); n <= p.serial; n++ {
 		id := barleystep.NewAttemptID("b1", 1, n)
@@ -215,32 +215,32 @@
 	p.load(0, engineTokens)
 }
 
-// TestLongUnderFlood checks that a steady flood of short prompts does not keep
-// a long one waiting: it has the lane of long prompts to itself.
+// TestLongUnderFlood checks that a flood of short prompts does not delay a long one, which waits in a
+// lane of its own.
 func TestLongUnderFlood(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(1)
-	p.empty(1)
+	p.reportEmpty(1)
 	for range 200 {
-		p.want(t, "quotes", 2_000)
+		p.mustEnqueue(t, "quotes", 2_000)
 	}
-	long := p.want(t, "court", 40_000)
+	long := p.mustEnqueue(t, "court", 40_000)
 	_, ok := p.tick()[long]
 	c.Check(ok, quicktest.IsTrue)
 }
 
-// TestGang checks prompts longer than an engine: whole or not at all, no
-// deadlock between two, and another choice when a member dies.
-func TestGang(t *testing.T) {
+// TestReservation checks prompts longer than an engine's memory: all their engines are
+// reserved at once, and two such prompts do not deadlock.
+func TestReservation(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(3)
-	p.empty(3)
-	busy := p.want(t, "a", 30_000)
+	p.reportEmpty(3)
+	busy := p.mustEnqueue(t, "a", 30_000)
 	g := p.tick()
 	c.Assert(g, quicktest.HasLen, 1)
-	first := p.want(t, "a", 210_000)
-	second := p.want(t, "b", 210_000)
-	c.Check(p.tick(), quicktest.HasLen, 0, quicktest.Commentf("one engine still reads"))
+	first := p.mustEnqueue(t, "a", 210_000)
+	second := p.mustEnqueue(t, "b", 210_000)
+	c.Check(p.tick(), quicktest.HasLen, 0, quicktest.Commentf("one engine still prefills"))
 	c.Check(p.ReservedTargets(), quicktest.HasLen, 3)
 	c.Check(p.tick(), quicktest.HasLen, 0)
 	p.done(busy)
@@ -251,16 +251,16 @@
 	c.Check(p.tick()[second].Targets, quicktest.HasLen, 3)
 }
 
-func TestGangMemberDies(t *testing.T) {
+func TestReservedTargetDies(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(4)
-	p.empty(4)
+	p.reportEmpty(4)
 	for range 4 {
-		p.want(t, "a", 30_000)
+		p.mustEnqueue(t, "a", 30_000)
 	}
 	running := p.tick()
 	c.Assert(running, quicktest.HasLen, 4)
-	giant := p.want(t, "b", 160_000)
+	large := p.mustEnqueue(t, "b", 160_000)
 	p.tick()
 	lost := p.ReservedTargets()[0]
 	for range 3 {
@@ -270,7 +270,7 @@
 		p.done(id)
 	}
 	p.tick()
-	g := p.tick()[giant]
+	g := p.tick()[large]
 	for _, id := range g.Targets {
 		c.Check(id, quicktest.Not(quicktest.Equals), lost)
 	}
@@ -286,17 +286,17 @@
 
 func TestRefusals(t *testing.T) {
 	p := newPool(1)
-	p.empty(1)
+	p.reportEmpty(1)
 	late := p.ask("a", 90_000)
 	late.Demand.Deadline = p.now.Add(time.Second)
 	cases := map[string]struct {
 		ask    capacity.GrantRequest
 		reason barleystep.Reason
 	}{
-		"can't be read in time":       {late, barleystep.ReasonDeadlineCannotBeMet},
+		"cannot be prefilled in time": {late, barleystep.ReasonDeadlineCannotBeMet},
 		"longer than all engines":     {p.ask("a", 5_000_000), barleystep.ReasonNoTarget},
 		"no engine serves the model":  {p.ask("a", 1_000), barleystep.ReasonNoTarget},
-		"more waits than is sensible": {p.ask("a", 1_000), barleystep.ReasonQueueFull},
+		"queue is full":               {p.ask("a", 1_000), barleystep.ReasonQueueFull},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -309,7 +309,7 @@
 				}
 			case barleystep.ReasonQueueFull:
 				for range 20_000 {
-					p.want(t, "a", 1_000)
+					p.mustEnqueue(t, "a", 1_000)
 				}
 			}
 			r := p.Enqueue(p.now, tc.ask)
@@ -320,14 +320,14 @@
 	}
 }
 
-// TestRequestThatHasBeenEverywhereBeginsAnew checks that a request which all
-// targets have refused does not wait until its deadline for another one.
-func TestRequestThatHasBeenEverywhereBeginsAnew(t *testing.T) {
+// TestAllTargetsFailed checks that a request that has failed on all targets may try them again,
+// instead of waiting until its deadline for another target.
+func TestAllTargetsFailed(t *testing.T) {
 	for name, avoid := range map[string][]barleystep.TargetID{"one left": {engine(0)}, "none left": {engine(1), engine(0)}} {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			p := newPool(2)
-			p.empty(2)
+			p.reportEmpty(2)
 			a := p.ask("a", 1_000)
 			a.Demand.FailedTargets = avoid
 			c.Assert(p.Enqueue(p.now, a) == nil, quicktest.IsTrue)
@@ -338,43 +338,42 @@
 	}
 }
 
-// TestUnusableTargets lists why a target gets no new work.
+// TestUnusableTargets checks each reason for which a target gets no new work.
 func TestUnusableTargets(t *testing.T) {
 	cases := map[string]func(p *pool){
 		"drained": func(p *pool) {
 			p.SetTargets([]capacity.TargetSpec{{ID: engine(0), KVTokens: engineTokens, PrefillRate: 10_000, Drain: true}})
 		},
-		"leaving by its own word": func(p *pool) {
+		"leaving by its load report": func(p *pool) {
 			p.UpdateLoad(engine(0), barleystep.Load{At: p.now.Add(1), TotalTokens: engineTokens, FreeTokens: engineTokens, Leaving: true})
 		},
 		"failing": func(p *pool) {
 			p.ApplyReport(p.now, capacity.Report{Box: "b1", Uses: []capacity.CreditUse{{Target: engine(0), Failures: 2}}})
 		},
-		"hung while its reports go on": func(p *pool) {
+		"hung while it still reports load": func(p *pool) {
 			p.ApplyReport(p.now, capacity.Report{Box: "b1", Uses: []capacity.CreditUse{{Target: engine(0), Overdue: time.Minute}}})
 		},
 	}
-	for name, spoil := range cases {
+	for name, breakTarget := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
 			p := newPool(1)
-			p.empty(1)
-			spoil(p)
-			p.want(t, "a", 1_000)
+			p.reportEmpty(1)
+			breakTarget(p)
+			p.mustEnqueue(t, "a", 1_000)
 			c.Check(p.tick(), quicktest.HasLen, 0)
 			c.Check(p.ApplyReport(p.now, capacity.Report{Box: "b1"}).Credits, quicktest.HasLen, 0)
 		})
 	}
 }
 
-// TestSuspensionEndsWithATrial checks that a target that failed gets one more
-// chance after a while, and is back with its first answer.
-func TestSuspensionEndsWithATrial(t *testing.T) {
+// TestSuspensionEndsWithProbe checks that a suspended target gets a probe attempt after its backoff.
+func TestSuspensionEndsWithProbe(t *testing.T) {
 	c := quicktest.New(t)
 	p := newPool(1)
-	p.empty(1)
+	p.reportEmpty(1)
 	p.ApplyReport(p.now, capacity.Report{Box: "b1", Uses: []capacity.CreditUse{{Target: engine(0), Failures: 2}}})
-	p.want(t, "a", 1_000)
+	p.mustEnqueue(t, "a", 1_000)
 	c.Assert(p.tick(), quicktest.HasLen, 0)
 	p.now = p.now.Add(3 * time.Second)
 	c.Check(p.tick(), quicktest.HasLen, 1)
