--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -106,7 +106,7 @@
 
 // Ask requests a grant and waits for it.
 func (d *remoteEndpoint) Ask(ctx context.Context, pool string, a capacity.GrantRequest) (g capacity.Grant, err error) {
-	resp, err := d.client.rpcClient(d.addr).Ask(ctx, connect.NewRequest(toAsk(pool, a, d.client.Clock.Now())))
+	resp, err := d.client.rpcClient(d.addr).Ask(ctx, connect.NewRequest(toGrantRequest(pool, a, d.client.Clock.Now())))
 	if err != nil {
 		return capacity.Grant{}, eris.Wrap(err, "peer: ask")
 	}
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -36,7 +36,7 @@
 	return out
 }
 
-func toAsk(pool string, a capacity.GrantRequest, now time.Time) *peerv1.AskRequest {
+func toGrantRequest(pool string, a capacity.GrantRequest, now time.Time) *peerv1.AskRequest {
 	d := a.Demand
 	return &peerv1.AskRequest{
 		Pool:    pool,
@@ -56,7 +56,7 @@
 	}
 }
 
-func fromAsk(r *peerv1.AskRequest, now time.Time) capacity.GrantRequest {
+func fromGrantRequest(r *peerv1.AskRequest, now time.Time) capacity.GrantRequest {
 	return capacity.GrantRequest{
 		Box:    barleystep.BoxID(r.GetBox()),
 		Weight: r.GetWeight(),
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -113,7 +113,7 @@
 	return e
 }
 
-func newAsk(n uint64) capacity.GrantRequest {
+func newGrantRequest(n uint64) capacity.GrantRequest {
 	now := clock.System{}.Now()
 	return capacity.GrantRequest{Box: "b2", Weight: 1, Limit: 1, Demand: barleystep.Demand{
 		Attempt: barleystep.NewAttemptID("b2", 7, n), Account: "conversia", Class: "normal", Model: pool,
@@ -128,14 +128,14 @@
 	for name, endpoint := range map[string]capacity.Endpoint{"local": e.endpoint, "remote": remote} {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			first := newAsk(1)
+			first := newGrantRequest(1)
 			g, err := endpoint.Ask(t.Context(), pool, first)
 			c.Assert(err, quicktest.IsNil)
 			c.Check(g.Targets, quicktest.DeepEquals, []barleystep.TargetID{"e1"})
 			// A second long prompt waits until the first one's prefill is done.
 			got := make(chan error, 1)
 			go func() {
-				_, err := endpoint.Ask(t.Context(), pool, newAsk(2))
+				_, err := endpoint.Ask(t.Context(), pool, newGrantRequest(2))
 				got <- err
 			}()
 			c.Assert(endpoint.First(t.Context(), pool, first.Demand.Attempt), quicktest.IsNil)
@@ -143,16 +143,16 @@
 			// An abandoned call leaves no waiting request behind.
 			ctx, cancel := context.WithCancel(t.Context())
 			cancel()
-			_, err = endpoint.Ask(ctx, pool, newAsk(3))
+			_, err = endpoint.Ask(ctx, pool, newGrantRequest(3))
 			c.Check(err, quicktest.IsNotNil)
 			for n := uint64(1); n <= 3; n++ {
-				c.Assert(endpoint.Release(t.Context(), pool, newAsk(n).Demand.Attempt, barleystep.Usage{Outcome: barleystep.OutcomeDone, TimeToFirstEvent: 1}), quicktest.IsNil)
+				c.Assert(endpoint.Release(t.Context(), pool, newGrantRequest(n).Demand.Attempt, barleystep.Usage{Outcome: barleystep.OutcomeDone, TimeToFirstEvent: 1}), quicktest.IsNil)
 			}
 			credits, err := endpoint.Report(t.Context(), pool, capacity.Report{Box: "b2", RequestedTokens: 1_000})
 			c.Assert(err, quicktest.IsNil)
 			c.Assert(credits.Credits, quicktest.HasLen, 1)
 			c.Check(credits.Credits[0].Target, quicktest.Equals, barleystep.TargetID("e1"))
-			late := newAsk(4)
+			late := newGrantRequest(4)
 			late.Demand.Deadline = late.Demand.AdmittedAt
 			_, err = endpoint.Ask(t.Context(), pool, late)
 			c.Check(barleystep.AsRefusal(err).Reason(), quicktest.Equals, barleystep.ReasonDeadlineCannotBeMet)
@@ -244,7 +244,7 @@
 	endpoint, _ := e.client.Endpoint("b1")
 	ctx := context.Background()
 	grant := func(n uint64) {
-		a := newAsk(n)
+		a := newGrantRequest(n)
 		_, err := endpoint.Ask(ctx, pool, a)
 		quicktest.Assert(b, err, quicktest.IsNil)
 		_ = endpoint.First(ctx, pool, a.Demand.Attempt)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -69,7 +69,7 @@
 // Ask waits for a grant. A refusal is sent as a response, not as an error.
 func (h handler) Ask(ctx context.Context, req *connect.Request[peerv1.AskRequest]) (*connect.Response[peerv1.AskResponse], error) {
 	now := h.Clock.Now()
-	g, err := h.Endpoint.Ask(ctx, req.Msg.GetPool(), fromAsk(req.Msg, now))
+	g, err := h.Endpoint.Ask(ctx, req.Msg.GetPool(), fromGrantRequest(req.Msg, now))
 	var refusal *barleystep.Refusal
 	switch {
 	case eris.As(err, &refusal):
