--- a/internal/capacity/allocator.go
+++ b/internal/capacity/allocator.go
@@ -154,7 +154,7 @@
 		FirstToken: func() {
 			p.firstToken(a.Clock.Now(), id)
 			if endpoint != nil {
-				a.notify(func(ctx context.Context) error { return endpoint.First(ctx, p.name, id) })
+				a.notify(func(ctx context.Context) error { return endpoint.FirstToken(ctx, p.name, id) })
 			}
 		},
 		Release: func(u barleystep.Usage) {
--- a/internal/capacity/allocator_test.go
+++ b/internal/capacity/allocator_test.go
@@ -32,7 +32,7 @@
 }
 
 // First does nothing.
-func (d *fakeEndpoint) First(context.Context, string, barleystep.AttemptID) error { return nil }
+func (d *fakeEndpoint) FirstToken(context.Context, string, barleystep.AttemptID) error { return nil }
 
 // Release does nothing.
 func (d *fakeEndpoint) Release(context.Context, string, barleystep.AttemptID, barleystep.Usage) error {
--- a/internal/capacity/endpoint.go
+++ b/internal/capacity/endpoint.go
@@ -22,7 +22,7 @@
 	// could not be reached; the request is then withdrawn.
 	Ask(ctx context.Context, pool string, a GrantRequest) (Grant, error)
 	// First records the first token of a granted attempt.
-	First(ctx context.Context, pool string, id barleystep.AttemptID) error
+	FirstToken(ctx context.Context, pool string, id barleystep.AttemptID) error
 	// Release ends a grant and records how the attempt went.
 	Release(ctx context.Context, pool string, id barleystep.AttemptID, u barleystep.Usage) error
 	// Report applies a box's report and returns its credits.
@@ -112,7 +112,7 @@
 }
 
 // First records the first token of a granted attempt.
-func (l *LocalEndpoint) First(_ context.Context, pool string, id barleystep.AttemptID) error {
+func (l *LocalEndpoint) FirstToken(_ context.Context, pool string, id barleystep.AttemptID) error {
 	l.update(pool, func(d *Dispenser, now time.Time) { d.FirstToken(now, id, 0) })
 	return nil
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -138,7 +138,7 @@
 				_, err := endpoint.Ask(t.Context(), pool, newGrantRequest(2))
 				got <- err
 			}()
-			c.Assert(endpoint.First(t.Context(), pool, first.Demand.Attempt), quicktest.IsNil)
+			c.Assert(endpoint.FirstToken(t.Context(), pool, first.Demand.Attempt), quicktest.IsNil)
 			c.Assert(<-got, quicktest.IsNil)
 			// An abandoned call leaves no waiting request behind.
 			ctx, cancel := context.WithCancel(t.Context())
@@ -247,7 +247,7 @@
 		a := newGrantRequest(n)
 		_, err := endpoint.Ask(ctx, pool, a)
 		quicktest.Assert(b, err, quicktest.IsNil)
-		_ = endpoint.First(ctx, pool, a.Demand.Attempt)
+		_ = endpoint.FirstToken(ctx, pool, a.Demand.Attempt)
 		_ = endpoint.Release(ctx, pool, a.Demand.Attempt, barleystep.Usage{Outcome: barleystep.OutcomeDone, TimeToFirstEvent: 1})
 	}
 	report := func(uint64) {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -115,7 +115,7 @@
 	pool := in.name(m.GetPool())
 	switch kind := m.GetKind().(type) {
 	case *peerv1.TalkRequest_First:
-		return nil, h.Endpoint.First(ctx, pool, fromAttempt(kind.First.GetAttempt()))
+		return nil, h.Endpoint.FirstToken(ctx, pool, fromAttempt(kind.First.GetAttempt()))
 	case *peerv1.TalkRequest_Release:
 		return nil, h.Endpoint.Release(ctx, pool, fromAttempt(kind.Release.GetAttempt()), fromRelease(kind.Release))
 	case *peerv1.TalkRequest_Report:
