--- a/internal/capacity/endpoint.go
+++ b/internal/capacity/endpoint.go
@@ -111,7 +111,7 @@
 	})
 }
 
-// First records the first token of a granted attempt.
+// FirstToken records the first token of a granted attempt.
 func (l *LocalEndpoint) FirstToken(_ context.Context, pool string, id barleystep.AttemptID) error {
 	l.update(pool, func(d *Dispenser, now time.Time) { d.FirstToken(now, id, 0) })
 	return nil
