--- a/internal/capacity/allocator_test.go
+++ b/internal/capacity/allocator_test.go
@@ -31,7 +31,7 @@
 	return capacity.Grant{Attempt: a.Demand.Attempt, Targets: []barleystep.TargetID{"e0"}}, nil
 }
 
-// First does nothing.
+// FirstToken does nothing.
 func (d *fakeEndpoint) FirstToken(context.Context, string, barleystep.AttemptID) error { return nil }
 
 // Release does nothing.
--- a/internal/capacity/endpoint.go
+++ b/internal/capacity/endpoint.go
@@ -21,7 +21,7 @@
 	// Ask waits for a grant. It returns a *barleystep.Refusal, or another error if the dispenser
 	// could not be reached; the request is then withdrawn.
 	Ask(ctx context.Context, pool string, a GrantRequest) (Grant, error)
-	// First records the first token of a granted attempt.
+	// FirstToken records the first token of a granted attempt.
 	FirstToken(ctx context.Context, pool string, id barleystep.AttemptID) error
 	// Release ends a grant and records how the attempt went.
 	Release(ctx context.Context, pool string, id barleystep.AttemptID, u barleystep.Usage) error
--- a/internal/peer/control.go
+++ b/internal/peer/control.go
@@ -128,7 +128,7 @@
 	return t.err
 }
 
-// First reports the first token of an attempt.
+// FirstToken reports the first token of an attempt.
 func (d *remoteEndpoint) FirstToken(_ context.Context, pool string, id barleystep.AttemptID) error {
 	return d.client.controlStreamTo(d.addr).send(pool, func(_ *names, m *peerv1.TalkRequest) {
 		m.Kind = &peerv1.TalkRequest_First{First: &peerv1.First{Attempt: toAttempt(id)}}
